--- a/gladelane/lab/fleet/load.py
+++ b/gladelane/lab/fleet/load.py
@@ -5,17 +5,17 @@
 import asyncio
 import json
 import time
-from collections import Counter
+from collections import Counter, defaultdict
 from random import Random
 
-from ...control.http import Refused, fetch
-from ...interface import Status
+from ...control_plane.http import HttpStatusError, fetch
 from ...net.config import read_config
 from ...purges.scope import parse
+from ...routing.events import Status
 from ..checks import Broken, Monitor
+from ..fake_cache_store import now_ms
+from ..fake_server import Seen
 from ..processes import ROOT
-from ..shelf import now_ms
-from ..standins import Seen
 from .fleet import TOKEN, Fleet, Life
 from .rules import Made, Purged, Sent, Service
 from .world import OBJECTS, group_of, object_id
@@ -29,7 +29,8 @@
 
 
 class Load:
-    """`lost_by_kill`: held by a process that was killed or stopped; `lost`: by none."""
+    """`lost_by_kill`: held by a process that was killed or stopped; `lost`: by none. `late_s`: by how much a
+    request was asked after its moment at most, which is the doing of the machine alone."""
 
     def __init__(self, fleet: Fleet, rng: Random) -> None:
         self.fleet, self.rng = fleet, rng
@@ -38,7 +39,9 @@
         self.attempts: list[Sent] = []
         self._asked_at: dict[str, str] = {}  # by a request's id, for as long as the run lasts: its director
         self.service = Service()
+        self.by_director: defaultdict[str, Service] = defaultdict(Service)
         self.counts: Counter[str] = Counter()
+        self.late_s = 0.0
         self.broken: list[Broken] = []
         self.monitor = Monitor(1000.0, 2000.0, ANSWER_GRACE_MS, self.broken.append)
         self._who: dict[str, tuple[str, int]] = {}  # by a request's id: its director, its number
@@ -70,6 +73,7 @@
         while due < end:
             due += self.rng.expovariate(per_s)
             await asyncio.sleep(max(due - loop.time(), 0.0))
+            self.late_s = max(self.late_s, loop.time() - due)
             task = asyncio.create_task(self._request(time.time() * 1000.0 - (loop.time() - due) * 1000.0))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
@@ -134,7 +138,8 @@
         self._asked_at[id_] = one.name
         self.monitor.request(one.name, number, spec, sent + min(spec.deadline_ms, 1500.0))
         self.counts["asked"] += 1
-        self.service.ask(due_ms / 1000.0, spec.worth)
+        for service in (self.service, self.by_director[one.name]):
+            service.ask(due_ms / 1000.0, spec.worth)
         answer = await client.ask(fields, patience_s=PATIENCE_S)
         now = now_ms()
         killed = self.fleet.held_by(one, sent, now)
@@ -156,7 +161,8 @@
                         Made(cls, group_of(n), int(object_id(n), 16), part, sent, dated, one.name, now)
                     )
                 if now - due_ms <= spec.aim_ms:
-                    self.service.earn(due_ms / 1000.0, spec.worth)
+                    for service in (self.service, self.by_director[one.name]):
+                        service.earn(due_ms / 1000.0, spec.worth)
         self._who.pop(id_, None)
         self._tries.pop(id_, None)
         return (None if answer is None else answer.code), killed
@@ -169,6 +175,7 @@
             scope = f"object:{object_id(n)}" if turn % 4 else f"group:{group_of(n)} & parts:0"
             body = json.dumps({"scope": scope}).encode()
             key = f"k{self.rng.getrandbits(64):x}"
+            asked_ms = now_ms()  # of the first try: a later one may be told of a purge that stands since then
             while True:
                 feed = self.rng.choice(self.fleet.feeds)
                 try:
@@ -178,12 +185,20 @@
                         )
                     )
                     break
-                except (OSError, Refused, TimeoutError):
+                except (OSError, HttpStatusError, TimeoutError):
                     self.counts["purges_again"] += 1
                     await asyncio.sleep(0.05)
+            told_ms = now_ms()
+            at_ms = min(max(told["at_ms"], asked_ms), told_ms)  # the feed's clock may be wrong
             self.purges.append(
                 Purged(
-                    told["at_ms"], parse(told["scope"]), now_ms(), told["issuer"], told["epoch"], told["seq"]
+                    at_ms,
+                    parse(told["scope"]),
+                    told_ms,
+                    told["issuer"],
+                    told["epoch"],
+                    told["seq"],
+                    told["at_ms"],
                 )
             )
             await asyncio.sleep(seconds / count)
--- a/gladelane/lab/fleet/rules.py
+++ b/gladelane/lab/fleet/rules.py
@@ -6,8 +6,10 @@
 
 from __future__ import annotations
 
+import math
 from bisect import bisect_left
 from collections import Counter
+from collections.abc import Iterable, Mapping
 from itertools import accumulate
 from typing import NamedTuple
 
@@ -15,6 +17,7 @@
 from ...purges.scope import Scope
 
 SLACK_MS = 5.0  # dates are whole ms
+DOWN_SLACK_S = 0.05  # between a line's moment and the step that was carried out
 
 
 class Made(NamedTuple):
@@ -41,7 +44,8 @@
 
 
 class Purged(NamedTuple):
-    """A purge that was answered: its moment, and when its sender had the answer."""
+    """A purge that was answered: its moment, and when its sender had the answer. `dated_ms`: as its control
+    server dated it, which may be a little late, and as orders carry it."""
 
     at_ms: float
     scope: Scope
@@ -49,6 +53,25 @@
     issuer: str = ""
     epoch: int = 0
     seq: int = 0
+    dated_ms: float = 0.0
+
+
+class PurgeName(NamedTuple):
+    """What no two purges share: epoch is the start of the issuer in which it was issued."""
+
+    issuer: str
+    epoch: int
+    seq: int
+
+
+def name_of(purge: Purged) -> PurgeName:
+    return PurgeName(purge.issuer, purge.epoch, purge.seq)
+
+
+def of_earlier_starts(purges: list[Purged], latest: Mapping[str, int]) -> set[PurgeName]:
+    """Answered purges that no feed of now issued: a feed with an empty folder has them from others alone.
+    latest: each issuer's epoch now."""
+    return {name_of(purge) for purge in purges if purge.epoch < latest.get(purge.issuer, 0)}
 
 
 class Ran(NamedTuple):
@@ -90,6 +113,16 @@
     return max(Counter(int(at - start) for at in times if start <= at < end).values(), default=0)
 
 
+def back_after(ups: list[float], downs: list[float], struck: float, until: float) -> float:
+    """When a process that was struck answers again: with the last of `ups` that came of it, its starts and
+    when it was resumed; `downs`: when it was ended or stopped. At once where none of these came of the
+    fault; infinite: it did not come back. Seconds."""
+    last_down = max((moment for moment in downs if struck - DOWN_SLACK_S <= moment < until), default=None)
+    if last_down is None:
+        return struck
+    return max((moment for moment in ups if last_down <= moment < until), default=math.inf)
+
+
 class Service:
     """The worth that was asked for and the part of it that was answered in time, by when it was due. Seconds
     of one clock.
@@ -103,6 +136,14 @@
         self._asked: list[tuple[float, float]] = []  # when due, worth
         self._earned: list[tuple[float, float]] = []
 
+    @classmethod
+    def together(cls, services: Iterable[Service]) -> Service:
+        joined = cls()
+        for service in services:
+            joined._asked += service._asked
+            joined._earned += service._earned
+        return joined
+
     def ask(self, due_s: float, worth: float) -> None:
         self._asked.append((due_s, worth))
 
--- a/gladelane/lab/model/link.py
+++ b/gladelane/lab/model/link.py
@@ -32,6 +32,7 @@
         return min(self.flow, self.capacity / max(len(self._ends), 1))
 
     def start(self, now: float, key: int, size: float) -> None:
+        """A transfer of `size` KB begins. Raises ValueError as the class says."""
         if key in self._ends or size <= 0.0:
             raise ValueError(f"transfer {key} of {size} KB; expected a new key and a size over 0")
         self._go_on(now)
@@ -57,14 +58,14 @@
 
     def ended(self, now: float) -> list[tuple[float, int]]:
         """Transfers that have ended by then, with their times, in order; ties by key."""
-        told: list[tuple[float, int]] = []
+        ended: list[tuple[float, int]] = []
         while (at := self.next_end()) is not None and at <= now:
             end, key = heapq.heappop(self._heap)
             self.now, self._done = at, max(self._done, end)
             del self._ends[key]
-            told.append((at, key))
+            ended.append((at, key))
         self._go_on(now)
-        return told
+        return ended
 
     def _go_on(self, now: float) -> None:
         if now < self.now:
--- a/gladelane/lab/model/pipe.py
+++ b/gladelane/lab/model/pipe.py
@@ -23,6 +23,7 @@
         return len(self._done)
 
     def start(self, size: float, done: Callable[[], None]) -> int:
+        """A transfer of `size` KB begins; `done` is called at its end. Gives its key for `stop`."""
         self._collect()
         self._keys += 1
         self._done[self._keys] = done
@@ -39,6 +40,7 @@
             self._plan()
 
     def resize(self, capacity: float) -> None:
+        """From now on the link carries `capacity` KB a ms."""
         self._collect()
         self._link.resize(self._line.now, capacity)
         self._plan()
--- a/gladelane/lab/model/timeline.py
+++ b/gladelane/lab/model/timeline.py
@@ -15,10 +15,13 @@
         self.call: Callable[[], None] | None = call
 
     def cancel(self) -> None:
+        """It is not called any more."""
         self.call = None
 
 
 class Timeline:
+    """Calls in the order of their times, ms; those of one time in the order in which they were set."""
+
     def __init__(self) -> None:
         self.now = 0.0
         self.passed = 0  # moments that were called
@@ -33,6 +36,7 @@
         return moment
 
     def after(self, wait: float, call: Callable[[], None]) -> Moment:
+        """Calls it `wait` ms from now."""
         return self.at(self.now + wait, call)
 
     def run(self, until: float) -> None:
--- /dev/null
+++ b/gladelane/leases/quorum.py
@@ -0,0 +1,34 @@
+"""How many lease servers have to agree, and how the clocks of holders and servers are compared. Pure.
+
+A holder counts its lease shorter than the duration it asked for, and a server counts it longer, so that two
+clocks which run apart by at most `CLOCK_DRIFT` never let two holders overlap. Times are in milliseconds of a
+clock that is never set and that goes on during sleep (CLOCK_BOOTTIME).
+"""
+
+from __future__ import annotations
+
+CLOCK_DRIFT = 0.001  # the largest relative difference in rate between two clocks
+CLOCK_SLACK_MS = 1.0  # for rounding, on top of the drift
+
+
+def majority(server_count: int) -> int:
+    """Returns the smallest number of servers of which any two sets share a server."""
+    return server_count // 2 + 1
+
+
+def recovery_quorum(server_count: int) -> int:
+    """Returns how many peers a restarted server has to hear before it may grant.
+
+    Every majority that granted a lease without the restarted server contains at least one of them.
+    """
+    return min(server_count - majority(server_count) + 1, server_count - 1)
+
+
+def holder_expiry_ms(sent_ms: float, duration_ms: float) -> float:
+    """Returns when a holder has to stop acting on a lease that it asked for at `sent_ms`."""
+    return sent_ms + duration_ms * (1.0 - CLOCK_DRIFT) - CLOCK_SLACK_MS
+
+
+def server_expiry_ms(granted_ms: float, duration_ms: float) -> float:
+    """Returns when a server may grant a lease again that it granted at `granted_ms`."""
+    return granted_ms + (duration_ms * (1.0 + CLOCK_DRIFT) + CLOCK_SLACK_MS)
--- a/gladelane/logs.py
+++ b/gladelane/logs.py
@@ -1,8 +1,7 @@
-"""The log, set up once: plain lines, key=value or JSON lines, and a bound on floods of one wording.
+"""Sets up the log: plain, key=value or JSON lines, with a limit on floods of one message.
 
-Plain lines are what the director has always written and need the standard library only. The other forms are
-made by structlog, which is imported for them alone: it costs 15 MB and a quarter of a second where rich is
-installed.
+Plain lines need the standard library only. The other forms are made by structlog, which is imported only for
+them: it costs 15 MB and a quarter of a second if rich is installed.
 """
 
 from __future__ import annotations
@@ -12,30 +11,31 @@
 from typing import Any
 
 PLAIN = "%(asctime)s %(levelname)s %(name)s %(message)s"
-LINES_A_SECOND = 5  # of one wording in the log
+MAX_LINES_PER_S = 5  # of one message
 _PAIR = re.compile(r"(?<!\S)([a-z_]+)=(\S+)")
 
 
 class Flood(logging.Filter):
-    """Bounds what bad clients make the log cost: so many lines of one wording a second, and a count."""
+    """Limits what bad clients make the log cost: so many lines a second of one message, then a count."""
 
     def __init__(self) -> None:
         super().__init__()
         self._seen: dict[str, tuple[int, int]] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        wording, now = str(record.msg), int(record.created)
-        second, lines = self._seen.get(wording, (now, 0))
+        """Whether a line is written. The first one of a later second has the count of those that were not."""
+        template, now = str(record.msg), int(record.created)
+        second, lines = self._seen.get(template, (now, 0))
         if second != now:
-            if lines > LINES_A_SECOND:
-                record.msg = f"{wording} (and {lines - LINES_A_SECOND} like it)"
+            if lines > MAX_LINES_PER_S:
+                record.msg = f"{template} (and {lines - MAX_LINES_PER_S} like it)"
             lines = 0
-        self._seen[wording] = now, lines + 1
-        return lines < LINES_A_SECOND
+        self._seen[template] = now, lines + 1
+        return lines < MAX_LINES_PER_S
 
 
 def set_up(form: str = "plain", level: str = "info") -> None:
-    """form: plain, keyvalue or json. May be called again; the last call holds."""
+    """Sets form (plain, keyvalue or json) and least level. May be called again; the last call holds."""
     logging.basicConfig(level=level.upper(), format=PLAIN, force=True)
     for handler in logging.getLogger().handlers:
         handler.addFilter(Flood())
@@ -44,7 +44,7 @@
 
 
 def _split(_: Any, __: str, event: dict[str, Any]) -> dict[str, Any]:
-    """The words of a line as `event`, each `name=value` in it as a key of its own."""
+    """The text of a line as `event`, each `name=value` in it as a key of its own."""
     text = str(event["event"])
     for name, value in _PAIR.findall(text):
         event.setdefault(name, value)
--- /dev/null
+++ b/gladelane/net/attempt_checks.py
@@ -0,0 +1,64 @@
+"""Checks of an attempt just before its first byte: a dial takes time, and clients, the endpoint list, purges,
+key windows and the clock go on meanwhile."""
+
+from __future__ import annotations
+
+from ..routing.events import Effect
+from ..routing.idempotency import is_past_window
+from ..timer_wheel import TICK_MS
+from .attempt_outcomes import AttemptOutcome
+from .endpoint_list import EndpointList
+from .exchange import Attempt
+from .interfaces import DirectorContext
+
+
+class AttemptChecks:
+    """Whether an attempt may still be written, and what is recorded when it is."""
+
+    def __init__(self, context: DirectorContext, endpoint_list: EndpointList) -> None:
+        self._context = context
+        self._endpoint_list = endpoint_list
+
+    def rejection(self, attempt: Attempt, now: float) -> AttemptOutcome | None:
+        """How the attempt ends unwritten; None: it may be written."""
+        if attempt.exchange.done:
+            return AttemptOutcome.SURPLUS
+        if attempt.due_ms - now < 1.0:
+            return AttemptOutcome.EXPIRED
+        if not self._are_servers_ready(attempt):
+            return AttemptOutcome.WITHDRAWN
+        if self.is_past_window(attempt, now):
+            return AttemptOutcome.EXPIRED
+        audit = self._context.audit
+        if audit is not None and not audit.may_send(attempt.exchange.request.cls):
+            return AttemptOutcome.SHUT_OUT
+        return None
+
+    def record_start(self, attempt: Attempt, now: float) -> None:
+        """Records an attempt that is written next, with the audit and by its idempotency key."""
+        context, exchange = self._context, attempt.exchange
+        if context.audit is not None:
+            attempt.activity_interval = context.audit.record_attempt(exchange.request.cls)
+        if exchange.spec.effect is Effect.KEYED and exchange.ask.key:
+            attempt.ran_ms = now
+            context.keys.may_have_run(exchange.ask.key, now, attempt.store)
+            if context.key_observer is not None:
+                context.key_observer.may_have_run(exchange.ask.key, now, attempt.store)
+
+    def is_past_window(self, attempt: Attempt, now: float) -> bool:
+        """Whether the window of a request with an idempotency key is over. The router has checked that when
+        it decided, but a dial may take longer than a window."""
+        exchange = attempt.exchange
+        if exchange.spec.effect is not Effect.KEYED:
+            return False
+        ran = [other.written_ms for other in exchange.open.values() if other.written_ms]
+        if exchange.ran_ms:
+            ran.append(exchange.ran_ms)
+        if exchange.ask.key and (first := self._context.keys.first_attempt(exchange.ask.key, now)[0]):
+            ran.append(first)
+        slack_ms = self._context.settings.tick_ms + TICK_MS
+        return is_past_window(ran, now, exchange.spec.window_ms, slack_ms)
+
+    def _are_servers_ready(self, attempt: Attempt) -> bool:
+        is_ready = self._endpoint_list.is_ready
+        return is_ready(attempt.store) and (not attempt.source or is_ready(attempt.source))
--- /dev/null
+++ b/gladelane/net/attempt_lifecycle.py
@@ -0,0 +1,159 @@
+"""Attempts from the router's decision to their end: sends them, gives them up, and takes in their outcome."""
+
+from __future__ import annotations
+
+import logging
+from functools import partial
+
+from ..routing.events import NEVER_RAN, Cancel, Fetch, Lookup, Note, Outcome, Status
+from ..timer_wheel import TICK_MS
+from .attempt_checks import AttemptChecks
+from .attempt_outcomes import STATUS, AttemptOutcome
+from .cache_protocol import Reply
+from .copy_dates import DATE_SLACK_MS, CopyDates
+from .endpoint_list import EndpointList
+from .exchange import AnswerCode, Attempt, Exchange, FinalAnswer
+from .interfaces import DirectorContext
+from .new_attempt import new_attempt
+
+log = logging.getLogger(__name__)
+
+UNREPORTED = (
+    Status.CANCELLED,
+    Status.MOOT,
+    Status.MISS,
+)  # these say nothing about how a fetch would have ended
+
+
+class AttemptLifecycle:
+    """The attempts of all exchanges. Each ends once, in `end`, the only place where its outcome becomes the
+    router's Status."""
+
+    def __init__(
+        self,
+        context: DirectorContext,
+        endpoint_list: EndpointList,
+        checks: AttemptChecks,
+        copy_dates: CopyDates,
+    ) -> None:
+        self._context = context
+        self._endpoint_list = endpoint_list
+        self._checks = checks
+        self._copy_dates = copy_dates
+
+    def send(self, exchange: Exchange, action: Fetch | Lookup) -> None:
+        """Starts an attempt, which ends at once if it may not be sent."""
+        context = self._context
+        attempt = new_attempt(exchange, action, context.clock(), context.settings)
+        if exchange.done or exchange.sends > exchange.max_attempts:
+            self.end(attempt, AttemptOutcome.SURPLUS)
+        elif not self._endpoint_list.is_ready(action.store):
+            self.end(attempt, AttemptOutcome.WITHDRAWN)
+        else:
+            time_out = partial(self.give_up, attempt, AttemptOutcome.TIMED_OUT)
+            attempt.timer = context.timers.schedule(attempt.due_ms, time_out)
+            context.sender.send(attempt)
+
+    def check_before_write(self, attempt: Attempt) -> AttemptOutcome | None:
+        """Just before the first byte: how the attempt ends unwritten, or None once it is recorded and its
+        limits are up to date."""
+        now = self._context.clock()
+        rejection = self._checks.rejection(attempt, now)
+        if rejection is None:
+            self._checks.record_start(attempt, now)
+            self._copy_dates.limit_copies(attempt, now)
+        return rejection
+
+    def cancel(self, exchange: Exchange, action: Cancel) -> None:
+        """Gives up an attempt as the router decided."""
+        attempt = exchange.open.get(action.attempt)
+        if attempt is not None:
+            # In the tick in which an attempt times out the router cancels it too. It must learn of the
+            # time-out: nothing else shows that a server drops requests.
+            is_due = attempt.due_ms <= self._context.clock() + TICK_MS
+            self.give_up(attempt, AttemptOutcome.TIMED_OUT if is_due else AttemptOutcome.CANCELLED)
+
+    def give_up(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+        """Ends an attempt from this side, and cancels it at its server."""
+        if attempt.number in attempt.exchange.open:
+            self._context.sender.abandon(attempt, outcome)
+            self.end(attempt, outcome)
+
+    def end(self, attempt: Attempt, outcome: AttemptOutcome, reply: Reply | None = None) -> None:
+        """Ends an attempt; only the first call for it counts."""
+        exchange = attempt.exchange
+        if exchange.open.pop(attempt.number, None) is None:
+            return
+        if attempt.timer is not None:
+            attempt.timer.cancel()  # until then it would keep the request and its body
+        outcome = self._judge(attempt, outcome, reply)
+        status = STATUS[outcome]
+        self._record_run(attempt, status)
+        if status is Status.OK and reply is not None:
+            self._answer(attempt, outcome, reply)
+        now = self._context.clock()
+        self._report_to_guard(attempt, status, reply, now)
+        self._context.post(
+            Outcome(
+                exchange.request.id,
+                attempt.number,
+                attempt.store,
+                status,
+                now - attempt.sent_ms,
+                reply.note if reply else Note.NOT_REPORTED,
+                reply.source_wait_ms if reply else 0.0,
+                exchange.done,
+                reply.report if reply else None,
+                self._context.timers.lag(),
+            )
+        )
+
+    def _judge(self, attempt: Attempt, outcome: AttemptOutcome, reply: Reply | None) -> AttemptOutcome:
+        """The outcome in the light of purges and of the audit: a response may have come too late."""
+        exchange, audit = attempt.exchange, self._context.audit
+        if reply is not None and reply.dated_ms:
+            self._copy_dates.record_reply(attempt, reply, self._is_origin(attempt.store))
+            if reply.dated_ms + DATE_SLACK_MS < attempt.oldest and STATUS[outcome] is Status.OK:
+                by_ms = attempt.oldest - reply.dated_ms
+                log.warning("outdated answer store=%s by_ms=%.0f", attempt.store, by_ms)
+                outcome = AttemptOutcome.OUTDATED
+        if audit is not None and exchange.spec.cacheable and STATUS[outcome] is Status.OK:
+            # a write that was answered has run, so its answer is forwarded in any case
+            if not audit.may_answer(exchange.ask.cls):
+                outcome = AttemptOutcome.WITHHELD
+        return outcome
+
+    def _is_origin(self, store: str) -> bool:
+        listed = self._endpoint_list.listed.get(store)
+        return listed is not None and listed.kind == self._context.settings.origin_kind
+
+    def _record_run(self, attempt: Attempt, status: Status) -> None:
+        """Records whether an attempt may have run, for its idempotency key and for its exchange."""
+        exchange, context = attempt.exchange, self._context
+        if status in NEVER_RAN:
+            if attempt.ran_ms:
+                context.keys.never_ran(exchange.ask.key, attempt.ran_ms, attempt.store)
+                if context.key_observer is not None:
+                    context.key_observer.never_ran(exchange.ask.key, attempt.ran_ms, attempt.store)
+        elif attempt.written_ms:
+            exchange.ran_ms = min(exchange.ran_ms or attempt.written_ms, attempt.written_ms)
+
+    def _answer(self, attempt: Attempt, outcome: AttemptOutcome, reply: Reply) -> None:
+        exchange, audit = attempt.exchange, self._context.audit
+        if audit is not None and not exchange.done:
+            audit.record_answer(exchange.ask.cls, attempt.activity_interval)
+        is_still_valid = outcome is AttemptOutcome.STILL_GOOD
+        exchange.finish(FinalAnswer(AnswerCode.SERVED, reply.body, valid=is_still_valid))
+
+    def _report_to_guard(self, attempt: Attempt, status: Status, reply: Reply | None, now: float) -> None:
+        exchange, guard = attempt.exchange, self._context.guard
+        if guard is None or not exchange.spec.cacheable or status in UNREPORTED:
+            return
+        request = exchange.request
+        served = reply if status is Status.OK else None
+        guard.answered(
+            request.cls,
+            (request.object, request.part),
+            float(served.dated_ms) if served is not None else 0.0,
+            served is not None and now - attempt.sent_ms <= attempt.objective_ms,
+        )
--- /dev/null
+++ b/gladelane/net/attempt_outcomes.py
@@ -0,0 +1,83 @@
+"""Every way an attempt or its connection can end, and the one table that maps each to the router's Status."""
+
+from __future__ import annotations
+
+from enum import Enum, auto
+
+from ..endpoints.health import DialEnd
+from ..routing.events import Status
+
+
+class AttemptOutcome(Enum):
+    """How an attempt, or the connection that carried it, ended. The names appear in the log."""
+
+    # the server responded
+    SERVED = auto()
+    STILL_GOOD = auto()
+    NOT_HERE = auto()
+    OVERLOAD = auto()
+    CRASHED = auto()
+    NOBODY = auto()
+    # the connection never carried the request
+    REFUSED = auto()  # by the peer's machine
+    DIAL_TIMED_OUT = auto()
+    UNREACHABLE = auto()
+    LOST_UNSENT = auto()  # the connection ended before any byte of the request was written
+    CAPPED = auto()  # this director has as many connections as it may
+    EXPIRED = auto()  # its deadline passed before it could be written
+    WITHDRAWN = auto()  # the store or its source left the list before it could be written
+    SURPLUS = auto()  # sent after the end of its request, or beyond max_attempts
+    SHUT_OUT = auto()  # this director may not act: its view of the fleet has expired or is too old
+    # the connection ended under the request
+    RESET = auto()
+    CLOSED = auto()
+    GARBLED = auto()
+    CUT_SHORT = auto()  # a response began and did not go on
+    OUTDATED = auto()  # the response has a copy older than a purge that was active at the time of writing
+    WITHHELD = auto()  # the response came when this director might no longer forward it
+    SILENT = auto()  # nothing came while the server answered later attempts on another connection
+    # the director ended it
+    TIMED_OUT = auto()
+    CANCELLED = auto()
+    # a connection without requests
+    IDLE = auto()
+
+
+#: CONNECT_FAILED, FULL, MISS and MOOT prove that the request did not run; otherwise it may have.
+STATUS: dict[AttemptOutcome, Status] = {
+    AttemptOutcome.SERVED: Status.OK,
+    AttemptOutcome.STILL_GOOD: Status.OK,
+    AttemptOutcome.NOT_HERE: Status.MISS,
+    AttemptOutcome.OVERLOAD: Status.FULL,
+    AttemptOutcome.CRASHED: Status.ERROR,
+    AttemptOutcome.NOBODY: Status.MOOT,
+    AttemptOutcome.REFUSED: Status.CONNECT_FAILED,
+    AttemptOutcome.DIAL_TIMED_OUT: Status.CONNECT_FAILED,
+    AttemptOutcome.UNREACHABLE: Status.CONNECT_FAILED,
+    AttemptOutcome.LOST_UNSENT: Status.CONNECT_FAILED,
+    AttemptOutcome.CAPPED: Status.FULL,
+    AttemptOutcome.EXPIRED: Status.MOOT,
+    AttemptOutcome.WITHDRAWN: Status.MOOT,
+    AttemptOutcome.SURPLUS: Status.MOOT,
+    AttemptOutcome.SHUT_OUT: Status.MOOT,
+    AttemptOutcome.RESET: Status.RESET,
+    AttemptOutcome.CLOSED: Status.RESET,
+    AttemptOutcome.GARBLED: Status.RESET,
+    AttemptOutcome.CUT_SHORT: Status.RESET,
+    AttemptOutcome.OUTDATED: Status.ERROR,
+    AttemptOutcome.WITHHELD: Status.ERROR,
+    AttemptOutcome.SILENT: Status.RESET,
+    AttemptOutcome.TIMED_OUT: Status.TIMEOUT,
+    AttemptOutcome.CANCELLED: Status.CANCELLED,
+    AttemptOutcome.IDLE: Status.RESET,
+}
+
+#: How an attempt ends whose connection could not be dialled; no byte of it was written.
+DIAL_END: dict[DialEnd, AttemptOutcome] = {
+    DialEnd.REFUSED: AttemptOutcome.REFUSED,
+    DialEnd.UNREACHABLE: AttemptOutcome.UNREACHABLE,
+    DialEnd.TIMED_OUT: AttemptOutcome.DIAL_TIMED_OUT,
+    DialEnd.OVERTAKEN: AttemptOutcome.DIAL_TIMED_OUT,
+    DialEnd.DIED: AttemptOutcome.LOST_UNSENT,
+    DialEnd.NO_SOCKET: AttemptOutcome.CAPPED,
+}
--- a/gladelane/net/client_connection.py
+++ b/gladelane/net/client_connection.py
@@ -1,131 +1,125 @@
-"""One client's connection: its streams, what it may cost, and how it ends."""
+"""One client's connection: reads its frames, writes its answers, limits what it may cost, and closes it."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 import socket
-from collections.abc import Callable
-from functools import partial
 from typing import Protocol
 
-from ..operations.drain import Drain
-from ..sockets import has_ended, has_unread, look_ahead, shut_write_side
-from .director import Director
-from .exchange import Code, Exchange, Final
-from .frames import (
-    BadRequest,
+from ..sockets import has_ended, has_unread, last_data_ms, look_ahead, shut_write_side
+from .client_protocol import (
     Frame,
     FrameDecoder,
-    FramingLost,
+    FramingError,
     Type,
-    decode_request,
     encode_answer,
     encode_frame,
     encode_ready,
-    peek_class,
 )
-from .streams import READ_BYTES, Reader
+from .client_requests import FAILED, ClientRequests
+from .client_requests import Shared as SharedByRequests
+from .exchange import Exchange
+from .streams import READ_BYTES, ClientReader
 
 log = logging.getLogger(__name__)
 
-# The figures below are the protocol's, or the system's, or bounds on what a client may cost; none follows
-# from a deployment's settings, so they hold for any customer.
-FRAMES_AT_ONCE = 64  # of one client in a turn of the loop, so that a flood holds up nobody else
-MOST_OPEN = 32  # the protocol's
-UNSENT_BYTES = 524_288  # unsent answers on one connection above which it is given no further work
-OVER_MOST = 256  # frames in a row above that: a client that knows of its answers has 32 open at the most
-STALLED_MS = 10_000.0  # a client that takes no byte of its answers for so long is cut off
+# These limits follow from the protocol or the system, or bound what a client may cost. None depends on a
+# deployment's settings.
+FRAMES_AT_ONCE = 64  # of one client in one iteration of the loop, so that a flood delays no other client
+UNSENT_BYTES = 524_288  # unsent answers on one connection, above which its requests are rejected
+OVER_MOST = 256  # frames in a row above that; a client that reads its answers has 32 requests open at most
+STALLED_MS = 10_000.0  # a client that reads no byte of its answers for so long is disconnected
+FLOOD_STALLED_MS = 1_000.0  # likewise, once it has exceeded OVER_MOST
 IDLE_MS = 4_200.0  # clients close after 4 s without a request, by the protocol; one that does not is closed
-LINGER_MS = 500.0  # for a client's own close after ours: many round trips; a request crosses within 50 ms
-PAUSED_MS = 300.0  # half a frame that has brought no byte for so long holds up no end of the process
-FIRST_MS = 2_000.0  # a client that has sent no usable frame so long after connecting is cut off
-FRAME_MS = 2_000.0  # and so is one whose frame does not end; 3 s after connecting it is owed some end
-OUT_OF_ORDER = 1024  # stream numbers seen ahead of their turn on one connection
-
-FAILED = Final(Code.FAILED)
+LINGER_MS = (
+    500.0  # for the client's close after ours: many round trips; a request may cross ours within 50 ms
+)
+PAUSED_MS = 300.0  # an incomplete frame without a byte for so long does not delay the end of the process
+FIRST_MS = 2_000.0  # a client without a usable frame so long after connecting is disconnected
+FRAME_MS = 2_000.0  # and so is one whose frame does not end; the protocol has 3 s from connecting
 
 
-class Shared(Protocol):
+class Shared(SharedByRequests, Protocol):
     """What all connections of clients share."""
 
-    director: Director
-    clock: Callable[[], float]
-    drain: Drain
-    held: int
-    lingering: int
-
-    def turns_away(self) -> bool:
-        """Whether a request is refused unread."""
-
-
-class Streams:
-    """The stream numbers a connection has used: all up to a mark, and the few that came before their turn."""
-
-    def __init__(self) -> None:
-        self._upto = 0
-        self._ahead: set[int] = set()
-
-    def use(self, stream: int) -> bool:
-        """Whether the number is new."""
-        if stream <= self._upto or stream in self._ahead or len(self._ahead) >= OUT_OF_ORDER:
-            return False
-        self._ahead.add(stream)
-        while self._upto + 1 in self._ahead:
-            self._upto += 1
-            self._ahead.remove(self._upto)
-        return True
+    lingering: int  # connections shut here that wait for the client's close
 
 
 class ClientConnection:
-    """One client's connection. It ends in one of two ways: the client leaves, and nobody waits for what it
-    had open; or it is closed from here, orderly: what is open is answered, the write side is shut down, what
-    still comes is read and thrown away until the client closes too (a lingering close, RFC 9112 section 9.6).
-    A plain close over unread bytes would be a reset, which takes answers under way along."""
+    """One client's connection. It ends in one of two ways. Either the client leaves: then no attempt begins
+    or goes on for its open requests. Or this side closes it: open requests are answered, the write side is
+    shut down, and what still arrives is discarded until the client closes too (a lingering close, RFC 9112
+    section 9.6). A close with unread bytes would be a reset, which discards answers on their way."""
 
     def __init__(
-        self, front: Shared, reader: Reader, writer: asyncio.StreamWriter, sock: socket.socket
+        self,
+        front: Shared,
+        reader: ClientReader,
+        writer: asyncio.StreamWriter,
+        sock: socket.socket,
+        queued_ms: float = 0.0,
     ) -> None:
+        """`queued_ms`: since when it may have been in the system's queue; 0: it was accepted at once."""
         self.front = front
         self.reader = reader
         self.writer = writer
-        self.sock = sock  # the transport's, for looks beside it
-        self.open: dict[int, Exchange] = {}
-        self.told_ms = 0.0  # when it was told to send no more requests
+        self.sock = sock  # the transport's, for checks beside the stream
+        self.requests = ClientRequests(front, self)
+        self.goaway_ms = 0.0  # when it was asked to send no more requests; 0: it was not
         self.active_ms = self.born_ms = front.clock()
-        self.proven = False  # has sent a frame that could be used
-        self.partial_ms = 0.0  # since when a frame has been under way, 0: none is
-        self.discards_input = False  # nothing that comes is taken any more
-        self.shut_ms = 0.0  # when the write side was shut down, 0: it is open
-        self._taking = False  # in the middle of what it sent
-        self._over = 0  # requests since it last took enough of its answers
+        self.proven = False  # has sent a usable frame
+        self.partial_ms = 0.0  # since when a frame has been incomplete; 0: none is
+        self.discards_input = False  # what arrives is discarded
+        self.shut_ms = 0.0  # when the write side was shut down; 0: it is open
+        self._taking = False  # received frames are being handled
+        self._queued_ms = queued_ms  # until the first read
+        self._came_ms = 0.0  # when the frames that are handled now arrived, at the latest
+        self._lags = False  # more had arrived before the last of them was handled
+        self._over = 0  # frames since it last read enough of its answers
+        self._floods = False  # has exceeded OVER_MOST
         self._decoder = FrameDecoder()
-        self._streams = Streams()
         self._unsent = 0
-        self._looked_to = 0  # up to which byte that has come cancels were looked for
-        self._given_up: set[int] = set()  # and which streams they name
+        self._looked_to = 0  # bytes received that were searched for cancellations
+        self._given_up: set[int] = set()  # the streams of those found
         writer.transport.set_write_buffer_limits(high=UNSENT_BYTES)
 
+    @property
+    def open(self) -> dict[int, Exchange]:
+        """The requests that are open, by their stream."""
+        return self.requests.open
+
+    def answered(self) -> None:
+        """A request was answered."""
+        if self.front.drain.is_on:
+            self.send_goaway()  # to a client that was accepted while the director drains
+        self._shut_if_done()
+
     def unsent(self) -> int:
+        """Bytes written that the system has not accepted."""
         return self.writer.transport.get_write_buffer_size()
 
-    def held(self) -> int:
-        """Bytes kept for this client: what it has not taken, its open requests, the frame under way."""
-        return self.unsent() + self._decoder.pending() + sum(len(e.ask.body) for e in self.open.values())
+    def buffered_bytes(self) -> int:
+        """Bytes in memory for this client: unsent answers, open requests, the incomplete frame."""
+        return self.unsent() + self._decoder.pending() + self.requests.buffered_bytes()
 
     def unread(self) -> bool:
-        """Whether the reader or the system holds bytes: a request that has come must not meet a close."""
+        """Whether bytes were received that have not been read: they may be a request."""
         return bool(self.reader.waiting) or has_unread(self.sock)
 
     def arriving(self, now: float) -> bool:
-        """Whether something that it sent may still be a request: bytes unread, or a frame half read."""
+        """Whether it may have sent a request: bytes are unread, or a frame is incomplete."""
         if self.discards_input:
             return False
         paused = now - self.active_ms > PAUSED_MS
         return self._taking or self.unread() or (bool(self.partial_ms) and not paused)
 
+    def is_settled(self) -> bool:
+        """Whether all that was received is answered, and the answers have left."""
+        return not (self._taking or self.open or self.unsent() or self.unread())
+
     def stop_taking(self) -> None:
-        """What comes from here on is thrown away; what is open is answered before the close."""
+        """Discards what arrives from now on; open requests are answered before the close."""
         self.discards_input = True
         self._shut_if_done()
 
@@ -134,27 +128,27 @@
             self.shut_ms = self.front.clock()
             self.front.lingering += 1
             if self.unsent():
-                self.writer.write_eof()  # once all has left
+                self.writer.write_eof()  # once all is sent
             else:
-                # at once: the transport would do it a turn of the loop later
+                # at once: the transport would do it in the next iteration of the loop
                 shut_write_side(self.sock)
 
     async def serve(self) -> None:
-        """Reads on whatever the client does with its answers: that it has left, or given a request up, must
-        not lie behind bytes that nobody reads."""
+        """Reads until the client closes, whether or not it reads its answers: a close or a cancellation must
+        not remain unread."""
         try:
             while data := await self.reader.read(READ_BYTES):
                 if not self.discards_input:
                     await self._take(data)
         except OSError:
-            pass  # the client has gone; what it had open is given up below
-        for exchange in list(self.open.values()):
-            self.front.director.gone(exchange)
-        self.open.clear()
+            pass  # the client has gone; its requests end below
+        self.requests.end_all()
         self.writer.close()
 
     async def _take(self, data: bytes) -> None:
         self.active_ms = self.front.clock()
+        self._came_ms = self._came_by(self.active_ms)
+        self._lags = False
         self._taking = True
         frames: list[Frame] = []
         try:
@@ -164,90 +158,64 @@
                 if len(frames) == FRAMES_AT_ONCE:
                     self._handle_all(frames)
                     await asyncio.sleep(0)
+                    self._lags = True
                     if self.discards_input:
                         return
             self._handle_all(frames)
-        except FramingLost as error:
-            self._handle_all(frames)  # what stood before is whole
+        except FramingError as error:
+            self._handle_all(frames)  # those before the error are complete
             log.warning("framing lost: %s", error)
-            self._send(encode_answer(0, FAILED))
+            self.send(encode_answer(0, FAILED))
             self.stop_taking()
         finally:
             self._taking = False
+            self._lags = self._lags and self.unread()
         if not self._decoder.pending():
             self.partial_ms = 0.0
         elif not self.partial_ms:
             self.partial_ms = self.active_ms
 
+    def _came_by(self, now: float) -> float:
+        """When what is read now arrived, at the latest, since the client's deadline counts from then. It may
+        have waited with its connection for capacity, or behind earlier frames of the client. The lag of the
+        event loop is added by the timer wheel."""
+        if self._queued_ms:
+            waited = min(last_data_ms(self.sock), now - self._queued_ms)
+            self._queued_ms = 0.0
+            return now - waited
+        return self._came_ms if self._lags else now
+
     def _handle_all(self, frames: list[Frame]) -> None:
-        """Nobody waits for a request that its client gave up, or left behind, right after it was sent."""
+        """A request that was cancelled right after it was sent needs no answer. One that was followed by the
+        client's close is rejected, since the client may still read (see `ClientRequests.end_all`)."""
         left = has_ended(self.sock)
         given_up = {frame.stream for frame in frames if frame.type == Type.GONE}
         for frame in frames:
             if frame.type == Type.REQUEST and (left or frame.stream in given_up):
-                self._streams.use(frame.stream)
+                self.requests.reject_unless_cancelled(frame.stream, frame.stream in given_up)
             elif not self.discards_input:
                 self._handle(frame)
         frames.clear()
 
     def _handle(self, frame: Frame) -> None:
         if frame.type == Type.GONE:
-            exchange = self.open.pop(frame.stream, None)
-            if exchange is not None:
-                self.front.director.gone(exchange)
+            self.requests.cancel(frame.stream)
             return
         slow = self._too_slow()
         if frame.type == Type.REQUEST and frame.stream:
-            self._request(frame, slow)
+            self.requests.take(frame, slow, self._came_ms)
         elif frame.type == Type.ASK_READY:
             self.proven = True
-            self._send(encode_ready(frame.stream, self.front.drain.ready))
+            self.send(encode_ready(frame.stream, self.front.drain.ready))
         else:
             log.warning("unexpected frame type=%d stream=%d", frame.type, frame.stream)
-            self._send(encode_answer(0, FAILED))
-
-    def _request(self, frame: Frame, slow: bool) -> None:
-        stream = frame.stream
-        if not self._streams.use(stream):
-            log.warning("stream used twice stream=%d", stream)
-            self._send(encode_answer(0, FAILED))
-            return
-        if len(self.open) >= MOST_OPEN:
-            log.warning("more than %d requests open", MOST_OPEN)
-            self._answer_unread(frame, FAILED)
-            return
-        drain = self.front.drain
-        if slow or self.front.turns_away() or drain.turns_away(self.told_ms, self.active_ms):
-            self._answer_unread(frame, Final(Code.REFUSED))
-            return
-        try:
-            ask = decode_request(frame.payload, self.front.director.settings)
-        except BadRequest as error:
-            log.warning("bad request stream=%d: %s", stream, error)
-            self._answer_unread(frame, FAILED)
-            return
-        front = self.front
-        if front.director.disputes(ask):
-            log.warning("open id asks for something else stream=%d id=%s", stream, ask.id)
-            self._answer_unread(frame, FAILED)
-            return
-        self.proven = True
-        front.held += len(ask.body)
-        answered: list[Final] = []
-        try:
-            exchange = front.director.admit(
-                ask, lambda final: self._answer(stream, final, answered), partial(self.has_left, stream)
-            )
-        except Exception:  # a fault here ends this request only
-            log.exception("request failed id=%s", ask.id)
-            self._answer(stream, FAILED, answered)
-            return
-        if not answered:
-            self.open[stream] = exchange
+            self.send(encode_answer(0, FAILED))
+        if self._floods:
+            self.stop_taking()
 
     def has_left(self, stream: int) -> bool:
-        """Whether nobody waits for what is open there, as far as has come: a loop that is behind may act on
-        a timer, a dial or a late answer before it reads that."""
+        """Whether the client waits no longer for an answer on this stream, as far as has been received: a
+        loop that lags may handle a timer, a dial or a reply before it reads that."""
         unread = look_ahead(self.sock)
         if unread.ended or self.reader.exception() is not None:
             return True
@@ -260,78 +228,69 @@
         return stream in self._given_up
 
     def _too_slow(self) -> bool:
-        """Whether it has not taken what it was answered: more work for it would only lie here. One that sends
-        on and on all the same, whatever it is that has to be answered, is cut off."""
+        """Whether it does not read its answers, so that further requests are rejected. Beyond OVER_MOST
+        frames it is no longer read; its open requests are still answered."""
         if self.unsent() <= UNSENT_BYTES:
             self._over = 0
             return False
         self._over += 1
         if self._over > OVER_MOST:
             log.warning("client cut off: sends on, takes nothing unsent=%d", self.unsent())
-            self.discards_input = True
-            self.writer.transport.abort()
+            self._floods = True
         return True
 
-    def _answer(self, stream: int, final: Final, answered: list[Final]) -> None:
-        """`answered` may be filled before `admit` returns; nothing is answered twice."""
-        if answered:
-            return
-        answered.append(final)
-        self.open.pop(stream, None)
-        self._send(encode_answer(stream, final))
-        if self.front.drain.on:
-            self.send_goaway()  # a newcomer, let in while the director empties
-        self._shut_if_done()
-
-    def _answer_unread(self, frame: Frame, final: Final) -> None:
-        """Without the module: it has not heard of this request."""
-        director = self.front.director
-        director.figures.answered(peek_class(frame.payload, director.settings), final.code)
-        self._send(encode_answer(frame.stream, final))
-
-    def _send(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
+        """Sends a frame, unless the write side is closed."""
         if not self.writer.is_closing() and not self.shut_ms:
             self.writer.write(data)
-            self.front.held += len(data)
+            self.front.buffered_bytes += len(data)
 
     def send_goaway(self) -> None:
-        if not self.told_ms:
-            self.told_ms = self.front.clock()
-            self._send(encode_frame(Type.NO_MORE, 0))
+        """Asks the client, once, to send no more requests here."""
+        if not self.goaway_ms:
+            self.goaway_ms = self.front.clock()
+            self.send(encode_frame(Type.NO_MORE, 0))
 
     def sweep(self, now: float) -> None:
+        """Closes the connection if it was idle, stuck or incomplete for too long. Called periodically."""
         unsent = self.unsent()
-        if not unsent or unsent != self._unsent:
-            self._unsent = unsent
-            if unsent:
-                self.active_ms = now
+        self._note_progress(unsent, now)
         idle = now - self.active_ms
         if unsent and self.shut_ms:
-            self.shut_ms = now  # the client's own close is waited for from when all has left
-        if unsent and idle > STALLED_MS:
+            self.shut_ms = now  # LINGER_MS counts from when all is sent
+        if unsent and idle > (FLOOD_STALLED_MS if self._floods else STALLED_MS):
             log.info("client cut off unsent=%d", unsent)
             self.writer.transport.abort()
         elif self.writer.is_closing():
-            return  # its last answers are on their way
+            return  # its last answers are being sent
         elif self.shut_ms:
             if now - self.shut_ms > LINGER_MS:
                 self.writer.close()
         elif self.discards_input:
-            return  # what is open is waited for
+            return  # open requests are answered first
         elif self.partial_ms and now - self.partial_ms > FRAME_MS and not self._taking and not self.unread():
             log.warning("frame never ended")
-            self._send(encode_answer(0, FAILED))
+            self.send(encode_answer(0, FAILED))
             self.stop_taking()
-        elif not self.told_ms and self.front.drain.tells(self.born_ms, now):
+        elif not self.goaway_ms and self.front.drain.should_notify(self.born_ms, now):
             self.send_goaway()
-        elif self.is_idle() and (
-            idle > IDLE_MS
-            or (not self.proven and now - self.born_ms > FIRST_MS)
-            or self.front.drain.closes(self.told_ms, now)
-        ):
+        elif self.is_idle() and self._is_due_to_close(idle, now):
             self.stop_taking()
 
+    def _note_progress(self, unsent: int, now: float) -> None:
+        """A client that reads its answers is active."""
+        if not unsent or unsent != self._unsent:
+            self._unsent = unsent
+            if unsent:
+                self.active_ms = now
+
+    def _is_due_to_close(self, idle_ms: float, now: float) -> bool:
+        """Whether an idle connection should be closed."""
+        if idle_ms > IDLE_MS or self.front.drain.should_close(self.goaway_ms, now):
+            return True
+        return not self.proven and now - self.born_ms > FIRST_MS
+
     def is_idle(self) -> bool:
-        """May be closed at any time: nothing is owed here, nor under way as far as can be seen."""
+        """Whether it may be closed: nothing is open, unsent or incomplete, as far as has been received."""
         busy = self.discards_input or self.open or self._taking or self.partial_ms or self.unsent()
         return not busy and not self.unread()
--- a/gladelane/net/config.py
+++ b/gladelane/net/config.py
@@ -1,7 +1,7 @@
-"""GW_CONFIG and the notices, checked once and decoded into the values that are used.
+"""The configuration file that GW_CONFIG names, checked once and decoded into values.
 
-A file that cannot be used is told in one line: the key as the file has it, what stands there, what was
-expected. Keys that nobody here knows are passed over.
+A file that cannot be used is reported in one line: the key as the file has it, its value, what was expected.
+Unknown keys are ignored.
 """
 
 from __future__ import annotations
@@ -13,7 +13,8 @@
 
 import msgspec
 
-from ..interface import Settings
+from ..discovery.events import KnownEvents
+from ..routing.events import Settings
 from ..settings_checks import (
     MISSING,
     BadSetting,
@@ -26,7 +27,7 @@
 )
 from ..settings_wire import settings_from_wire
 
-MAY_GO = frozenset({"ops"})  # GW_OPS names it too
+OPTIONAL_KEYS = frozenset({"ops"})  # GW_OPS names it too
 SEED = re.compile(r"[0-9a-fA-F]{1,64}")  # int() also takes signs, 0x and 1_0
 MOST_SOCKETS = 10_000_000  # more than any system gives a process
 MOST_MEMORY_MB = 100_000_000.0  # a hundred terabytes: the value is in bytes, or a slip
@@ -34,61 +35,29 @@
 MOST_MS = 31_536_000_000.0  # a year
 
 
-class BadConfig(Exception):
-    """What is wrong, in one line; `setting` has the facts of it where one key is at fault."""
+class ConfigError(Exception):
+    """A configuration that cannot be used, in one line; `setting` has the facts where one key is wrong."""
 
     def __init__(self, why: str | BadSetting) -> None:
         super().__init__(str(why))
         self.setting = why if isinstance(why, BadSetting) else None
 
-    def in_file(self, path: str) -> BadConfig:
-        """The same with the name of the file before it."""
+    def in_file(self, path: str) -> ConfigError:
+        """The same error with the file's name."""
         if self.setting is None:
-            return BadConfig(f"{path}: {self}")
-        return BadConfig(BadSetting(self.setting.key, self.setting.found, self.setting.expected, path))
+            return ConfigError(f"{path}: {self}")
+        return ConfigError(BadSetting(self.setting.key, self.setting.found, self.setting.expected, path))
 
 
 class Limits(msgspec.Struct):
+    """Resources of the process: memory in MB, open file descriptors."""
+
     memory_mb: float
     sockets: int
 
 
-class Instance(msgspec.Struct, rename="camel"):
-    instance_id: str
-    host_port: str
-    zone: str
-    machine_type: str
-    lifecycle: str
-    cell: int = 0
-    weight: float = 1.0
-    started_at_ms: float = 0.0
-    addresses: list[str] = []  # further ways to reach it; this platform tells none
-
-
-class Pool(msgspec.Struct):
-    instances: list[Instance]
-    reset: bool = False
-
-
-class Flush(msgspec.Struct):
-    ms: float
-    asset: str | None = None
-    collection: int | None = None
-
-
-class Notice(msgspec.Struct):
-    rev: int
-    pool: Pool | None = None
-    flush: Flush | None = None
-
-
-class Known(msgspec.Struct):
-    rev: int
-    notices: list[Notice]
-
-
 class ConnLimits(msgspec.Struct):
-    """What the settings say of connections to caches."""
+    """Limits of a connection to a server: attempts that share it, ms until a dial fails or it is idle."""
 
     max_streams: int
     dial_timeout_ms: float
@@ -96,18 +65,21 @@
 
 
 class Config(msgspec.Struct):
+    """The complete configuration. Addresses are pairs of host and port."""
+
     name: str
     listen: tuple[str, int]
     seed: int
     limits: Limits
-    board: tuple[str, int]
-    known: Known
+    discovery: tuple[str, int]
+    known: KnownEvents
     settings: Settings
     conn: ConnLimits
-    ops: tuple[str, int] | None = None  # where operators call; older deployments name no such place
+    ops: tuple[str, int] | None = None  # the admin endpoint; older deployments have none
 
 
 def host_port(text: str) -> tuple[str, int]:
+    """Raises ValueError."""
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdecimal()) or not 0 <= int(port[:6]) < 65536:
         raise ValueError(f"{text!r} is no address; expected host:port")
@@ -142,13 +114,13 @@
 
 
 def read_config(data: bytes, used: bytes | None = None) -> Config:
-    """`used` is the file in use: one that lacks a key which that has is not whole. Raises BadConfig."""
+    """`used` is the file in use, whose keys the new one must have too. Raises ConfigError."""
     if not data.strip():
-        raise BadConfig("the whole file is empty; expected a JSON object")
+        raise ConfigError("the whole file is empty; expected a JSON object")
     try:
         raw = read_object(_decode(data), "")
         if used is not None:
-            _check_whole(raw, _decode(used))
+            _check_no_key_is_missing(raw, _decode(used))
         plain = read_fields(raw, _FIELDS)
         return Config(
             plain["name"],
@@ -162,14 +134,14 @@
             plain["ops"],
         )
     except BadSetting as error:
-        raise BadConfig(error) from None
+        raise ConfigError(error) from None
     except RecursionError:
-        raise BadConfig("the whole file is nested too deep; expected a JSON object") from None
+        raise ConfigError("the whole file is nested too deep; expected a JSON object") from None
 
 
 def _decode(data: bytes) -> Any:
-    """Raises BadConfig. NaN and infinities are no JSON, but some writers put them in: they are read so that
-    the check of their key can name it."""
+    """Raises ConfigError. NaN and infinities, which some writers produce, are accepted here although they are
+    no JSON, so that the check of their key can name it."""
     try:
         return msgspec.json.decode(data)
     except msgspec.MsgspecError as error:
@@ -177,7 +149,7 @@
     try:
         return json.loads(data)
     except ValueError:
-        raise BadConfig(f"the whole file is no JSON: {why}; expected a JSON object") from None
+        raise ConfigError(f"the whole file is no JSON: {why}; expected a JSON object") from None
 
 
 def _read_settings(raw: Any) -> Settings:
@@ -187,14 +159,14 @@
         raise error.within("settings") from None
 
 
-#: what the fields that a notice may not leave out hold; the others are texts
-_NOTICE_FIELDS = {
+#: Kinds of the required fields of a watch event; all others are texts.
+_EVENT_FIELDS = {
     "rev": "a whole number",
     "notices": "a list",
     "instances": "a list",
     "ms": "a number",
 }
-#: msgspec's names of kinds
+#: Kinds by msgspec's names.
 _KINDS = {
     "int": "a whole number",
     "float": "a number",
@@ -207,22 +179,22 @@
 _WRONG_KIND = re.compile(r"Expected `(\w+)(?: \| null)?`, got .*")
 
 
-def _read_known(raw: Any) -> Known:
-    """The notice board's events up to the start. Raises BadSetting."""
+def _read_known(raw: Any) -> KnownEvents:
+    """The watch events up to the start. Raises BadSetting."""
     read_object(raw, "known")
     try:
-        return msgspec.convert(raw, Known)
+        return msgspec.convert(raw, KnownEvents)
     except msgspec.ValidationError as error:
         raise _worded(str(error), raw) from None
 
 
 def _worded(message: str, raw: Any) -> BadSetting:
-    """msgspec's words in ours: ``Expected `int`, got `str` - at `$.notices[0].rev` ``."""
+    """The error for a message such as ``Expected `int`, got `str` - at `$.notices[0].rev` ``."""
     what, _, place = message.partition(" - at `$")
     path = place.rstrip("`")
     if missing := _MISSING.fullmatch(what):
         name = missing[1]
-        return BadSetting(f"known{path}.{name}", MISSING, _NOTICE_FIELDS.get(name, "a text"))
+        return BadSetting(f"known{path}.{name}", MISSING, _EVENT_FIELDS.get(name, "a text"))
     wrong = _WRONG_KIND.fullmatch(what)
     expected = _KINDS.get(wrong[1], wrong[1]) if wrong else f"{what[:1].lower()}{what[1:]}"
     return BadSetting(f"known{path}", _found_at(raw, path), expected)
@@ -235,18 +207,15 @@
     return raw
 
 
-def _check_whole(told: Any, used: Any, where: str = "") -> None:
-    """Objects only: lists are of classes, zones, notices, of which there may be fewer."""
+def _check_no_key_is_missing(new: Any, used: Any, where: str = "") -> None:
+    """Raises BadSetting for a key of `used` that `new` lacks. Lists may be shorter: they are not compared."""
     if not isinstance(used, Mapping):
         return
-    if not isinstance(told, Mapping):
-        raise BadSetting(where, told, "an object")
+    if not isinstance(new, Mapping):
+        raise BadSetting(where, new, "an object")
     for key, value in used.items():
         path = f"{where}.{key}" if where else key
-        if key not in told and key not in MAY_GO:
+        if key not in new and key not in OPTIONAL_KEYS:
             raise BadSetting(path, MISSING, "it as in the file in use")
-        if key in told:
-            _check_whole(told[key], value, path)
-
-
-notice_decoder: msgspec.json.Decoder[Notice] = msgspec.json.Decoder(Notice)
+        if key in new:
+            _check_no_key_is_missing(new[key], value, path)
--- /dev/null
+++ b/gladelane/net/endpoint_list.py
@@ -0,0 +1,116 @@
+"""The endpoint list as this director knows it, and as the operators' maintenance changes it. Pure."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Collection, Iterable
+from typing import NamedTuple
+
+from ..admin.maintenance import MaintenanceRegister
+from ..discovery.events import Instance
+from ..endpoints.rules import Listing
+from ..routing.events import Member, State
+
+log = logging.getLogger(__name__)
+
+STATES = {"in_service": State.READY, "terminating": State.DRAINING, "terminated": State.GONE}
+
+
+class ListUpdate(NamedTuple):
+    """What a change of the list means for the addresses of servers."""
+
+    listings: list[Listing]
+    gone: list[str]
+    is_complete: bool
+
+
+def member_of(instance: Instance, zones: Collection[str]) -> Member | None:
+    """The server as the router knows it; None if its lifecycle or its zone is unknown, which is logged."""
+    state = STATES.get(instance.lifecycle)
+    if state is None or instance.zone not in zones:
+        log.error(
+            "bad event: store %s lifecycle=%s zone=%s",
+            instance.instance_id,
+            instance.lifecycle,
+            instance.zone,
+        )
+        return None
+    return Member(
+        instance.instance_id,
+        instance.zone,
+        instance.machine_type,
+        instance.cell,
+        state,
+        instance.weight,
+        float(instance.started_at_ms),
+    )
+
+
+class EndpointList:
+    """The servers by name: as discovery has them, and with the operators' maintenance applied."""
+
+    def __init__(self, register: MaintenanceRegister) -> None:
+        self.known: dict[str, tuple[Instance, Member]] = {}  # as discovery has them
+        self.listed: dict[str, Member] = {}  # with maintenance applied
+        self._seen: set[str] = set()
+        self._register = register
+
+    def record(self, servers: Iterable[tuple[Instance, Member]], is_complete: bool) -> None:
+        """Takes over what discovery has sent; `is_complete`: all other servers are gone."""
+        if is_complete:
+            self.known.clear()
+        for instance, member in servers:
+            self._seen.add(member.store)
+            if member.state is State.GONE:
+                self.known.pop(member.store, None)
+            else:
+                self.known[member.store] = instance, member
+
+    def apply(self, servers: Iterable[tuple[Instance, Member]], is_complete: bool) -> ListUpdate:
+        """Takes over the same with maintenance applied."""
+        if is_complete:
+            self.listed.clear()
+        gone: list[str] = []
+        listings: dict[str, Listing] = {}
+        for instance, member in servers:
+            if member.state is State.GONE:
+                self.listed.pop(member.store, None)
+                listings.pop(member.store, None)
+                gone.append(member.store)
+                continue
+            self.listed[member.store] = member
+            listings[member.store] = _listing_of(instance, member)
+        return ListUpdate(list(listings.values()), gone, is_complete)
+
+    def is_ready(self, store: str) -> bool:
+        """Whether a server may be sent attempts. Reads the operators' register too, since an operator's
+        request is in force before the list has been changed by it."""
+        if store in self._register.out:
+            return False
+        return store in self.listed and self.listed[store].state is State.READY
+
+    def has(self, store: str) -> bool:
+        """Whether a server is listed, was listed or is out of service. Called from the admin endpoint's
+        thread too."""
+        return store in self._seen or store in self._register.out
+
+    def instances(self) -> list[Instance]:
+        """All servers as discovery has them."""
+        return [instance for instance, _ in self.known.values()]
+
+    def runs(self) -> dict[str, tuple[str, float]]:
+        """Kind and start time of each server."""
+        return {store: (member.kind, member.came_up_ms) for store, member in self.listed.items()}
+
+
+def _listing_of(instance: Instance, member: Member) -> Listing:
+    return Listing(
+        member.store,
+        instance.host_port,
+        member.zone,
+        member.kind,
+        member.cell,
+        member.state is State.READY,
+        member.came_up_ms,
+        tuple(instance.addresses),
+    )
--- a/gladelane/net/exchange.py
+++ b/gladelane/net/exchange.py
@@ -1,4 +1,7 @@
-"""One client request: its attempts and its single final answer. Here, only, the two sides meet."""
+"""One client request: its attempts and its one final answer.
+
+`Exchange` is the only type that both sides of the director know, that of clients and that of servers.
+"""
 
 from __future__ import annotations
 
@@ -8,19 +11,22 @@
 
 import msgspec
 
-from ..interface import ClassSpec, Request
-from ..operations.figures import Figures
-from .wheel import Entry
+from ..admin.metrics import Metrics
+from ..clock import UnixMs
+from ..routing.events import ClassSpec, Request
+from ..timer_wheel import TimerHandle
+
 
+class AnswerCode(IntEnum):
+    """The first byte of a final answer."""
 
-class Code(IntEnum):
     SERVED = 0
     REFUSED = 1
     FAILED = 2
 
 
-class Ask(msgspec.Struct, frozen=True, gc=False):
-    """A request as the client worded it; texts go on to the caches unaltered."""
+class ClientRequest(msgspec.Struct, frozen=True, gc=False):
+    """A request as the client sent it; its texts are forwarded to servers unaltered. Times are ms."""
 
     id: str
     cls: str
@@ -34,67 +40,79 @@
     body: bytes = b""
 
 
-class Final(msgspec.Struct, frozen=True, gc=False):
-    code: Code
+class FinalAnswer(msgspec.Struct, frozen=True, gc=False):
+    """What a client is answered. `retry_after_ms` 0: none."""
+
+    code: AnswerCode
     body: bytes = b""
-    valid: bool = False  # the client's copy is the one that would be served
-    come_back_ms: float = 0.0
+    valid: bool = False  # the client's own copy is still valid, so no body is sent
+    retry_after_ms: float = 0.0
 
 
 def never() -> bool:
-    """Of a request whose client cannot leave."""
+    """For a request whose client cannot leave: False."""
     return False
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    ask: Ask
-    request: Request  # the same in the module's words
-    deliver: Callable[[Final], None]
-    spec: ClassSpec  # as it came: settings may change while it is open
-    most: int  # attempts, likewise
-    sends: int = 0  # as the module counts them, moot ones too
+    """A client's request from its admission until it is answered and all its attempts have ended."""
+
+    ask: ClientRequest
+    request: Request  # the same as an event for the router
+    deliver: Callable[[FinalAnswer], None]
+    spec: ClassSpec  # at admission: settings may change while it is open
+    max_attempts: int  # likewise
+    sends: int = 0  # attempts, as the router counts them: also those never written
     open: dict[int, Attempt] = field(default_factory=dict)
     done: bool = False
-    ran_ms: float = 0.0  # when the first of its ended attempts that may have run was written, 0: none did
-    figures: Figures | None = None
-    has_left: Callable[[], bool] = never  # looks whether its client has gone, also where that lies unread
-
-    def finish(self, final: Final | None) -> None:
-        """The first call ends the request; None when its client has gone and is owed nothing."""
+    ran_ms: float = (
+        0.0  # when the first of the ended attempts that may have run was written; 0: there is none
+    )
+    metrics: Metrics | None = None
+    has_left: Callable[[], bool] = never  # whether its client has gone, as far as has been received
+
+    def may_have_run(self) -> bool:
+        """Whether a byte of any attempt, ended ones included, may have reached a server."""
+        return bool(self.ran_ms) or any(attempt.written_ms for attempt in self.open.values())
+
+    def finish(self, final: FinalAnswer | None) -> None:
+        """Ends the request with its first call. None: its client has gone and needs no answer."""
         if self.done:
             return
         self.done = True
-        if self.figures is not None:
-            self.figures.inflight -= 1
+        if self.metrics is not None:
+            self.metrics.inflight -= 1
             if final is None:
-                self.figures.withdrawn += 1
+                self.metrics.withdrawn += 1
             else:
-                self.figures.answered(self.ask.cls, final.code)
+                self.metrics.answered(self.ask.cls, final.code)
         if final is not None:
             self.deliver(final)
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One send of a request to one server. Times are ms of the director's clock."""
+
     exchange: Exchange
     number: int
     store: str
     sent_ms: float
     due_ms: float
-    source: str = ""  # none: a miss is not filled
+    source: str = ""  # the server from which a miss is filled; empty: it is not filled
     rank: int = 0
     max_age_ms: float = 0.0
     hints: tuple[str, ...] = ()
-    aim_ms: float = 0.0  # within which an answer earns its full worth
-    timer: Entry | None = None
-    bound_ms: float = 0.0  # the purge that held when it was written: no older copy may answer it
-    ran_ms: float = 0.0  # of a keyed request: since when this attempt may have run, or 0
-    written_ms: float = 0.0  # 0 until a byte of it may have left
-    span: int = 0  # of the director's trail, in which it was sent; 0: none is kept
+    objective_ms: float = 0.0  # latency objective
+    timer: TimerHandle | None = None
+    oldest: UnixMs = UnixMs(0.0)  # no older copy may answer it, by the purges active when it was written
+    ran_ms: float = 0.0  # with an idempotency key: since when it may have run; 0: it has not
+    written_ms: float = 0.0  # 0 until a byte of it may have left this process
+    activity_interval: int = 0  # of the activity log, in which it was sent; 0: no log is kept
 
     def fields(self, now_ms: float) -> dict[str, str]:
-        """The request as it goes to a cache. Ages are rounded down, but 0 would mean no bound at all."""
+        """The fields of the command to a server. Ages are whole ms, at least 1, since 0 means no limit."""
         ask = self.exchange.ask
         fields = {"profile": ask.cls, "thing": ask.object, "nth": str(ask.part)}
         fields["max"] = str(max(int(self.due_ms - now_ms), 1))
--- a/gladelane/net/outgoing.py
+++ b/gladelane/net/outgoing.py
@@ -1,4 +1,4 @@
-"""Bytes on their way out of one connection to a cache, and whether they have left this machine."""
+"""Bytes written to one connection to a server, and whether they have left this machine."""
 
 from __future__ import annotations
 
@@ -11,17 +11,19 @@
 
 
 class Outgoing:
-    """Written to the transport, which hands all that the system takes to it at once; what the peer does not
-    take waits in the system, then in the transport. Times are ms of the clock."""
+    """Writes to the transport, which passes on at once what the system accepts. What the server does not read
+    waits in the system's buffer, then in the transport's. Times are ms of `clock`."""
 
     def __init__(self, writer: asyncio.StreamWriter, sock: socket.socket, clock: Callable[[], float]) -> None:
-        self.latest: Attempt | None = None  # of those written, while not all of it has left
-        self._latest_bytes = 0  # written since it began, its own among them
-        self._in_transport = 0  # attempts some of whose bytes the transport may still hold
-        self._backed_ms = 0.0  # since when bytes have waited to leave, 0: none do
+        self.latest: Attempt | None = None  # the latest written, until all of it has left
+        self._latest_bytes = 0  # written since it began, including its own
+        self._own_bytes = 0  # its own alone
+        self._in_transport = 0  # attempts of which the transport may have bytes
+        self._backed_ms = 0.0  # since when bytes have been unsent; 0: all have left
         self._writer, self._sock, self._clock = writer, sock, clock
 
     def write(self, data: bytes) -> None:
+        """Writes bytes that belong to no attempt."""
         self._writer.write(data)
         self._latest_bytes += len(data)
         if not self._unsent():
@@ -30,32 +32,36 @@
             self._backed_ms = self._clock()
 
     def begin(self, attempt: Attempt, data: bytes) -> None:
-        """Its first byte, and all others."""
-        self.latest, self._latest_bytes = attempt, 0
+        """Writes all bytes of an attempt."""
+        self.latest, self._latest_bytes, self._own_bytes = attempt, 0, len(data)
         self._in_transport += 1
         self.write(data)
 
     def backed_since_ms(self) -> float:
-        """Since when bytes have waited to leave; 0: none do."""
+        """Since when bytes have been unsent; 0: all have left."""
         if not self._backed_ms and not self._writer.transport.get_write_buffer_size():
             return 0.0
         self._backed_ms = (self._backed_ms or self._clock()) if self._unsent() else 0.0
         return self._backed_ms
 
-    def holds_whole(self, attempt: Attempt) -> bool:
-        """Whether no byte of it has left."""
+    def is_entirely_unsent(self, attempt: Attempt) -> bool:
+        """Whether no byte of the attempt has left this machine."""
         return self.latest is attempt and self._unsent() >= self._latest_bytes
 
+    def is_partly_unsent(self, attempt: Attempt) -> bool:
+        """Whether a part of the attempt has not left this machine, so the server cannot have begun it."""
+        return self.latest is attempt and self._unsent() > self._latest_bytes - self._own_bytes
+
     def count_left(self) -> int:
-        """How many attempts have left the transport since this was last asked. It writes in the order it was
-        given, so an empty buffer means all of them."""
+        """How many attempts have left the transport since the last call. It keeps their order, so an empty
+        buffer means all of them."""
         if self._writer.transport.get_write_buffer_size():
             return 0
         left, self._in_transport = self._in_transport, 0
         return left
 
     def reset(self) -> None:
-        """Ends the connection; what has not left never does."""
+        """Ends the connection at once; bytes that have not left are discarded."""
         reset(self._sock)
         self._writer.transport.abort()
 
--- /dev/null
+++ b/gladelane/operator_parts.py
@@ -0,0 +1,129 @@
+"""Builds the parts that only an operator's file switches on. Each is imported, with what it needs, on use."""
+
+from __future__ import annotations
+
+import logging
+import random
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from .admin.handler import AdminHandler
+from .clock import Clock
+from .net.client_listener import ClientListener
+from .net.config import Config, ConfigError
+from .net.director import Director
+
+if TYPE_CHECKING:
+    from .audit.options import AuditOptions
+    from .audit.service import AuditService
+    from .leases.client import LeaseClient
+    from .leases.options import LeaseOptions
+    from .purges.options import Options as PurgeOptions
+    from .purges.subscription import PurgeSubscription
+    from .recovery.options import Options as RecoveryOptions
+    from .recovery.service import Recovery
+
+log = logging.getLogger("gladelane")
+
+
+def open_purges(options: PurgeOptions, director: Director, clock: Clock) -> PurgeSubscription:
+    """The subscription to the fleet's purges. Raises ConfigError for what the files say, and OSError."""
+    from pathlib import Path
+
+    from .control_plane.tokens import TokenFileError
+    from .purges.subscription import PurgeSubscription
+    from .storage.files import Folder, rename_damaged_folder
+    from .storage.log import CorruptLogError
+
+    unknown = sorted(options.strict - director.settings.classes.keys())
+    if unknown:
+        raise ConfigError(f"purges.strict: {unknown[0]!r}; expected classes of the settings")
+
+    def open_subscription() -> PurgeSubscription:
+        disk = Folder(options.folder) if options.folder else None
+        try:
+            return PurgeSubscription(
+                options, director.router.purges, clock.now, disk, director.settings.proxies, random.Random()
+            )
+        except BaseException:
+            if disk is not None:
+                disk.close()
+            raise
+
+    try:
+        return open_subscription()
+    except TokenFileError as error:
+        raise ConfigError(str(error)) from None
+    except CorruptLogError as error:
+        # the purge servers send all of it again: a director that does not start would help nobody
+        aside = rename_damaged_folder(Path(options.folder))
+        log.error("purges: folder set aside as %s: %s", aside, error)  # noqa: TRY400  it says where
+        return open_subscription()
+
+
+def open_recovery(
+    options: RecoveryOptions,
+    config: Config,
+    director: Director,
+    purges: PurgeSubscription | None,
+    clock: Clock,
+    admin_handler: AdminHandler,
+) -> Recovery:
+    """State and idempotency keys that outlive the process. Raises OSError if the folder cannot be used."""
+    from .recovery.service import Recovery
+
+    host, port = config.listen
+    name = f"{config.name} {host}:{port}"
+    return Recovery(options, name, director, purges, clock.now, lambda: admin_handler.takes_clients)
+
+
+def open_audit(
+    options: AuditOptions,
+    config: Config,
+    director: Director,
+    purges: PurgeSubscription,
+    clock: Clock,
+    front: ClientListener,
+    reconnect_discovery: Callable[[], None],
+) -> AuditService:
+    """Reports, activity log and view lease. Raises OSError if the folder cannot be used."""
+    from .audit.service import AuditService
+
+    return AuditService(
+        options,
+        config.name,
+        director,
+        purges,
+        clock.now,
+        front.drain,
+        front.send_goaway_to_all,
+        reconnect_discovery,
+    )
+
+
+def open_leases(options: LeaseOptions, purges: PurgeSubscription, config: Config) -> LeaseClient:
+    """The leases of shards: orders to servers are sent by the one director that holds the shard's lease."""
+    from .audit.steady import steady_ms
+    from .leases.client import LeaseClient
+    from .leases.shards import ShardedOrders, shard_ranks
+
+    settings = config.settings
+    client = LeaseClient(
+        shard_ranks(options.shard_count, settings.me, settings.proxies),
+        config.name,
+        list(purges.options.feeds),
+        options.duration_ms,
+        purges.own_token,
+        steady_ms,
+        random.Random(),
+    )
+    sharded_orders = ShardedOrders(
+        purges.orders,
+        options.shard_count,
+        client.is_held,
+        client.has_lost_quorum,
+        purges.active.positions.vector,
+    )
+    client.progress_handler = sharded_orders
+    purges.orders.owned = sharded_orders.is_responsible_for
+    return client
--- a/gladelane/purges/__init__.py
+++ b/gladelane/purges/__init__.py
@@ -1,6 +1,15 @@
-"""Fleet-wide purges: what a purge covers, in which order purges hold, and the newest moment that binds a
-request.
+"""Fleet-wide purges: what a purge covers, from which moment it binds a request, and how it reaches every
+director.
 
-`scope` reads and writes what is covered, `bounds` joins moments, `index` looks them up, `order` keeps each
-issuer's sequence. None of these does I/O or reads a clock.
+Operators send a purge to a purge log server (`PurgeLog`), which stores it, acknowledges it and sends it to
+its subscribers: its peers and the directors (`PurgeSubscription`). For a request a director asks how old a
+copy may be.
+
+Pure modules: `scope` parses what a purge covers, `bounds` joins moments, `facet` and `index` look them up,
+`purge` has the purge and its issuer's sequence, `receipt` has what follows from wrong clocks, `active_purges`
+and `snapshot` hold the state, `low_watermark` and `loss_detection` say what may have been lost, `backfill`,
+`cutoff` and `orders` decide for directors. None of these does I/O or reads a clock.
+
+I/O: `purge_store`, `subscription_store`, `checkpoint_file` and `snapshot_writer` for files; `committer`,
+`peers`, `purge_stream`, `subscriber`, `backfill_sender`, `order_sender` and `control_part` for sockets.
 """
