--- a/gladelane/purges/active_purges.py
+++ b/gladelane/purges/active_purges.py
@@ -1,172 +1,184 @@
-"""All purges in force: the index that answers, the positions, and, where they are told on, the records.
-
-Retention. A purge is forgotten `retention_ms` after its moment. That alone would let a copy without a fresh
-limit, or a server that comes back with old copies, outlive it; so no copy older than the retention is
-accepted at all (`oldest_ms`): any copy from before a forgotten purge is older than that.
-
-Clocks. A copy's date is the origin's clock, a purge's moment its issuer's. `skew_ms` is added to every
-moment: a copy dated up to so long after a purge may be from before it. A moment further ahead than `AHEAD_MS`
-of ours is taken as ours plus that: believed, it would make every copy too old until the clock gets there, and
-send all to the origin.
+"""All active purges: the index that answers for requests, the positions, and the purges themselves where they
+have to be sent on. Pure.
+
+Retention. A purge is forgotten `binding_ms` after its moment, which is the retention and a margin. That alone
+would let a copy without a freshness limit, or a server that returns with old copies, outlive the purge. So no
+copy older than the retention is accepted at all (`max_copy_age_ms`): any copy from before a forgotten purge
+is older than that.
+
+Clocks. The date of a copy is from the clock of the origin, the moment of a purge from that of its issuer.
+`skew_ms` is added to every moment: a copy dated up to so long after a purge may be from before it. A moment
+more than `AHEAD_MS` ahead of the local clock is limited to that. Otherwise every copy would be too old until
+the clock gets there, and all requests would go to the origin. `receipt` has what follows from wrong clocks.
+Retention is counted with `CLOCK_MARGIN_MS` on top, so that a clock step ends no purge and no loss early.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterator
 
 import msgspec
 
-from ..control.positions import Positions, Stream, Vector
-from .horizon import Horizon, Loss
-from .index import Index, UnsupportedPattern
-from .order import Purge, check
-from .scope import BadScope, parse
+from ..control_plane.positions import Positions, Stream, Vector
+from .index import Index, UnsupportedPatternError
+from .low_watermark import LowWatermark
+from .purge import Purge, PurgeId, check_purge
+from .receipt import BindingMoments, Receipt, binding_moments
+from .scope import Scope, parse
+from .snapshot import FORMAT, ServerStart, Snapshot, decode_snapshot, uncovered
 
 AHEAD_MS = 60_000.0
 RETENTION_MS = 7 * 86_400_000.0
 SKEW_MS = 0.0
-KEYS_MS = 3_600_000.0  # for which an idempotency key is remembered at least
-FORMAT = 1
-
-
-class Stored(msgspec.Struct, array_like=True):
-    """A snapshot's payload."""
-
-    format: int
-    positions: list[tuple[str, int, int]]
-    purges: list[Purge]
-    ahead: list[tuple[str, int, int]] = []
-    losses: list[Loss] = []
-    start: tuple[str, int] = ("", 0)  # of a feed: whose folder it is, and the epoch of its latest start
+CLOCK_MARGIN_MS = 7_200_000.0  # by which a clock may be wrong without ending anything early
 
 
 class ActivePurges:
-    """`take` is the one way in. keep: whether records are kept, for subscribers and snapshots."""
+    """The purges that are active, and how far each stream has been applied.
+
+    Attributes: index; positions; low_watermark; start, of the server whose folder this is; last_at_ms, the
+    latest moment of any purge, in Unix ms; widened, how many purges bind more than they name because their
+    patterns cannot be indexed."""
 
     def __init__(
         self,
         index: Index | None = None,
-        keep: bool = True,
+        keeps_purges: bool = True,
         retention_ms: float = RETENTION_MS,
         skew_ms: float = SKEW_MS,
     ) -> None:
+        """`keeps_purges`: whether purges are stored, for subscribers and snapshots, or only indexed."""
         self.index = Index() if index is None else index
         self.positions = Positions()
-        self.horizon = Horizon()
-        self.start = ("", 0)
+        self.low_watermark = LowWatermark()
+        self.start = ServerStart()
         self.retention_ms, self.skew_ms = retention_ms, skew_ms
         self.last_at_ms = 0.0
-        self.widened = 0  # purges whose patterns cannot be looked up, and bind by their prefix
-        self._keep = keep
-        self._purges: dict[tuple[str, int, int], Purge] = {}
+        self.widened = 0
+        self._keeps_purges = keeps_purges
+        self._purges: dict[PurgeId, Purge] = {}
+        self._by_age_ms: dict[PurgeId, float] = {}  # where it differs from the purge's own moment
 
     def __len__(self) -> int:
+        """Returns the number of purges that are stored."""
         return len(self._purges)
 
-    def take(self, purge: Purge, now_ms: float) -> bool:
-        """Whether it is new; it binds from here on. Raises BadPurge, BadPosition or BadScope and changes
-        nothing."""
-        check(purge)
-        if self.positions.taken(purge.issuer, purge.epoch, purge.seq):
+    def apply(
+        self, purge: Purge, now_ms: float, receipt: Receipt | None = None, by_age_ms: float = 0.0
+    ) -> bool:
+        """Makes a purge binding, and returns whether it is new.
+
+        `by_age_ms`: the moment by the local clock as it was stored, or 0.0. Raises InvalidPurgeError,
+        InvalidPositionError or InvalidScopeError and changes nothing."""
+        check_purge(purge)
+        if self.positions.contains(purge.issuer, purge.epoch, purge.seq):
             return False
-        self._bind(purge, now_ms)
-        self.positions.take(purge.issuer, purge.epoch, purge.seq)
-        self.last_at_ms = max(self.last_at_ms, purge.at_ms)
-        if self._keep:
-            self._purges[purge.issuer, purge.epoch, purge.seq] = purge
+        self._bind(purge, now_ms, receipt, by_age_ms)
+        self.positions.add(purge.issuer, purge.epoch, purge.seq)
+        self._store(purge)
         return True
 
-    def _bind(self, purge: Purge, now_ms: float) -> None:
+    def _store(self, purge: Purge) -> None:
+        self.last_at_ms = max(self.last_at_ms, purge.at_ms)
+        if self._keeps_purges:
+            self._purges[purge.id] = purge
+
+    def by_age_ms(self, purge: Purge) -> float:
+        """Returns from when on a purge binds by the local clock, in Unix ms; 0.0 for its own moment."""
+        return self._by_age_ms.get(purge.id, 0.0)
+
+    @property
+    def binding_ms(self) -> float:
+        """For how long a purge or a loss binds after its moment."""
+        return self.retention_ms + CLOCK_MARGIN_MS
+
+    def _bind(self, purge: Purge, now_ms: float, receipt: Receipt | None, stored_by_age_ms: float) -> None:
+        """Raises InvalidScopeError."""
         scope = parse(purge.scope)
-        at = min(purge.at_ms, now_ms + AHEAD_MS) + self.skew_ms
-        until = at + self.retention_ms
-        if until <= now_ms:
+        latest_ms = now_ms + AHEAD_MS
+        at_ms = min(purge.at_ms, latest_ms)
+        if receipt is None:
+            moments = BindingMoments(at_ms, max(at_ms, min(stored_by_age_ms, latest_ms)))
+        else:
+            moments = binding_moments(at_ms, receipt, now_ms)
+        if moments.by_age_ms + self.skew_ms + self.binding_ms <= now_ms:
             return
         try:
-            self.index.add(scope, at, until)
-        except UnsupportedPattern:
-            # its issuer took it, so it stands: wider than asked costs fetches, narrower would be an exam
-            # error
+            self._add_to_index(scope, moments)
+        except UnsupportedPatternError:
+            # the issuer accepted it, so it has to bind; a wider scope costs fetches, a narrower one would
+            # serve copies that are out of date
             self.widened += 1
-            plain = tuple(box._replace(mask=0, value=0) for box in scope.boxes)
-            self.index.add(type(scope)(plain), at, until)
-
-    def beyond(self, vector: Vector) -> Iterator[Purge]:
-        """Those that a subscriber at a position lacks, oldest first."""
-        lacking = [p for p in self._purges.values() if p.seq > vector.get((p.issuer, p.epoch), 0)]
-        return iter(sorted(lacking, key=lambda p: (p.at_ms, p.issuer, p.epoch, p.seq)))
-
-    def recorded(self, issuer: str, epoch: int, seq: int) -> Purge | None:
-        return self._purges.get((issuer, epoch, seq))
-
-    def forget(self, now_ms: float) -> int:
-        """Drops records past the retention, and what the index holds of them; gives how many records went."""
-        past = now_ms - self.retention_ms - self.skew_ms
-        gone = [name for name, purge in self._purges.items() if purge.at_ms < past]
-        for name in gone:
-            del self._purges[name]
+            without_globs = tuple(box._replace(mask=0, value=0) for box in scope.boxes)
+            self._add_to_index(Scope(without_globs), moments)
+        if self._keeps_purges and moments.by_age_ms > purge.at_ms:
+            self._by_age_ms[purge.id] = moments.by_age_ms
+
+    def _add_to_index(self, scope: Scope, moments: BindingMoments) -> None:
+        """Raises UnsupportedPatternError; what was added until then binds a part of the same purge."""
+        by_date_ms, by_age_ms = moments.by_date_ms + self.skew_ms, moments.by_age_ms + self.skew_ms
+        until_ms = by_age_ms + self.binding_ms
+        self.index.add(scope, by_date_ms, until_ms)
+        if by_age_ms > by_date_ms:
+            self.index.add_by_age(scope, by_age_ms, until_ms)
+
+    def purges_after(self, vector: Vector) -> Iterator[Purge]:
+        """Yields the purges that a subscriber at a position lacks, oldest first."""
+        missing = [p for p in self._purges.values() if p.seq > vector.get((p.issuer, p.epoch), 0)]
+        return iter(sorted(missing, key=lambda purge: (purge.at_ms, purge.id)))
+
+    def expire(self, now_ms: float) -> int:
+        """Removes purges and losses that no longer bind. Returns the number of purges removed."""
+        oldest_ms = now_ms - self.binding_ms - self.skew_ms
+        expired = [
+            purge_id
+            for purge_id, purge in self._purges.items()
+            if max(purge.at_ms, self._by_age_ms.get(purge_id, 0.0)) < oldest_ms
+        ]
+        for purge_id in expired:
+            del self._purges[purge_id]
+            self._by_age_ms.pop(purge_id, None)
         self.index.expire(now_ms)
-        self.horizon.forget(now_ms, self.retention_ms)
-        return len(gone)
+        self.low_watermark.expire(now_ms, self.binding_ms)
+        return len(expired)
 
-    def oldest_ms(self) -> float:
-        """The oldest copy that may be accepted of anything: nothing older can be vouched for."""
+    def max_copy_age_ms(self) -> float:
+        """Returns the age above which no copy may be accepted: older purges have been forgotten."""
         return self.retention_ms
 
-    def known_since(self, now_ms: float) -> float:
-        """Copies from before this moment may be older than a purge that nobody here knows; 0: none is."""
-        moment = self.horizon.moment(now_ms, self.retention_ms)
-        return moment + self.skew_ms if moment else 0.0
-
-    # --- snapshots
+    def low_watermark_ms(self, now_ms: float) -> float:
+        """Returns the moment before which copies may be older than a purge that was lost, in Unix ms; 0.0 if
+        no purge is missing."""
+        moment_ms = self.low_watermark.value_ms(now_ms, self.binding_ms)
+        return moment_ms + self.skew_ms if moment_ms else 0.0
 
     def snapshot(self) -> bytes:
-        """The whole state; a purge that a newer, wider one covers is left out, its number counts as taken."""
-        kept = self._uncovered()
-        positions = [(issuer, epoch, last) for (issuer, epoch), last in self.positions.vector().items()]
-        ahead = [(i, e, s) for i, e, s in self._purges if s > self.positions.vector().get((i, e), 0)]
-        return msgspec.msgpack.encode(
-            Stored(FORMAT, positions, kept, ahead, self.horizon.losses(), self.start)
+        """Encodes the whole state. Purges that a newer, wider one covers are left out; the positions include
+        them."""
+        vector = self.positions.vector()
+        purges = uncovered(self._purges.values(), self.last_at_ms, self.by_age_ms)
+        snapshot = Snapshot(
+            FORMAT,
+            [PurgeId(issuer, epoch, last) for (issuer, epoch), last in vector.items()],
+            purges,
+            [key for key in self._purges if key.seq > vector.get((key.issuer, key.epoch), 0)],
+            self.low_watermark.losses(),
+            self.start,
+            [self.by_age_ms(purge) for purge in purges] if self._by_age_ms else [],
         )
+        return msgspec.msgpack.encode(snapshot)
 
     def restore(self, payload: bytes, now_ms: float) -> None:
-        """Into an empty one. Raises BadScope, BadPurge, or msgspec's errors for what no snapshot of ours
-        is."""
-        stored: Stored = msgspec.msgpack.decode(payload, type=Stored)
-        if stored.format != FORMAT:
-            raise BadScope(str(stored.format), "an unknown format of snapshots", str(FORMAT))
-        for purge in stored.purges:
-            check(purge)
-            self._bind(purge, now_ms)
-            self.last_at_ms = max(self.last_at_ms, purge.at_ms)
-            if self._keep:
-                self._purges[purge.issuer, purge.epoch, purge.seq] = purge
-        vector: dict[Stream, int] = {(issuer, epoch): last for issuer, epoch, last in stored.positions}
-        self.positions.adopt(vector)
-        for issuer, epoch, seq in stored.ahead:
-            self.positions.take(issuer, epoch, seq)
-        self.horizon.tell(stored.losses, now_ms)
-        self.start = stored.start
-
-    def _uncovered(self) -> list[Purge]:
-        """Newest first, each against an index of those already kept."""
-        seen = Index()
-        kept: list[Purge] = []
-        for purge in sorted(self._purges.values(), key=lambda p: -p.at_ms):
-            scope = parse(purge.scope)
-            young = purge.key and purge.at_ms > self.last_at_ms - KEYS_MS  # its key may be used again
-            if not young and all(seen.covers(box, purge.at_ms) for box in scope.boxes):
-                continue
-            kept.append(purge)
-            if not any(box.mask for box in scope.boxes):
-                seen.add(scope, purge.at_ms)
-        return kept
-
-
-def merged(streams: Iterable[Vector]) -> dict[Stream, int]:
-    """The furthest that any of several has come."""
-    most: dict[Stream, int] = {}
-    for vector in streams:
-        for stream, last in vector.items():
-            most[stream] = max(most.get(stream, 0), last)
-    return most
+        """Decodes a snapshot into this state, which must be empty. Raises UnknownFormatError,
+        InvalidScopeError, InvalidPurgeError, or msgspec's errors for other data."""
+        snapshot = decode_snapshot(payload)
+        for purge, by_age_ms in zip(snapshot.purges, snapshot.moments(), strict=True):
+            check_purge(purge)
+            self._bind(purge, now_ms, None, by_age_ms)
+            self._store(purge)
+        vector: dict[Stream, int] = {(issuer, epoch): last for issuer, epoch, last in snapshot.positions}
+        self.positions.advance_to(vector)
+        for issuer, epoch, seq in snapshot.ahead:
+            self.positions.add(issuer, epoch, seq)
+        self.low_watermark.merge(snapshot.losses, now_ms)
+        self.start = snapshot.start
--- a/gladelane/purges/bounds.py
+++ b/gladelane/purges/bounds.py
@@ -1,44 +1,56 @@
-"""Bounds: for how long each moment binds. Joining them is a semilattice, so no order of purges matters.
+"""Bounds: how old a copy may be, and for how long. Bounds form a semilattice under `join`.
 
-A bound is a tuple of (at, until), both in Unix ms: copies from before `at` are not served, up to `until`. Of
-two purges the one that is neither newer nor longer adds nothing, so a bound holds only those that no other
-dominates, newest first. The join of two bounds is what is left of both together: commutative, associative,
-idempotent.
+A purge says that copies from before a moment must not be served, until a second moment at which the purge is
+forgotten. A bound is a set of such pairs. Of two pairs the one that is neither newer nor lasts longer adds
+nothing, so a bound keeps only pairs that no other pair dominates, newest first. The join of two bounds is
+commutative, associative and idempotent, and therefore independent of the order in which purges arrive.
 """
 
 from __future__ import annotations
 
-Bound = tuple[tuple[float, float], ...]
-NOTHING: Bound = ()
+from typing import NamedTuple
+
+
+class Limit(NamedTuple):
+    """Copies from before `at_ms` are out of date, up to `until_ms`. Both are in Unix ms."""
+
+    at_ms: float
+    until_ms: float
+
+
+Bound = tuple[Limit, ...]
+NO_BOUND: Bound = ()
 
 
 def join(one: Bound, other: Bound) -> Bound:
-    """What binds where either does."""
+    """Returns the bound that holds wherever either does."""
     if not one or one == other:
         return other
     if not other:
         return one
-    if len(one) == len(other) == 1:  # nearly always: one dominates the other
-        (at, until), (other_at, other_until) = one[0], other[0]
-        if at >= other_at and until >= other_until:
+    if len(one) == len(other) == 1:  # nearly always, and then mostly one of the two dominates
+        (at_ms, until_ms), (other_at_ms, other_until_ms) = one[0], other[0]
+        if at_ms >= other_at_ms and until_ms >= other_until_ms:
             return one
-        if other_at >= at and other_until >= until:
+        if other_at_ms >= at_ms and other_until_ms >= until_ms:
             return other
-    kept: list[tuple[float, float]] = []
-    for at, until in sorted({*one, *other}, key=lambda pair: (-pair[0], -pair[1])):
-        if not kept or until > kept[-1][1]:
-            kept.append((at, until))
-    return tuple(kept)
+    undominated: list[Limit] = []
+    for limit in sorted({*one, *other}, key=lambda limit: (-limit.at_ms, -limit.until_ms)):
+        if not undominated or limit.until_ms > undominated[-1].until_ms:
+            undominated.append(limit)
+    return tuple(undominated)
 
 
-def in_force(bound: Bound, now: float) -> Bound:
-    """What of a bound still binds."""
-    return bound if all(until > now for _, until in bound) else tuple(p for p in bound if p[1] > now)
+def still_binding(bound: Bound, now_ms: float) -> Bound:
+    """Returns the limits of a bound that have not ended."""
+    if all(until_ms > now_ms for _, until_ms in bound):
+        return bound
+    return tuple(limit for limit in bound if limit.until_ms > now_ms)
 
 
-def newest(bound: Bound, now: float) -> float:
-    """The newest moment that binds now, 0: none does."""
-    for at, until in bound:
-        if until > now:
-            return at
+def newest(bound: Bound, now_ms: float) -> float:
+    """Returns the newest moment that binds now, in Unix ms, or 0.0 if none does."""
+    for at_ms, until_ms in bound:
+        if until_ms > now_ms:
+            return at_ms
     return 0.0
--- a/gladelane/purges/entries.py
+++ b/gladelane/purges/entries.py
@@ -1,18 +1,19 @@
-"""What a purge log commits: each entry that waits to be stored, and who waits for it."""
+"""The entries that a purge log commits, and the futures of those that wait for them."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import NamedTuple
 
-from ..control.positions import Vector
-from .horizon import Loss
-from .order import Purge
+from ..control_plane.positions import Vector
+from .low_watermark import Loss
+from .purge import Purge
 from .wire import Accepted
 
 
 class NewPurge(NamedTuple):
-    """Asked for here; it has no number yet. scope: canonical."""
+    """A purge that was requested here and has no number yet. `scope` is canonical; `accepted` is set once the
+    purge was stored."""
 
     scope: str
     key: str
@@ -20,19 +21,21 @@
 
 
 class ReceivedPurge(NamedTuple):
-    """Told by a peer or a director, and checked."""
+    """A valid purge that a peer or a director sent."""
 
     purge: Purge
 
 
 class ReachedPosition(NamedTuple):
-    """Up to there a peer has told all; what it told before stands ahead of this in the queue."""
+    """A position up to which a peer has sent everything; what it sent is ahead of this entry in the queue."""
 
     vector: Vector
 
 
 class LossUpdate(NamedTuple):
-    """Losses as they became known or were closed. None at all: only what an earlier start owes is stored."""
+    """Losses that were found or closed. `stored` is set once they were stored.
+
+    An update without losses makes the store write what an earlier commit could not."""
 
     losses: list[Loss]
     stored: asyncio.Future[None] | None = None
@@ -41,13 +44,21 @@
 LogEntry = NewPurge | ReceivedPurge | ReachedPosition | LossUpdate
 
 
-def fail(batch: list[LogEntry], error: Exception) -> None:
-    """Tells all who wait for a batch."""
+def is_retried(entry: LogEntry) -> bool:
+    """Returns whether an entry that could not be stored is stored later.
+
+    It is if others sent it, because they assume that we have what they sent. A purge that was requested here
+    is rejected instead, and the store retries losses itself."""
+    return isinstance(entry, ReceivedPurge | ReachedPosition)
+
+
+def fail_waiters(batch: list[LogEntry], error: Exception) -> None:
+    """Raises an error for all that wait for an entry of a batch."""
     for entry in batch:
-        waiting: asyncio.Future[Accepted] | asyncio.Future[None] | None = None
+        waiter: asyncio.Future[Accepted] | asyncio.Future[None] | None = None
         if isinstance(entry, NewPurge):
-            waiting = entry.accepted
+            waiter = entry.accepted
         elif isinstance(entry, LossUpdate):
-            waiting = entry.stored
-        if waiting is not None and not waiting.done():
-            waiting.set_exception(error)
+            waiter = entry.stored
+        if waiter is not None and not waiter.done():
+            waiter.set_exception(error)
--- a/gladelane/purges/options.py
+++ b/gladelane/purges/options.py
@@ -1,4 +1,4 @@
-"""What an operator's file says of fleet-wide purges."""
+"""The settings of fleet-wide purges from an operator's file."""
 
 from __future__ import annotations
 
@@ -8,7 +8,15 @@
 
 
 class Options(msgspec.Struct, frozen=True):
-    """What the operator's file says. Times in ms; feeds as (host, port)."""
+    """The settings of a director.
+
+    Attributes: feeds, the purge log servers as (host, port); token_file; folder, where purges are stored,
+    empty for nowhere; retention_ms; skew_ms, added to every moment; delay_ms, after which a director without
+    a server is cut off; strict, the classes that are then bound; cut_off_per_s, renewals a second at first if
+    `origin_per_s` is not set; start_wait_ms, how long a start waits for a server; order_kinds, the kinds of
+    servers that take orders to drop copies; orders_per_s, over all servers; origin_per_s, renewals that the
+    origin can bear from all directors together, 0 if unknown; lost, what strict classes do with copies from
+    before a loss."""
 
     feeds: tuple[tuple[str, int], ...]
     token_file: str
@@ -21,5 +29,5 @@
     start_wait_ms: float
     order_kinds: frozenset[str] = frozenset()
     orders_per_s: float = 50.0
-    origin_per_s: float = 0.0  # renewals that the origin bears from all directors; 0: not known
-    lost: Literal["void", "serve"] = "void"  # what strict classes make of copies from before a loss
+    origin_per_s: float = 0.0
+    lost: Literal["void", "serve"] = "void"
--- a/gladelane/purges/deliver.py
+++ b/gladelane/purges/order_sender.py
@@ -1,5 +1,7 @@
-"""Carries orders out: `drop TAG LENGTH`, the scopes as lines, and the answer `TAG dropped`. Decides
-nothing."""
+"""Sends orders to cache servers: `drop TAG LENGTH`, the scopes as lines, and the response `TAG dropped`.
+
+It only does I/O; `orders` decides what is sent when.
+"""
 
 from __future__ import annotations
 
@@ -8,34 +10,37 @@
 import os
 import socket
 
-from ..endpoints.dialling import Budget, Dialling
+from ..endpoints.dialer import Budget, Dialer
 from ..endpoints.health import DialEnd
 from ..endpoints.plan import Endpoints
 from .orders import Order, Orders
 
 log = logging.getLogger(__name__)
 
-WITHIN_S = 2.0
-LOOK_S = 0.05
-ANSWER_BYTES = 256
+ORDER_TIMEOUT_S = 2.0
+INTERVAL_S = 0.05  # between two looks for orders to send
+MAX_RESPONSE_BYTES = 256
+TAG_BYTES = 8
 
 
-class Deliver:
-    """Sends what `orders` asks for, over the same addresses and socket budget as requests."""
+class OrderSender:
+    """Sends orders to the addresses that requests use, and within the same socket budget."""
 
     def __init__(self, orders: Orders, endpoints: Endpoints, budget: Budget, dial_timeout_ms: float) -> None:
+        """`dial_timeout_ms` bounds the connect."""
         self.orders, self.endpoints, self.budget = orders, endpoints, budget
         self.dial_timeout_ms = dial_timeout_ms
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
+        """Sends orders until it is cancelled, which also cancels those in flight."""
         try:
             while True:
                 for order in self.orders.next(self.budget.clock()):
                     task = asyncio.create_task(self._send(order))
                     self._tasks.add(task)
                     task.add_done_callback(self._tasks.discard)
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(INTERVAL_S)
         finally:
             for task in self._tasks:
                 task.cancel()
@@ -43,45 +48,46 @@
     async def _send(self, order: Order) -> None:
         self.budget.hold(1)
         try:
-            async with asyncio.timeout(WITHIN_S):
-                dropped = await self._drop(order)
+            async with asyncio.timeout(ORDER_TIMEOUT_S):
+                is_acknowledged = await self._drop(order)
         except (OSError, TimeoutError):
-            dropped = False
+            is_acknowledged = False
         except Exception:
             log.exception("order failed server=%s", order.server)
-            dropped = False
+            is_acknowledged = False
         finally:
             self.budget.hold(-1)
-        if dropped:
+        if is_acknowledged:
             self.orders.acknowledged(order)
         else:
             log.info("order not acknowledged server=%s purges=%d", order.server, len(order.purges))
             self.orders.failed(order, self.budget.clock())
 
     async def _drop(self, order: Order) -> bool:
+        """Connects and sends an order; returns whether the server has acknowledged it."""
         plan = self.endpoints.plan(order.server, self.budget.clock())
         if not plan.addresses:
             return False
-        race = Dialling(order.server, plan, self.endpoints, self.budget, self.dial_timeout_ms)
+        dialer = Dialer(order.server, plan, self.endpoints, self.budget, self.dial_timeout_ms)
         try:
-            won = await race.winner()
-            if isinstance(won, DialEnd):
+            winner = await dialer.winner()
+            if isinstance(winner, DialEnd):
                 return False
-            race.written()
+            dialer.written()
         finally:
-            race.close()
-        return await self._ask(won[0], order)
+            dialer.close()
+        return await self._ask(winner[0], order)
 
     @staticmethod
     async def _ask(sock: socket.socket, order: Order) -> bool:
-        loop, tag = asyncio.get_running_loop(), os.urandom(8).hex()
+        loop, tag = asyncio.get_running_loop(), os.urandom(TAG_BYTES).hex()
         body = "\n".join(f"{purge.at_ms:.3f} {purge.scope}" for purge in order.purges).encode()
-        held = b""
+        response = b""
         with sock:
             await loop.sock_sendall(sock, f"drop {tag} {len(body)}\r\n".encode() + body + b"\r\n")
-            while b"\r\n" not in held and len(held) < ANSWER_BYTES:
-                data = await loop.sock_recv(sock, ANSWER_BYTES)
+            while b"\r\n" not in response and len(response) < MAX_RESPONSE_BYTES:
+                data = await loop.sock_recv(sock, MAX_RESPONSE_BYTES)
                 if not data:
                     break
-                held += data
-        return held.startswith(f"{tag} dropped ".encode())
+                response += data
+        return response.startswith(f"{tag} dropped ".encode())
--- a/gladelane/purges/purge_stream.py
+++ b/gladelane/purges/purge_stream.py
@@ -1,88 +1,96 @@
-"""Telling subscribers: all that one lacks, then what comes, at its pace. Decides nothing."""
+"""Sends purges to subscribers: all that a subscriber lacks, then what is new, at its pace. Decides
+nothing."""
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable, Iterable
 from contextlib import suppress
 
-from ..control.event_stream import EventSink
-from ..control.positions import Vector, vector_text
+from ..control_plane.event_stream import EventSink
+from ..control_plane.positions import Vector, format_vector
 from .active_purges import ActivePurges
-from .order import Purge
+from .purge import Purge
 from .wire import HEARTBEAT_S, Event, batches, encode_json
 
-MAX_RECENT = 10_000  # purges kept as they came; a subscriber further behind is served from those in force
+MAX_RECENT = 10_000  # purges in order of arrival; a subscriber further behind is served from all active ones
+NOT_SENT = -1  # before any version of the losses
 
 
 class RecentPurges:
-    """The latest purges in the order in which they were stored, each at a place that does not change."""
+    """The latest purges in the order in which they were stored. The place of a purge does not change."""
 
     def __init__(self) -> None:
+        """Starts empty."""
         self._purges: list[Purge] = []
-        self._first = 0  # the place of the first that is kept
+        self._first = 0  # the place of the first that is stored
 
     @property
     def end(self) -> int:
-        """The place of the next one."""
+        """The place of the next purge."""
         return self._first + len(self._purges)
 
     def append(self, purge: Purge) -> None:
+        """Adds a purge, and removes the oldest if there are too many."""
         self._purges.append(purge)
         if len(self._purges) > 2 * MAX_RECENT:
             del self._purges[:MAX_RECENT]
             self._first += MAX_RECENT
 
     def since(self, place: int) -> list[Purge] | None:
-        """All from a place on, None: some of them are no longer kept."""
+        """Returns all purges from a place on, or None if some of them were removed."""
         return self._purges[place - self._first :] if place >= self._first else None
 
 
 class PurgeStream:
-    """One purge log's subscribers. name, copies: of the log, as its events say."""
+    """The subscribers of one server. Attributes: subscribers, their number."""
 
-    def __init__(self, active: ActivePurges, name: str, copies: int) -> None:
+    def __init__(self, active: ActivePurges, name: str, copies: int, clock: Callable[[], float]) -> None:
+        """`name`, `copies` and `clock` are the server's, for its events; `clock` returns Unix ms."""
         self.subscribers = 0
+        self._clock = clock
         self._active, self._name, self._copies = active, name, copies
         self._recent = RecentPurges()
         self._changed = asyncio.Event()
 
     def append(self, purge: Purge) -> None:
-        """It is in force; it leaves with the next `wake`."""
+        """Adds an active purge, which is sent after the next `wake`."""
         self._recent.append(purge)
 
     def wake(self) -> None:
+        """Makes all subscribers look for changes."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def serve(self, sink: EventSink, vector: Vector) -> None:
-        """vector: what the subscriber knows. Ends with its connection."""
-        sink.begin()
+        """Serves a subscriber until its connection ends. `vector`: what it knows."""
+        sink.send_header()
         self.subscribers += 1
         try:
-            await self._tell(sink, vector)
+            await self._send_all(sink, vector)
         finally:
             self.subscribers -= 1
 
-    async def _tell(self, sink: EventSink, vector: Vector) -> None:
-        horizon, positions = self._active.horizon, self._active.positions
-        told_version = -1  # of the horizon
+    async def _send_all(self, sink: EventSink, vector: Vector) -> None:
+        low_watermark, positions = self._active.low_watermark, self._active.positions
+        sent_version = NOT_SENT
         place = self._recent.end
         reached = positions.vector()
-        backlog = list(self._active.beyond(vector))
+        backlog: Iterable[Purge] = self._active.purges_after(vector)
         while True:
             for batch in batches(backlog):
-                await sink.send(encode_json(Event(purges=batch)))
-            mark = Event(mark=vector_text(reached))
-            if told_version != horizon.version:
-                told_version = horizon.version
-                mark = Event(mark=mark.mark, losses=horizon.losses(), name=self._name, copies=self._copies)
-            await sink.send(encode_json(mark))
+                await sink.send(encode_json(Event(purges=batch, sent_ms=self._clock())))
+            event = Event(position=format_vector(reached), sent_ms=self._clock())
+            if sent_version != low_watermark.version:
+                sent_version = low_watermark.version
+                event.losses, event.name, event.copies = low_watermark.losses(), self._name, self._copies
+            await sink.send(encode_json(event))
             changed = self._changed
-            if place == self._recent.end and told_version == horizon.version:
+            if place == self._recent.end and sent_version == low_watermark.version:
                 with suppress(TimeoutError):
                     async with asyncio.timeout(HEARTBEAT_S):
                         await changed.wait()
             recent = self._recent.since(place)
-            backlog = recent if recent is not None else list(self._active.beyond(reached))
+            backlog = recent if recent is not None else self._active.purges_after(reached)
             place = self._recent.end
             reached = positions.vector()
--- a/gladelane/purges/scope.py
+++ b/gladelane/purges/scope.py
@@ -1,30 +1,34 @@
-"""What a purge covers: one parser, one canonical text.
+"""The scope of a purge: the text that names what is purged, its parser, and its canonical form.
 
     scope  = box *( "|" box )               a union
     box    = term *( "&" term )             an intersection
     term   = "object:" HEX16                one object
-           | "objects:" PREFIX "*"          all whose id begins so
-           | "objects:" FROM ".." TO        ids, both included; short ends are filled up with 0 and f
+           | "objects:" PREFIX "*"          all objects whose id starts with the prefix
+           | "objects:" FROM ".." TO        ids, both included; padded with 0 and with f to 16 digits
            | "objects:" GLOB                16 places of hex digits and "?"; one "*" for missing places
            | "group:" 0..255 | "class:" NAME | "parts:" N [ "-" M ]
-           | "tag:" NAME                    what the catalog says: a union
-           | "all"                          everything, and the only way to say so
+           | "tag:" NAME                    the scope that the catalog has under this name
+           | "all"                          everything; no other term may cover everything
 
-Canonical: tags expanded, terms and boxes sorted, ids in lower case. Parsing a canonical text gives it back.
+In the canonical form tags are expanded, terms and boxes are sorted, and ids are in lower case. Parsing a
+canonical text returns the same scope.
 """
 
 from __future__ import annotations
 
 import re
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
-OBJECT_MOST = 2**64 - 1
-PART_MOST = 2**31
-MAX_BOXES = 4096  # of one scope, after tags
-MAX_TEXT = 200_000
-MAX_DEPTH = 8  # tags within tags
-DIGITS = 16
+MAX_OBJECT_ID = 2**64 - 1
+MAX_PART = 2**31
+MAX_GROUP = 255
+MAX_BOXES = 4096  # of one scope, after its tags are expanded
+MAX_SCOPE_CHARS = 200_000
+MAX_TAG_DEPTH = 8  # tags within tags
+OBJECT_ID_DIGITS = 16
+MAX_INTEGER_DIGITS = 10
+MAX_SHOWN_CHARS = 60  # of a wrong text, in an error message
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 _HEX = re.compile(r"[0-9a-fA-F]{1,16}")
 _PLAIN = re.compile(r"object(?::([0-9a-f]{16})|s:([0-9a-f]{1,15})\*)")  # canonical, one object or a prefix
@@ -32,30 +36,35 @@
 EXPECTED = "object:, objects:, group:, class:, parts:, tag: or all, joined by & and |"
 
 
-class BadScope(ValueError):
-    """What is wrong with a scope, and what was expected, in one line."""
+class InvalidScopeError(ValueError):
+    """A text that is not a scope. The message is one line.
 
-    def __init__(self, text: str, why: str, expected: str = EXPECTED) -> None:
-        shown = text if len(text) <= 60 else f"{text[:57]}..."
-        super().__init__(f"{shown!r}: {why}; expected {expected}")
+    Attributes: text, the wrong part; reason, what is wrong with it; expected, what would be right."""
+
+    def __init__(self, text: str, reason: str, expected: str = EXPECTED) -> None:
+        """Shortens a long text in the message, and only there."""
+        self.text, self.reason, self.expected = text, reason, expected
+        shown = text if len(text) <= MAX_SHOWN_CHARS else f"{text[: MAX_SHOWN_CHARS - 3]}..."
+        super().__init__(f"{shown!r}: {reason}; expected {expected}")
 
 
 class Box(NamedTuple):
-    """An intersection: every given condition must hold. Objects are ids as numbers, all bounds are included.
+    """An intersection: a request is covered if all conditions hold. A condition at its default always holds.
 
-    mask and value: of an id, the bits under the mask must equal the value; they hold a glob that is no
-    range."""
+    Object ids are numbers, and all ends of ranges are included. `mask` and `value` hold a glob that is not a
+    range: the bits of an id under the mask must equal the value."""
 
     cls: str = ""
     group: int = -1
     low: int = 0
-    high: int = OBJECT_MOST
+    high: int = MAX_OBJECT_ID
     mask: int = 0
     value: int = 0
     part_low: int = 0
-    part_high: int = PART_MOST
+    part_high: int = MAX_PART
 
     def covers(self, cls: str, group: int, object_: int, part: int) -> bool:
+        """Returns whether a request for one part of an object is covered."""
         return (
             self.low <= object_ <= self.high
             and self.part_low <= part <= self.part_high
@@ -64,7 +73,16 @@
             and self.group in (-1, group)
         )
 
+    def has_all_objects(self) -> bool:
+        """Returns whether the range of ids has no bound; a glob may still limit the ids."""
+        return (self.low, self.high) == (0, MAX_OBJECT_ID)
+
+    def has_all_parts(self) -> bool:
+        """Returns whether every part of an object is covered."""
+        return (self.part_low, self.part_high) == (0, MAX_PART)
+
     def text(self) -> str:
+        """Returns the canonical text."""
         terms = []
         if self.cls:
             terms.append(f"class:{self.cls}")
@@ -72,168 +90,229 @@
             terms.append(f"group:{self.group}")
         if self.low == self.high:
             terms.append(f"object:{self.low:016x}")
-        elif (self.low, self.high) != (0, OBJECT_MOST):
+        elif not self.has_all_objects():
             terms.append(f"objects:{_range_text(self.low, self.high)}")
         if self.mask:
             terms.append(f"objects:{_glob_text(self.mask, self.value)}")
-        if (self.part_low, self.part_high) != (0, PART_MOST):
-            one = self.part_low == self.part_high
-            terms.append(f"parts:{self.part_low}" + ("" if one else f"-{self.part_high}"))
+        if not self.has_all_parts():
+            end = "" if self.part_low == self.part_high else f"-{self.part_high}"
+            terms.append(f"parts:{self.part_low}{end}")
         return " & ".join(terms) or "all"
 
 
 class Scope(NamedTuple):
-    """A union of boxes, sorted, none of them twice."""
+    """A union of distinct boxes in sorted order."""
 
     boxes: tuple[Box, ...]
 
     def covers(self, cls: str, group: int, object_: int, part: int) -> bool:
+        """Returns whether any box covers a request for one part of an object."""
         return any(box.covers(cls, group, object_, part) for box in self.boxes)
 
     def text(self) -> str:
+        """Returns the canonical text."""
         return " | ".join(box.text() for box in self.boxes)
 
 
-Catalog = Mapping[str, str]  # a tag's name and the scope that it stands for
+Catalog = Mapping[str, str]  # the name of a tag, and the text of its scope
 ALL = Box()
 
 
 def parse(text: str, catalog: Catalog | None = None) -> Scope:
-    """Raises BadScope."""
-    if (plain := _PLAIN.fullmatch(text)) is not None:  # most that is stored: recovery reads 100,000 of these
-        low = (plain[1] or plain[2]).ljust(DIGITS, "0")
-        return Scope((Box("", -1, int(low, 16), int((plain[1] or plain[2]).ljust(DIGITS, "f"), 16)),))
-    if len(text) > MAX_TEXT:
-        raise BadScope(text, f"{len(text)} characters", f"{MAX_TEXT} at most")
-    boxes = _union(text, catalog or {}, ())
+    """Parses a scope; `catalog` has the tags that it may name. Raises InvalidScopeError."""
+    # nearly all stored scopes have this form, and a recovery parses up to 100,000 of them
+    if (plain := _PLAIN.fullmatch(text)) is not None:
+        digits = plain[1] or plain[2]
+        return Scope((Box("", -1, _lowest_id(digits), _highest_id(digits)),))
+    if len(text) > MAX_SCOPE_CHARS:
+        raise InvalidScopeError(text, f"{len(text)} characters", f"{MAX_SCOPE_CHARS} at most")
+    boxes = _parse_union(text, catalog or {}, ())
     return Scope(tuple(boxes) if len(boxes) == 1 else tuple(sorted(set(boxes))))
 
 
-def _union(text: str, catalog: Catalog, within: tuple[str, ...]) -> list[Box]:
+def _lowest_id(digits: str) -> int:
+    return int(digits.ljust(OBJECT_ID_DIGITS, "0"), 16)
+
+
+def _highest_id(digits: str) -> int:
+    return int(digits.ljust(OBJECT_ID_DIGITS, "f"), 16)
+
+
+def _parse_union(text: str, catalog: Catalog, outer_tags: tuple[str, ...]) -> list[Box]:
+    """`outer_tags`: the tags whose expansion this text is part of, by which a loop is found."""
     boxes: list[Box] = []
     for part in text.split("|"):
-        said, made = False, [ALL]
-        for term in part.split("&"):
-            term = term.strip()
-            if term == "all":
-                said = True
-                continue
-            narrower = _term(term, catalog, within)
-            if made == [ALL]:  # as good as always, and a meeting with everything changes nothing
-                made = list(dict.fromkeys(narrower))
-                continue
-            met = (meet(a, b) for a in made for b in narrower)
-            made = list(dict.fromkeys(box for box in met if box is not None))
-            if len(made) > MAX_BOXES:
-                raise BadScope(part, f"{len(made)} parts once its tags are put in", f"{MAX_BOXES} at most")
-        if not made:
-            raise BadScope(part.strip(), "nothing can be all of these at once")
-        if ALL in made and not said:
-            raise BadScope(part.strip(), "this covers everything", "the word `all` where that is meant")
-        boxes += made
-        if len(boxes) > MAX_BOXES:
-            raise BadScope(text, f"{len(boxes)} parts once its tags are put in", f"{MAX_BOXES} at most")
+        boxes += _parse_intersection(part, catalog, outer_tags)
+        _check_size(text, len(boxes))
     return boxes
 
 
-def _term(term: str, catalog: Catalog, within: tuple[str, ...]) -> list[Box]:
+def _parse_intersection(text: str, catalog: Catalog, outer_tags: tuple[str, ...]) -> list[Box]:
+    """Several boxes where a tag stands for a union."""
+    names_all = False
+    boxes = [ALL]
+    for term in map(str.strip, text.split("&")):
+        if term == "all":
+            names_all = True
+            continue
+        term_boxes = _parse_term(term, catalog, outer_tags)
+        if boxes == [ALL]:  # the usual case; an intersection with everything changes nothing
+            boxes = list(dict.fromkeys(term_boxes))
+            continue
+        both = (intersect(one, other) for one in boxes for other in term_boxes)
+        boxes = list(dict.fromkeys(box for box in both if box is not None))
+        _check_size(text, len(boxes))
+    if not boxes:
+        raise InvalidScopeError(text.strip(), "nothing can be all of these at once")
+    if ALL in boxes and not names_all:
+        raise InvalidScopeError(text.strip(), "this covers everything", "the word `all` where that is meant")
+    return boxes
+
+
+def _check_size(text: str, count: int) -> None:
+    if count > MAX_BOXES:
+        raise InvalidScopeError(text, f"{count} parts once its tags are put in", f"{MAX_BOXES} at most")
+
+
+def _parse_term(term: str, catalog: Catalog, outer_tags: tuple[str, ...]) -> list[Box]:
     kind, colon, value = term.partition(":")
     if not colon or not value:
-        raise BadScope(term, "no term")
-    match kind:
-        case "object":
-            if not _HEX.fullmatch(value) or len(value) != DIGITS:
-                raise BadScope(term, "no object", f"{DIGITS} hex digits")
-            return [Box(low=int(value, 16), high=int(value, 16))]
-        case "objects":
-            return [_objects(term, value)]
-        case "group":
-            return [Box(group=_whole(term, value, 255))]
-        case "class":
-            if not _NAME.fullmatch(value):
-                raise BadScope(term, "no class", "a name of letters, digits, . _ -")
-            return [Box(cls=value)]
-        case "parts":
-            first, dash, last = value.partition("-")
-            low = _whole(term, first, PART_MOST)
-            high = _whole(term, last, PART_MOST) if dash else low
-            if low > high:
-                raise BadScope(term, "the range is empty", "its smaller end first")
-            return [Box(part_low=low, part_high=high)]
-        case "tag":
-            if value not in catalog:
-                raise BadScope(term, "no such tag", "a tag of the catalog, or one sent along")
-            if value in within or len(within) >= MAX_DEPTH:
-                raise BadScope(term, "it stands within itself", f"tags at most {MAX_DEPTH} deep")
-            return _union(catalog[value], catalog, (*within, value))
-    raise BadScope(term, f"unknown kind {kind!r}")
-
-
-def _whole(term: str, text: str, most: int) -> int:
-    if not (text.isascii() and text.isdecimal() and len(text) <= 10 and int(text) <= most):
-        raise BadScope(term, f"{text!r} is no number here", f"a whole number from 0 to {most}")
-    return int(text)
+        raise InvalidScopeError(term, "no term")
+    if kind == "tag":
+        return _expand_tag(term, value, catalog, outer_tags)
+    if kind not in _TERM_PARSERS:
+        raise InvalidScopeError(term, f"unknown kind {kind!r}")
+    return [_TERM_PARSERS[kind](term, value)]
+
+
+def _expand_tag(term: str, tag: str, catalog: Catalog, outer_tags: tuple[str, ...]) -> list[Box]:
+    if tag not in catalog:
+        raise InvalidScopeError(term, "no such tag", "a tag of the catalog, or one sent along")
+    if tag in outer_tags or len(outer_tags) >= MAX_TAG_DEPTH:
+        raise InvalidScopeError(term, "it stands within itself", f"tags at most {MAX_TAG_DEPTH} deep")
+    return _parse_union(catalog[tag], catalog, (*outer_tags, tag))
+
 
+def _parse_object(term: str, value: str) -> Box:
+    if not _HEX.fullmatch(value) or len(value) != OBJECT_ID_DIGITS:
+        raise InvalidScopeError(term, "no object", f"{OBJECT_ID_DIGITS} hex digits")
+    return Box(low=int(value, 16), high=int(value, 16))
 
-def _objects(term: str, value: str) -> Box:
+
+def _parse_objects(term: str, value: str) -> Box:
     low, dots, high = value.partition("..")
-    if dots:
-        if not (_HEX.fullmatch(low) and _HEX.fullmatch(high)):
-            raise BadScope(term, "no range of objects", "FROM..TO in hex digits")
-        first, last = int(low.ljust(DIGITS, "0"), 16), int(high.ljust(DIGITS, "f"), 16)
-        if first > last:
-            raise BadScope(term, "the range is empty", "its smaller end first")
-        return Box(low=first, high=last)
+    return _parse_range(term, low, high) if dots else _parse_glob(term, value)
+
+
+def _parse_range(term: str, low: str, high: str) -> Box:
+    if not (_HEX.fullmatch(low) and _HEX.fullmatch(high)):
+        raise InvalidScopeError(term, "no range of objects", "FROM..TO in hex digits")
+    first, last = _lowest_id(low), _highest_id(high)
+    if first > last:
+        raise InvalidScopeError(term, "the range is empty", "its smaller end first")
+    return Box(low=first, high=last)
+
+
+def _parse_glob(term: str, value: str) -> Box:
     known = len(value) - value.count("*")
-    if not _GLOB.fullmatch(value) or known > DIGITS or (known < DIGITS and "*" not in value):
-        raise BadScope(term, "no pattern", f"{DIGITS} places of hex digits and ?, or fewer with one *")
-    places = value.replace("*", "?" * (DIGITS - known))
-    fixed = len(places.rstrip("?"))
-    if "?" not in places[:fixed]:  # a prefix, or one object
-        return Box(
-            low=int(places[:fixed].ljust(DIGITS, "0"), 16), high=int(places[:fixed].ljust(DIGITS, "f"), 16)
-        )
+    has_wrong_length = known > OBJECT_ID_DIGITS or (known < OBJECT_ID_DIGITS and "*" not in value)
+    if not _GLOB.fullmatch(value) or has_wrong_length:
+        expected = f"{OBJECT_ID_DIGITS} places of hex digits and ?, or fewer with one *"
+        raise InvalidScopeError(term, "no pattern", expected)
+    places = value.replace("*", "?" * (OBJECT_ID_DIGITS - known))
+    prefix = places.rstrip("?")
+    if "?" not in prefix:  # a prefix, or one object
+        return Box(low=_lowest_id(prefix), high=_highest_id(prefix))
     mask = int("".join("0" if place == "?" else "f" for place in places), 16)
     return Box(mask=mask, value=int(places.replace("?", "0"), 16))
 
 
+def _parse_group(term: str, value: str) -> Box:
+    return Box(group=_parse_integer(term, value, MAX_GROUP))
+
+
+def _parse_class(term: str, value: str) -> Box:
+    if not _NAME.fullmatch(value):
+        raise InvalidScopeError(term, "no class", "a name of letters, digits, . _ -")
+    return Box(cls=value)
+
+
+def _parse_parts(term: str, value: str) -> Box:
+    first, dash, last = value.partition("-")
+    low = _parse_integer(term, first, MAX_PART)
+    high = _parse_integer(term, last, MAX_PART) if dash else low
+    if low > high:
+        raise InvalidScopeError(term, "the range is empty", "its smaller end first")
+    return Box(part_low=low, part_high=high)
+
+
+_TERM_PARSERS: dict[str, Callable[[str, str], Box]] = {
+    "object": _parse_object,
+    "objects": _parse_objects,
+    "group": _parse_group,
+    "class": _parse_class,
+    "parts": _parse_parts,
+}
+
+
+def _parse_integer(term: str, text: str, maximum: int) -> int:
+    is_integer = text.isascii() and text.isdecimal() and len(text) <= MAX_INTEGER_DIGITS
+    if not is_integer or int(text) > maximum:
+        raise InvalidScopeError(term, f"{text!r} is no number here", f"a whole number from 0 to {maximum}")
+    return int(text)
+
+
 def _range_text(low: int, high: int) -> str:
-    """A prefix where it is one."""
-    differ = low ^ high
-    free = (differ.bit_length() + 3) // 4 * 4
-    if differ == (1 << differ.bit_length()) - 1 and differ.bit_length() == free and low & differ == 0:
-        return f"{low:016x}"[: DIGITS - free // 4] + "*"
+    """Writes a range as a prefix if it is one."""
+    difference = low ^ high
+    bits = difference.bit_length()
+    is_digit_aligned = bits % 4 == 0
+    has_all_suffixes = difference == (1 << bits) - 1 and low & difference == 0
+    if is_digit_aligned and has_all_suffixes:
+        return f"{low:016x}"[: OBJECT_ID_DIGITS - bits // 4] + "*"
     return f"{low:016x}..{high:016x}"
 
 
 def _glob_text(mask: int, value: int) -> str:
-    places = "".join(
-        digit if known == "f" else "?" for known, digit in zip(f"{mask:016x}", f"{value:016x}", strict=True)
-    )
-    return places
+    digits = zip(f"{mask:016x}", f"{value:016x}", strict=True)
+    return "".join(digit if known == "f" else "?" for known, digit in digits)
 
 
-def meet(one: Box, other: Box) -> Box | None:
-    """What both cover; None: nothing."""
+def intersect(one: Box, other: Box) -> Box | None:
+    """Returns the box of all that both cover, or None if nothing is."""
     if one.cls and other.cls and one.cls != other.cls:
         return None
     if one.group >= 0 and other.group >= 0 and one.group != other.group:
         return None
+    part_low, part_high = max(one.part_low, other.part_low), min(one.part_high, other.part_high)
+    if part_low > part_high:
+        return None
+    ids = _intersect_ids(one, other)
+    if ids is None:
+        return None
+    group = max(one.group, other.group)
+    return Box(one.cls or other.cls, group, ids.low, ids.high, ids.mask, ids.value, part_low, part_high)
+
+
+class _Ids(NamedTuple):
+    """The conditions of a box on object ids."""
+
+    low: int
+    high: int
+    mask: int
+    value: int
+
+
+def _intersect_ids(one: Box, other: Box) -> _Ids | None:
     shared = one.mask & other.mask
     if one.value & shared != other.value & shared:
         return None
     low, high = max(one.low, other.low), min(one.high, other.high)
-    part_low, part_high = max(one.part_low, other.part_low), min(one.part_high, other.part_high)
-    if low > high or part_low > part_high:
+    if low > high:
         return None
     mask, value = one.mask | other.mask, one.value | other.value
     if mask and low == high:
-        if low & mask != value:
-            return None
-        mask = value = 0
-    elif mask == OBJECT_MOST:  # every place is known: one object
-        if not low <= value <= high:
-            return None
-        low = high = value
-        mask = value = 0
-    return Box(one.cls or other.cls, max(one.group, other.group), low, high, mask, value, part_low, part_high)
+        return _Ids(low, high, 0, 0) if low & mask == value else None
+    if mask == MAX_OBJECT_ID:  # every place is known: one object
+        return _Ids(value, value, 0, 0) if low <= value <= high else None
+    return _Ids(low, high, mask, value)
--- a/gladelane/purges/subscriber.py
+++ b/gladelane/purges/subscriber.py
@@ -1,5 +1,5 @@
-"""Subscribes to one purge log: resumes from the position reached, and knows when it has caught up and when it
-is cut off."""
+"""A subscription to one purge log server: it resumes from the position reached, and knows when it has caught
+up and when it is cut off."""
 
 from __future__ import annotations
 
@@ -9,52 +9,78 @@
 import ssl
 from collections.abc import Callable
 from contextlib import aclosing
+from typing import Protocol
 
-from ..control.http import CALL_ERRORS, stream_response
-from ..control.positions import BadPosition, Vector, read_vector, vector_text
+from ..control_plane.errors import error_label
+from ..control_plane.http import CALL_ERRORS, stream_response
+from ..control_plane.positions import InvalidPositionError, Vector, format_vector, parse_vector
 from ..sse import EventStream
 from ..structures.backoff import Backoff
-from .order import BadPurge, Purge
+from .purge import InvalidPurgeError, Purge
+from .vectors import includes
 from .wire import HEARTBEAT_TIMEOUT_S, Event, event_decoder
 
 log = logging.getLogger(__name__)
 
-STREAM_ERRORS = (*CALL_ERRORS, BadPurge, BadPosition)  # the stream is lost, and is resumed
+STREAM_ERRORS = (
+    *CALL_ERRORS,
+    InvalidPurgeError,
+    InvalidPositionError,
+)  # they end a stream, which is then resumed
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.1, 1.0
 
 
+class SubscriptionHandler(Protocol):
+    """Handles what a server sends. If a method raises one of `STREAM_ERRORS`, the stream ends and is
+    resumed."""
+
+    def known_vector(self) -> Vector:
+        """Returns the position from which a stream resumes."""
+
+    def on_purges(self, purges: list[Purge], source: Subscriber) -> None:
+        """Handles purges in the order in which they were sent."""
+
+    def on_losses(self, event: Event, source: Subscriber) -> None:
+        """Handles the name of the server and the losses, before the position of the same event."""
+
+    def on_position(self, vector: Vector, source: Subscriber) -> None:
+        """Handles the position up to which everything was sent."""
+
+
 class Subscriber:
-    """`vector` says what is known already; `on_purges` is given what is told, in order; `on_losses` hears who
-    tells and what was lost, before the `on_mark` that it came with. What they raise of `STREAM_ERRORS` ends
-    the stream, which is resumed.
+    """Receives the stream of one server.
 
-    heard_ms: when the latest mark came; caught_ms: when everything that a mark named was known, 0: not
-    yet."""
+    Attributes: host and port; state, as text; heard_ms, when the latest position came, in Unix ms;
+    caught_up_ms, when everything up to a position was known, 0.0 if not yet; caught_up, set from then on. For
+    the event that is being handled: server_clock_ms, the server's clock when it was sent, 0.0 if unknown;
+    received_ms, when it was read, in Unix ms; round_trip_ms, for the first of a stream the time since its
+    request, None for all others."""
 
     def __init__(
         self,
         host: str,
         port: int,
         token: Callable[[], str],
-        vector: Callable[[], Vector],
-        on_purges: Callable[[list[Purge]], None],
-        on_mark: Callable[[Vector], None],
+        handler: SubscriptionHandler,
         clock: Callable[[], float],
         tls: ssl.SSLContext | None = None,
-        on_losses: Callable[[Event], None] = lambda _: None,
-        as_peer: bool = False,
+        is_peer: bool = False,
     ) -> None:
+        """`token` and `clock` return the current token and Unix ms; `is_peer`: subscribes as another server,
+        and not as a director."""
         self.host, self.port = host, port
-        self.heard_ms = self.caught_ms = 0.0
+        self.heard_ms = self.caught_up_ms = self.server_clock_ms = self.received_ms = 0.0
+        self.round_trip_ms: float | None = None
         self.state = "not reached yet"
         self.caught_up = asyncio.Event()
-        self._token, self._vector, self._clock, self._tls = token, vector, clock, tls
-        self._on_purges, self._on_mark, self._on_losses = on_purges, on_mark, on_losses
-        self._peer_flag = "&peer=1" if as_peer else ""
+        self._token, self._handler, self._clock, self._tls = token, handler, clock, tls
+        self._peer_flag = "&peer=1" if is_peer else ""
+        self._requested_ms: float | None = None  # until the first event of a stream
         self._from_beginning = False
         self._stream: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
+        """Receives until it is cancelled; a stream that ends is resumed after a backoff."""
         backoff = Backoff(random.Random(), MIN_BACKOFF_S, MAX_BACKOFF_S)
         while True:
             heard_before_ms = self.heard_ms
@@ -65,26 +91,32 @@
             except asyncio.CancelledError:
                 task = asyncio.current_task()
                 if not self._from_beginning or (task is not None and task.cancelling()):
-                    raise  # not the stream alone: this task is to end
+                    raise  # this task was cancelled, and not only the stream
                 self.state = "follows again"
             except STREAM_ERRORS as error:
-                self.state = f"lost: {type(error).__name__} {error}"
-                log.warning("feed lost feed=%s:%d: %s %s", self.host, self.port, type(error).__name__, error)
-            except Exception:  # a director that no longer listens would go on by old purges
+                self.state = f"lost: {error_label(error)} {error}"
+                log.warning("feed lost feed=%s:%d: %s %s", self.host, self.port, error_label(error), error)
+            except Exception:  # a director that stops listening would serve by old purges
                 log.exception("feed failed")
             await asyncio.sleep(backoff.after(self.heard_ms > heard_before_ms))
 
+    @property
+    def is_live(self) -> bool:
+        """Whether everything that the server knew before was received, at any time since our start."""
+        return self.caught_up.is_set()
+
     def restart(self) -> None:
-        """From the beginning, on a new connection: what went wrong on the way here may lie in the stream."""
+        """Subscribes from the beginning on a new connection, in case something was lost on the stream."""
         self._from_beginning = True
         if self._stream is not None:
             self._stream.cancel()
 
     async def _subscribe(self) -> None:
         events = EventStream()
-        known = {} if self._from_beginning else self._vector()
+        known = {} if self._from_beginning else self._handler.known_vector()
         self._from_beginning = False
-        target = f"/follow?from={vector_text(known)}{self._peer_flag}"
+        target = f"/follow?from={format_vector(known)}{self._peer_flag}"
+        self._requested_ms = self._clock()
         response = stream_response(self.host, self.port, "GET", target, self._token(), tls=self._tls)
         async with aclosing(response) as stream:
             while True:
@@ -96,18 +128,21 @@
                     self._receive(text)
 
     def _receive(self, text: str) -> None:
+        self.received_ms = self._clock()
+        self.round_trip_ms = None if self._requested_ms is None else self.received_ms - self._requested_ms
+        self._requested_ms = None
         event = event_decoder.decode(text)
+        self.server_clock_ms = event.sent_ms
         if event.purges:
-            self._on_purges(event.purges)
+            self._handler.on_purges(event.purges, self)
         if event.losses or event.name:
-            self._on_losses(event)
-        if event.mark is None:
+            self._handler.on_losses(event, self)
+        if event.position is None:
             return
-        vector = read_vector(event.mark)
-        self._on_mark(vector)
+        vector = parse_vector(event.position)
+        self._handler.on_position(vector, self)
         self.heard_ms = self._clock()
         self.state = "follows"
-        known = self._vector()
-        if all(known.get(stream, 0) >= last for stream, last in vector.items()):
-            self.caught_ms = self.heard_ms
+        if includes(self._handler.known_vector(), vector):
+            self.caught_up_ms = self.heard_ms
             self.caught_up.set()
--- /dev/null
+++ b/gladelane/purges/subscription.py
@@ -0,0 +1,235 @@
+"""A director's subscription to the fleet's purges.
+
+It subscribes to every purge log server, makes binding what it receives, and stores it if a folder is set. The
+decisions are in `active_purges`, `copy_limits`, `backfill` and `orders`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import random
+from collections.abc import Callable, Mapping
+
+from ..control_plane.positions import InvalidPositionError, Vector
+from ..control_plane.tokens import Tokens
+from ..storage.files import Disk
+from .active_purges import ActivePurges
+from .backfill_sender import FOLLOWS, BackfillSender
+from .copy_limits import CopyLimits
+from .cutoff import CutOff, Link
+from .index import scope_index
+from .options import Options
+from .order_sender import OrderSender
+from .orders import Orders
+from .purge import InvalidPurgeError, Purge, log_invalid_purge
+from .purge_index import PurgeIndex
+from .receipt import Receipt
+from .refetch_budget import PartKey, RefetchBudget
+from .scope import InvalidScopeError
+from .subscriber import Subscriber
+from .subscription_store import SubscriptionStore
+from .wire import Event
+
+log = logging.getLogger(__name__)
+
+INTERVAL_S = 0.2  # between two looks at the link to the servers, and between two writes
+EXPIRY_INTERVALS = 300  # after so many looks, purges expire
+MAX_ORDERS_IN_FLIGHT = 8
+
+
+class PurgeSubscription:
+    """The purges of a director, and what follows from them for its requests.
+
+    Attributes: options; clock, in Unix ms; active; orders, to cache servers; refetch_budget, the budget for
+    copies that became void; store; subscribers, one for each server; on_change, called when something else is
+    known."""
+
+    def __init__(
+        self,
+        options: Options,
+        index: PurgeIndex,
+        clock: Callable[[], float],
+        disk: Disk | None = None,
+        directors: int = 1,
+        rng: random.Random | None = None,
+    ) -> None:
+        """Recovers from the disk, if there is one. `directors`: how many share the origin. Raises
+        CorruptLogError, TokenFileError, OSError, and TypeError for an index that cannot hold scopes."""
+        self.options, self.clock = options, clock
+        self.on_change: Callable[[], None] = lambda: None
+        rng = rng or random.Random()
+        now_ms = clock()
+        self.active = ActivePurges(scope_index(index), True, options.retention_ms, options.skew_ms)
+        self.orders = Orders(options.orders_per_s, MAX_ORDERS_IN_FLIGHT, now_ms)
+        share_per_s = options.origin_per_s / max(directors, 1)
+        self.refetch_budget = RefetchBudget(share_per_s or options.cut_off_per_s, share_per_s, now_ms, rng)
+        self._tokens = Tokens(options.token_file)
+        self.store = SubscriptionStore(disk, self.active, now_ms)
+        self.subscribers = [
+            Subscriber(host, port, self._tokens.first_token, self, clock) for host, port in options.feeds
+        ]
+        self._limits = CopyLimits(options, self.active, self.refetch_budget, self.subscribers, now_ms)
+        self._backfill = BackfillSender(self.active, self.subscribers, self._tokens.first_token, rng)
+        self._tasks: list[asyncio.Task[None]] = []
+        self._update_low_watermark()
+        if options.order_kinds:
+            self.orders.add(self.active.purges_after({}))
+
+    def start(self, order_sender: OrderSender | None = None) -> None:
+        """Starts to receive and to store. `order_sender` is run if the options name servers that take
+        orders."""
+        self._tasks = [asyncio.create_task(subscriber.run()) for subscriber in self.subscribers]
+        if order_sender is not None and self.options.order_kinds:
+            self._tasks.append(asyncio.create_task(order_sender.run()))
+        # storing has a task of its own: a slow disk must not keep the director from noticing that it is cut
+        # off
+        self._tasks += [asyncio.create_task(self._watch()), asyncio.create_task(self._save_regularly())]
+
+    async def ready(self) -> None:
+        """Waits until one server has sent everything, at most `start_wait_ms`. After that strict classes are
+        limited as when cut off, and the director serves."""
+        waits = [asyncio.create_task(subscriber.caught_up.wait()) for subscriber in self.subscribers]
+        timeout_s = self.options.start_wait_ms / 1000.0
+        done, pending = await asyncio.wait(waits, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
+        for wait in pending:
+            wait.cancel()
+        if not done:
+            log.error("no feed reached within ms=%.0f", self.options.start_wait_ms)
+        self.judge()
+
+    async def close(self) -> None:
+        """Cancels all tasks, and stores what is pending."""
+        for task in self._tasks:
+            task.cancel()
+        await asyncio.gather(*self._tasks, return_exceptions=True)
+        await self._backfill.close()
+        await self.store.close()
+
+    # --- what servers send
+
+    def known_vector(self) -> Vector:
+        """Returns the position from which a stream resumes."""
+        return self.active.positions.vector()
+
+    def on_purges(self, purges: list[Purge], source: Subscriber) -> None:
+        """Applies purges, with the clocks by which they were received."""
+        receipt = Receipt(source.server_clock_ms, source.is_live, self._limits.newest_date_ms)
+        self.receive(purges, receipt)
+
+    def receive(self, purges: list[Purge], receipt: Receipt | None = None) -> None:
+        """Applies purges; invalid ones are logged and skipped."""
+        now_ms = self.clock()
+        for purge in purges:
+            try:
+                is_new = self.active.apply(purge, now_ms, receipt)
+            except (InvalidPurgeError, InvalidPositionError, InvalidScopeError) as error:
+                log_invalid_purge(log, purge, error)
+                continue
+            if not is_new:
+                continue
+            self.store.add_purge(purge)
+            if self.options.order_kinds:
+                self.orders.add((purge,))
+        self.on_change()
+
+    def on_losses(self, event: Event, source: Subscriber) -> None:  # noqa: ARG002  of the protocol
+        """Merges losses. Raises InvalidPurgeError."""
+        changed = self.active.low_watermark.merge(event.losses, self.clock())
+        if changed:
+            self.store.add_losses(changed)
+            self._update_low_watermark()
+
+    def on_position(self, vector: Vector, source: Subscriber) -> None:
+        """Adopts the position up to which a server has sent everything."""
+        self._backfill.on_position(vector, source)
+        self.adopt_position(vector)
+
+    def adopt_position(self, vector: Vector) -> None:
+        """Regards everything up to a position as known."""
+        if not self.active.positions.covers(vector):
+            self.active.positions.advance_to(vector)
+            self.store.add_position(vector)
+            self.on_change()
+
+    def _update_low_watermark(self) -> None:
+        if self._limits.update_low_watermark(self.clock()):
+            self.on_change()
+
+    def own_token(self) -> str:
+        """Returns the token that servers are shown."""
+        return self._tokens.first_token()
+
+    def resubscribe(self) -> None:
+        """Subscribes to all servers again, from the beginning."""
+        for subscriber in self.subscribers:
+            subscriber.restart()
+
+    def listed(self, runs: Mapping[str, tuple[str, float]]) -> None:
+        """Sets the cache servers of the endpoint list: the kind of each and the start of its process."""
+        kinds = self.options.order_kinds
+        self.orders.servers({name: run for name, (kind, run) in runs.items() if kind in kinds})
+
+    # --- what requests ask
+
+    @property
+    def cut_off(self) -> CutOff:
+        """The state of the link to the servers."""
+        return self._limits.cut_off
+
+    @property
+    def low_watermark_ms(self) -> float:
+        """The moment before which copies may be older than a lost purge, in Unix ms; 0.0: none is missing."""
+        return self._limits.low_watermark_ms
+
+    def max_copy_age_ms(self, cls: str) -> float:
+        """Returns the age above which no copy may be used for a class."""
+        return self._limits.max_copy_age_ms(cls, self.clock())
+
+    def admits(self, cls: str, part: PartKey, weight: float) -> float:
+        """Returns 0.0 if a request may go on, or the time in ms after which to try again."""
+        return self._limits.admits(cls, part, weight, self.clock())
+
+    def answered(self, cls: str, part: PartKey, dated_ms: float, in_time: bool) -> None:
+        """Records that an attempt ended. `dated_ms`: the date of the copy, 0.0 if none was used."""
+        self._limits.answered(cls, part, dated_ms, in_time)
+
+    def judge(self) -> None:
+        """Looks at the link to the servers."""
+        if self._limits.update_link(self.clock()):
+            self.on_change()
+
+    @property
+    def follows(self) -> bool:
+        """Whether some server has recently sent everything that it knows."""
+        return self.cut_off.link is not Link.CUT_OFF
+
+    def lines(self) -> list[tuple[str, int]]:
+        """Returns the metrics."""
+        return [
+            ("purges_standing", len(self.active)),
+            ("purges_known_since_ms", int(self.low_watermark_ms)),
+            ("feeds_followed", sum(subscriber.state == FOLLOWS for subscriber in self.subscribers)),
+            ("renewals", self.refetch_budget.refetched),
+            ("renewals_refused", self.refetch_budget.rejected),
+            ("renewals_bind", int(self.refetch_budget.is_active)),
+            ("reseeded", self._backfill.sent),
+        ]
+
+    # --- background
+
+    async def _watch(self) -> None:
+        looks = 0
+        while True:
+            await asyncio.sleep(INTERVAL_S)
+            self.judge()
+            self._backfill.start_due(self.clock())
+            looks += 1
+            if looks % EXPIRY_INTERVALS == 0:
+                self.active.expire(self.clock())
+                self.orders.compact(self.active.purges_after({}), len(self.active))
+
+    async def _save_regularly(self) -> None:
+        while True:
+            await asyncio.sleep(INTERVAL_S)
+            await self.store.save()
--- a/gladelane/purges/wire.py
+++ b/gladelane/purges/wire.py
@@ -1,11 +1,14 @@
-"""What travels between feeds, their followers and those who send purges. No I/O.
-
-A stream of server-sent events, each one JSON object: `{"purges": [...]}` with some that the follower lacks,
-oldest first, and `{"mark": "issuer:epoch=last,..."}` once it lacks none: all up to there was told on this
-stream, or is past its retention. A mark comes every second also where nothing is new, so silence means that
-the line is dead. With the first mark, and when they change, come `losses` (see `horizon`), the feed's `name`
-and how many `copies` it answers for. A director that knows purges which a feed lacks sends it such events
-(`POST /events`).
+"""The messages between purge log servers, their subscribers, and those who send purges.
+
+A subscription is a stream of server-sent events, each of them one JSON object. `{"purges": [...]}` has purges
+that the subscriber lacks, oldest first. `{"mark": "issuer:epoch=last,..."}` follows once it lacks none:
+everything up to this position was sent on this stream, or is past its retention. Such a position is sent
+every second even if nothing is new, so silence means that the connection is dead. The first one, and any
+after a change, comes with the `losses` (see `low_watermark`), the `name` of the server, and the number of
+`copies` that it waits for. Each event has the clock of the server as `sent_ms`. A director that has purges
+which a server lacks sends it the same events (`POST /events`).
+
+Names on the wire are fixed; fields with other names give them by `msgspec.field`.
 """
 
 from __future__ import annotations
@@ -14,73 +17,87 @@
 
 import msgspec
 
-from .horizon import Loss
-from .order import Purge
+from .low_watermark import Loss
+from .purge import Purge
 
 MAX_BATCH = 500  # purges in one event
 BATCH_BYTES = 1_000_000  # of scopes in one event
-HEARTBEAT_S = 1.0  # between two marks of a stream on which nothing is new
-HEARTBEAT_TIMEOUT_S = 3.0  # without a byte for so long a stream is given up
+HEARTBEAT_S = 1.0  # between two positions of a stream on which nothing is new
+HEARTBEAT_TIMEOUT_S = 3.0  # without a byte, after which a stream is given up
 
 
-class Submit(msgspec.Struct, forbid_unknown_fields=True):
-    """A purge as it is asked for. tags: names and scopes sent along, beside the feed's catalog."""
+class SubmitRequest(msgspec.Struct, forbid_unknown_fields=True):
+    """A request for a purge. `tags`: names and scopes, in addition to the catalog of the server."""
 
     scope: str
     tags: dict[str, str] = {}
 
 
-class Vouch(msgspec.Struct, forbid_unknown_fields=True):
-    """An operator's word about all feeds: all purges from `since_ms` on are known; 0: none is missing."""
+class AttestRequest(msgspec.Struct, forbid_unknown_fields=True):
+    """An operator's attestation for all servers: every purge from `since_ms` on is known, in Unix ms; 0: none
+    is missing."""
 
     since_ms: float
-    why: str = ""
+    reason: str = msgspec.field(name="why", default="")
 
 
 class Accepted(msgspec.Struct):
-    """It is stored. again: an earlier request with this key had asked for it."""
+    """The response for a purge that was stored. `is_repeated`: an earlier request with the same key caused
+    it."""
 
     issuer: str
     epoch: int
     seq: int
     at_ms: float
     scope: str
-    again: bool = False
+    is_repeated: bool = msgspec.field(name="again", default=False)
 
 
 class Event(msgspec.Struct, omit_defaults=True):
+    """An event of a subscription.
+
+    Attributes: position, see above; name and copies of the server; sent_ms, the server's own clock in Unix
+    ms, 0.0 if unknown. The age of a purge by that clock is right even if the clock is wrong."""
+
     purges: list[Purge] = []
-    mark: str | None = None
+    position: str | None = msgspec.field(name="mark", default=None)
     losses: list[Loss] = []
     name: str = ""
     copies: int = 1
+    sent_ms: float = 0.0
 
 
 class Status(msgspec.Struct):
+    """The state of a purge log server.
+
+    Attributes: active, how many purges are; peers, the state of the subscription to each; can_store, whether
+    the disk accepted the last write; recovered, what the start read from the disk; low_watermark_ms, the
+    moment from which on all purges are known, in Unix ms, 0.0 if all that bind are."""
+
     name: str
     epoch: int
-    standing: int
+    active: int = msgspec.field(name="standing")
     positions: str
     gaps: list[str]
-    followers: int
+    subscribers: int = msgspec.field(name="followers")
     peers: dict[str, str]
-    takes: bool
+    can_store: bool = msgspec.field(name="takes")
     recovered: str
-    horizon_ms: float = 0.0  # all purges from here on are known; 0: all that bind are
+    low_watermark_ms: float = msgspec.field(name="horizon_ms", default=0.0)
     losses: list[Loss] = []
     copies: int = 1
 
 
 event_decoder: msgspec.json.Decoder[Event] = msgspec.json.Decoder(Event)
-vouch_decoder: msgspec.json.Decoder[Vouch] = msgspec.json.Decoder(Vouch)
-submit_decoder: msgspec.json.Decoder[Submit] = msgspec.json.Decoder(Submit)
+attest_decoder: msgspec.json.Decoder[AttestRequest] = msgspec.json.Decoder(AttestRequest)
+submit_decoder: msgspec.json.Decoder[SubmitRequest] = msgspec.json.Decoder(SubmitRequest)
 purge_decoder: msgspec.msgpack.Decoder[Purge] = msgspec.msgpack.Decoder(Purge)
 encode_json = msgspec.json.encode
 encode_purge = msgspec.msgpack.encode
 
 
 def batches(purges: Iterable[Purge]) -> Iterator[list[Purge]]:
-    """So many purges to an event, and so many bytes of scopes."""
+    """Yields purges in lists that fit into one event each."""
     batch: list[Purge] = []
     size = 0
     for purge in purges:
--- a/gladelane/recovery/options.py
+++ b/gladelane/recovery/options.py
@@ -1,4 +1,4 @@
-"""What an operator's file says of coming back."""
+"""The `recovery` section of an operator's file."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 
 
 class Options(msgspec.Struct, frozen=True):
-    """Of the operator's file. dir: empty: nothing is kept."""
+    """`dir` is the folder for learnt state and keys; without one nothing is stored. Learnt state is written
+    every `every_ms` and used by the next process if it is no older than `most_age_ms`."""
 
     dir: str = ""
     every_ms: float = 5_000.0
--- a/gladelane/recovery/purge_source.py
+++ b/gladelane/recovery/purge_source.py
@@ -1,4 +1,4 @@
-"""What the phases ask of the fleet's purges, as protocols: `recovery` imports nothing of `purges`."""
+"""What recovery asks of the fleet's purges, as protocols: `recovery` imports nothing of `purges`."""
 
 from __future__ import annotations
 
@@ -7,33 +7,37 @@
 
 
 class Subscription(Protocol):
-    """One purge log server that is followed. caught_ms: when all that it named was known, 0: not yet."""
+    """The subscription to one purge log server."""
 
-    caught_ms: float
+    caught_up_ms: float
+    """When all purges that the server announced at the start were known, ms; 0 before that."""
 
 
-class RenewalBudget(Protocol):
-    """The budget of renewals after copies became void."""
+class RefetchBudget(Protocol):
+    """The budget for refetching copies that purges made void."""
 
     @property
-    def binds(self) -> bool: ...
+    def is_active(self) -> bool:
+        """Whether the operator's file limits refetches."""
 
-    def idle(self, now_ms: float) -> bool:
-        """Whether it turns nobody away, a second long."""
+    def is_idle(self, now_ms: float) -> bool:
+        """Whether it has denied no refetch for a second."""
 
 
 class PurgeSource(Protocol):
-    """A director's purges."""
+    """A director's view of the fleet's purges."""
 
     @property
-    def followers(self) -> Sequence[Subscription]: ...
+    def subscribers(self) -> Sequence[Subscription]:
+        """One subscription for each purge log server."""
 
     @property
-    def renewal(self) -> RenewalBudget: ...
+    def refetch_budget(self) -> RefetchBudget:
+        """The budget for refetches."""
 
     @property
     def follows(self) -> bool:
-        """Whether some server has told all that it knows, lately."""
+        """Whether some server was heard from lately and has sent all that it knows."""
 
     def lines(self) -> list[tuple[str, int]]:
-        """For the operators' figures."""
+        """Names and values for the admin endpoint's metrics."""
--- a/gladelane/recovery/service.py
+++ b/gladelane/recovery/service.py
@@ -1,4 +1,6 @@
-"""One director's way back, wired: the lasting folder, the phases, and their figures. Decides nothing."""
+"""Connects recovery to a running director: the durable folder, the phases, and their metrics. It does I/O and
+decides nothing.
+"""
 
 from __future__ import annotations
 
@@ -7,21 +9,25 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from ..durable.files import InUse
+from ..admin.metrics import SUCCESS
 from ..net.director import Director
-from ..operations.figures import SUCCESS
+from ..storage.files import FolderInUseError
+from ..storage.outage import Outage, is_transient
 from .options import Options
-from .phases import Phase, Phases, Seen
+from .phases import Phase, Phases, ServiceSnapshot
 from .purge_source import PurgeSource
 from .state_store import StateStore
 
 log = logging.getLogger(__name__)
 
-LOOK_S = 0.25
-OPEN_AGAIN_S = 2.0  # while the process before this one still has the folder
+UPDATE_PHASE_S = 0.25
+REOPEN_S = 2.0  # between attempts to open the folder, while the previous process has it
 
 
 class Recovery:
+    """One director's recovery. `state_store` is None without a folder, and while the folder cannot be
+    opened."""
+
     def __init__(
         self,
         options: Options,
@@ -37,11 +43,19 @@
         self.phases = Phases(clock())
         self.state_store: StateStore | None = None
         self._tasks: list[asyncio.Task[None]] = []
+        self._outage = Outage(log, "warm start: folder")
+        self._unread_until_ms = 0.0  # until then, keys that the previous process used may be unknown
+        self._most_keys = director.keys.max_keys
         if options.dir:
-            try:
-                self._open()
-            except InUse:
-                log.info("warm start: the process before this one has the folder")
+            self._open_at_start()
+
+    def _open_at_start(self) -> None:
+        try:
+            self._open()
+        except FolderInUseError:
+            log.info("warm start: the process before this one has the folder")
+        except OSError as error:
+            self._wait_for_folder(error)
 
     def _open(self) -> None:
         options = self._options
@@ -53,72 +67,108 @@
             options.every_ms,
             options.most_age_ms,
         )
-        self._director.keys.told = self.state_store.keys.write
+        self._outage.report_success()
+
+    def _wait_for_folder(self, error: OSError) -> None:
+        """The keys that the previous process used cannot be read, so new keys are rejected meanwhile."""
+        if not is_transient(error):
+            raise error
+        self._outage.report_failure(error)
+        self._unread_until_ms = self._clock() + self._director.keys.retention_ms
+        self._director.keys.max_keys = 0
 
     def take_over(self) -> None:
-        """Once the list was heard, before clients are let in."""
+        """Restores learnt state and keys, once the endpoint list is known and before clients are admitted."""
         if self.state_store is not None:
             self.state_store.take_over(self._director.keys)
 
     def start(self) -> None:
-        self._tasks = [asyncio.create_task(self._look()), asyncio.create_task(self._keep())]
+        """Starts updating the phase and storing learnt state."""
+        self._tasks = [
+            asyncio.create_task(self._update_phases()),
+            asyncio.create_task(self._run_state_store()),
+        ]
 
-    async def _keep(self) -> None:
+    async def _run_state_store(self) -> None:
         while self.state_store is None and self._options.dir:
-            await asyncio.sleep(OPEN_AGAIN_S)
+            await asyncio.sleep(REOPEN_S)
             try:
-                self._open()
+                self._open_late()
             except OSError as error:
                 log.debug("warm start: %s", error)
         if self.state_store is not None:
             await self.state_store.run()
 
-    async def _look(self) -> None:
+    def _open_late(self) -> None:
+        """Opens the folder while clients are served: keys from the folder join those in memory, and keys used
+        meanwhile are stored."""
+        self._open()
+        if self.state_store is None:
+            return
+        windows = self._director.keys
+        known = [(key, *attempt) for key, ran in windows.snapshot(self._clock()).items() for attempt in ran]
+        if self._unread_until_ms:
+            windows.take_over(self.state_store.keys.found)
+        for key, at_ms, store in known:
+            self.state_store.keys.write(key, at_ms, store)
+        windows.max_keys = self._most_keys
+        self.state_store.follow(windows)
+
+    def _watch_keys(self) -> None:
+        if self.state_store is not None:
+            self.state_store.watch_keys()
+        elif self._unread_until_ms and self._clock() >= self._unread_until_ms:
+            self._director.keys.max_keys = self._most_keys
+
+    async def _update_phases(self) -> None:
         while True:
-            self.look()
-            await asyncio.sleep(LOOK_S)
+            self.update_phase()
+            self._watch_keys()
+            await asyncio.sleep(UPDATE_PHASE_S)
 
-    def look(self) -> None:
+    def update_phase(self) -> None:
+        """Reads the service's state and logs a change of phase."""
         phases = self.phases
-        if phases.update(self._seen(), self._clock()):
-            log.info(
-                "phase=%s reason=%s after_ms=%.0f",
-                phases.phase.name.lower(),
-                phases.reason.name.lower(),
-                self._clock() - phases.since_ms if phases.phase is not Phase.FULL else phases.back_ms,
-            )
-
-    def _seen(self) -> Seen:
+        if not phases.update(self._snapshot(), self._clock()):
+            return
+        is_full = phases.phase is Phase.FULL
+        log.info(
+            "phase=%s reason=%s after_ms=%.0f",
+            phases.phase.name.lower(),
+            phases.reason.name.lower(),
+            phases.recovered_after_ms if is_full else self._clock() - phases.since_ms,
+        )
+
+    def _snapshot(self) -> ServiceSnapshot:
         classes, purges = self._director.settings.classes, self._purges
-        rows = self._director.figures.classes
+        rows = self._director.metrics.classes
         asked = sum(classes[name].worth * sum(row) for name, row in rows.items() if name in classes)
         earned = sum(classes[name].worth * row[SUCCESS] for name, row in rows.items() if name in classes)
         if purges is None:
-            return Seen(self._listens(), True, True, False, asked, earned)
-        caught_up = any(one.caught_ms for one in purges.followers)
-        renewing = purges.renewal.binds and not purges.renewal.idle(self._clock())
-        return Seen(self._listens(), caught_up, purges.follows, renewing, asked, earned)
+            return ServiceSnapshot(self._listens(), True, True, False, asked, earned)
+        caught_up = any(subscription.caught_up_ms for subscription in purges.subscribers)
+        renewing = purges.refetch_budget.is_active and not purges.refetch_budget.is_idle(self._clock())
+        return ServiceSnapshot(self._listens(), caught_up, purges.follows, renewing, asked, earned)
 
     def lines(self) -> list[tuple[str, int]]:
-        """For the operators' figures."""
+        """Names and values for the admin endpoint's metrics."""
         phases = self.phases
-        since = 0 if phases.phase is Phase.FULL else int(self._clock() - phases.since_ms)
+        since_ms = 0 if phases.phase is Phase.FULL else int(self._clock() - phases.since_ms)
         own = [
             ("phase", int(phases.phase)),
             ("phase_reason", int(phases.reason)),
-            ("phase_since_ms", since),
-            ("full_service_ms", int(phases.back_ms)),
-            ("warm_start", int(self.state_store is not None and self.state_store.took)),
+            ("phase_since_ms", since_ms),
+            ("full_service_ms", int(phases.recovered_after_ms)),
+            ("warm_start", int(self.state_store is not None and self.state_store.is_warm)),
         ]
         return own + (self._purges.lines() if self._purges is not None else [])
 
     async def close(self) -> None:
+        """Writes learnt state once more, so that a planned restart loses none of it, and releases the
+        folder."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         if self.state_store is not None:
-            try:
-                await self.state_store.write()  # a restart on purpose loses nothing of it
-            except (OSError, ValueError) as error:
-                log.warning("warm start: not stored: %s", error)
+            await self.state_store.write()
             self.state_store.close()
--- a/gladelane/recovery/state_store.py
+++ b/gladelane/recovery/state_store.py
@@ -1,10 +1,8 @@
-"""The lasting folder of a director: what it learnt, every few seconds and off the serving path, and the keys
-that it is about to try, each before its first byte. What is taken of it is decided in `warm` and
-`routes/keys.py`.
+"""The durable folder of a director: learnt state, written every few seconds off the serving path, and the log
+of idempotency keys. What may be used of it is decided in `warm_start` and `routing.idempotency`.
 
-Learnt things go through the log's snapshots, synced in a thread. Keys are appended unsynced: that outlives a
-killed process, not a power cut, and costs one write; two files take turns, since a key matters for seconds
-only."""
+Learnt state is stored as a snapshot of a write-ahead log and synced in a thread.
+"""
 
 from __future__ import annotations
 
@@ -15,81 +13,28 @@
 
 import msgspec
 
-from ..choice import Router
-from ..durable.files import Disk, Folder, set_aside
-from ..durable.log import MOST_RECORD, Damaged, Log, encode_record, record_at, recover
-from ..routes.keys import KeyWindows, kept_for
-from ..upgrade.learnt import take_snapshot
-from .warm import FORMAT, Warm, apply, digest, unfit
+from ..hot_restart.learnt import take_snapshot
+from ..routing.idempotency import KeyWindows, retention_for
+from ..routing.router import Router
+from ..storage.boot import BootMoment, boot_moment
+from ..storage.files import Folder, rename_damaged_folder
+from ..storage.log import MAX_RECORD_BYTES, CorruptLogError, WriteAheadLog, recover
+from ..storage.outage import Outage
+from .key_log import KeyLog
+from .warm_start import (
+    FORMAT,
+    WarmStartDocument,
+    apply_document,
+    document_age_ms,
+    reason_to_reject,
+    settings_digest,
+)
 
 log = logging.getLogger(__name__)
 
-KEY_FILES = ("keys-0", "keys-1")
-
-
-class Tried(msgspec.Struct, array_like=True):
-    key: str
-    at_ms: float
-    store: str
-
-
-class KeyLog:
-    """Which keys may have run, where and when. `kept_ms`: as in KeyWindows."""
-
-    def __init__(self, disk: Disk, now_ms: float, kept_ms: float) -> None:
-        """Reads what is there. Raises OSError."""
-        self._kept_ms = kept_ms
-        self._disk = disk
-        self.found: dict[str, list[tuple[float, str]]] = {}
-        self._number = 0
-        self._turned_ms = now_ms
-        self._failed = False
-        self._whole = 0  # bytes of the present file, up to the end of its last whole record
-        for name in KEY_FILES:
-            if name in disk.names():
-                self._read(disk.read(name), now_ms)
-                disk.truncate(name, 0)
-        for key, tried in list(self.found.items()):  # one file from here on has all that still counts
-            for at_ms, store in tried:
-                self._append(Tried(key, at_ms, store))
-
-    def _read(self, data: bytes, now_ms: float) -> None:
-        at = 0
-        while (record := record_at(data, at)) is not None:  # ends before a torn one, whose byte never left
-            at += len(encode_record(record[0], record[1]))
-            tried: Tried = msgspec.msgpack.decode(record[1], type=Tried)
-            if now_ms - self._kept_ms <= tried.at_ms <= now_ms + self._kept_ms:
-                self.found.setdefault(tried.key, []).append((tried.at_ms, tried.store))
-
-    def write(self, key: str, at_ms: float, store: str) -> None:
-        if at_ms - self._turned_ms >= 2 * self._kept_ms:  # the other file is begun anew
-            self._turned_ms = at_ms
-            self._number = 1 - self._number
-            self._whole = 0
-            try:
-                if KEY_FILES[self._number] in self._disk.names():
-                    self._disk.truncate(KEY_FILES[self._number], 0)
-            except OSError as error:
-                log.warning("keys: %s", error)
-        self._append(Tried(key, at_ms, store))
-
-    def _append(self, tried: Tried) -> None:
-        record = encode_record(0, msgspec.msgpack.encode(tried))
-        name = KEY_FILES[self._number]
-        try:
-            if self._failed:  # half a record would hide those behind it
-                self._disk.truncate(name, self._whole)
-            self._disk.append(name, record)
-            self._failed = False
-            self._whole += len(record)
-        except OSError as error:
-            if not self._failed:  # once a failure: the request goes on, a restart would not know its key
-                log.error("keys not stored: %s", error)
-            self._failed = True
-
 
 class StateStore:
-    """One director's. `name`: as in the hand-over."""
+    """The folder of one director, open as long as the process runs."""
 
     def __init__(
         self,
@@ -99,84 +44,137 @@
         clock: Callable[[], float],
         every_ms: float,
         most_age_ms: float,
+        moment: Callable[[], BootMoment] = boot_moment,
     ) -> None:
-        """Opens the folder; one whose content cannot be read is set aside. Raises OSError."""
+        """Opens the folder; a part of it whose content cannot be read is set aside. `name` is the director's,
+        as in a hand-over. Raises OSError."""
         self._name, self._router, self._clock = name, router, clock
         self._every_ms, self._most_age_ms = every_ms, most_age_ms
-        self._settings = digest(router.settings)
-        self._told: Warm | None = None
-        self.took = False
+        self._settings = settings_digest(router.settings)
+        self._moment = moment
+        self._stored: WarmStartDocument | None = None
+        self._windows: KeyWindows | None = None
+        self._most_keys = 0  # of the windows, while new keys may be admitted
+        self.is_warm = False
+        self._outage = Outage(log, "warm start: learnt state")
         path.mkdir(parents=True, exist_ok=True)
+        self._open_learnt(path / "learnt")
+        try:
+            self._open_keys(path / "keys")
+        except OSError:
+            self._log.close()
+            raise
+
+    def _open_learnt(self, path: Path) -> None:
         try:
-            self._open(path)
-        except (Damaged, msgspec.MsgspecError) as error:
-            self._disk.close()
-            aside = set_aside(path / "learnt")
+            self._log, self._stored = _read_log(path)
+        except (CorruptLogError, msgspec.MsgspecError) as error:
+            aside = rename_damaged_folder(path)
             log.warning("warm start: passed over, folder set aside as %s: %s", aside, error)
-            self._open(path)
-        self._keys_disk = Folder(path / "keys")
-        kept_ms = kept_for(router.settings.classes.values())
+            self._log, self._stored = _read_log(path)
+
+    def _open_keys(self, path: Path) -> None:
+        retention_ms = retention_for(self._router.settings.classes.values())
+        self._keys_disk = Folder(path)
         try:
-            self.keys = KeyLog(self._keys_disk, clock(), kept_ms)
-        except (OSError, msgspec.MsgspecError) as error:
+            self.keys = KeyLog(self._keys_disk, self._clock, retention_ms, self._moment)
+        except OSError:
+            self._keys_disk.close()
+            raise
+        except msgspec.MsgspecError as error:
             self._keys_disk.close()
-            aside = set_aside(path / "keys")
+            aside = rename_damaged_folder(path)
             log.warning("warm start: keys passed over, folder set aside as %s: %s", aside, error)
-            self._keys_disk = Folder(path / "keys")
-            self.keys = KeyLog(self._keys_disk, clock(), kept_ms)
-
-    def _open(self, path: Path) -> None:
-        self._disk = Folder(path / "learnt")
-        self._log: Log
-        self._log, found = recover(self._disk)
-        if found.snapshot is not None:
-            self._told = msgspec.msgpack.decode(found.snapshot, type=Warm)
-
-    def take_over(self, keys: KeyWindows) -> None:
-        """Once the router has heard its list, and before anybody is served."""
-        keys.take_over(self.keys.found)
-        told, self._told = self._told, None
-        if told is None:
+            self._keys_disk = Folder(path)
+            self.keys = KeyLog(self._keys_disk, self._clock, retention_ms, self._moment, was_unreadable=True)
+
+    def take_over(self, windows: KeyWindows) -> None:
+        """Restores what the folder holds; called once the router has its endpoint list, before any client is
+        served."""
+        windows.take_over(self.keys.found)
+        self.follow(windows)
+        document, self._stored = self._stored, None
+        if document is None:
             log.info("warm start: nothing is kept, keys=%d", len(self.keys.found))
             return
-        now = self._clock()
-        why = unfit(told, self._name, self._settings, now, self._most_age_ms)
-        why = why or apply(self._router, told, now)
-        if why:
-            log.warning("warm start: passed over: %s", why)
+        age_ms = document_age_ms(document, self._clock(), self._moment())
+        reason = reason_to_reject(document, self._name, self._settings, age_ms, self._most_age_ms)
+        reason = reason or apply_document(self._router, document, self._clock(), age_ms)
+        if reason:
+            log.warning("warm start: passed over: %s", reason)
             return
-        self.took = True
+        self.is_warm = True
         log.info(
             "warm start: took stores=%d objects=%d keys=%d age_ms=%.0f",
-            len(told.learnt.stores),
-            len(told.learnt.objects),
+            len(document.learnt.stores),
+            len(document.learnt.objects),
             len(self.keys.found),
-            now - told.written_ms,
+            age_ms,
         )
 
+    def follow(self, windows: KeyWindows) -> None:
+        """From here on each key is stored before its attempt begins."""
+        self._windows, self._most_keys = windows, windows.max_keys
+        windows.on_attempt = self._store_key
+        self.watch_keys()
+
+    def _store_key(self, key: str, at_ms: float, store: str) -> None:
+        self.keys.write(key, at_ms, store)
+        self._limit_keys()
+
+    def watch_keys(self) -> None:
+        """Called a few times a second: stores keys that could not be stored before."""
+        self.keys.write_pending()
+        self._limit_keys()
+
+    def _limit_keys(self) -> None:
+        """Rejects new keys while an unknown key may have been used, or would be unknown after a restart."""
+        if self._windows is not None:
+            must_reject = self.keys.is_incomplete or self.keys.would_lose_keys
+            self._windows.max_keys = 0 if must_reject else self._most_keys
+
     async def run(self) -> None:
+        """Writes learnt state every `every_ms` until cancelled."""
         while True:
             await asyncio.sleep(self._every_ms / 1000.0)
-            try:
-                await self.write()
-            except (OSError, ValueError) as error:
-                log.warning("warm start: not stored: %s", error)
+            await self.write()
 
     async def write(self) -> None:
-        """Looked at in this loop, encoded and synced in a thread. Raises OSError."""
-        settings = digest(self._router.settings)
-        document = Warm(FORMAT, self._name, settings, self._clock(), take_snapshot(self._router))
-        await asyncio.to_thread(self._write, document)
-
-    def _write(self, document: Warm) -> None:
+        """Reads the learnt state in this loop; encodes and syncs it in a thread."""
+        settings, moment = settings_digest(self._router.settings), self._moment()
+        learnt = take_snapshot(self._router)
+        document = WarmStartDocument(FORMAT, self._name, settings, self._clock(), learnt, *moment)
+        try:
+            await asyncio.to_thread(self._write, document)
+        except (OSError, ValueError) as error:
+            self._log.discard_uncommitted()
+            self._outage.report_failure(error)
+        else:
+            self._outage.report_success()
+
+    def _write(self, document: WarmStartDocument) -> None:
         data = msgspec.msgpack.encode(document)
-        if len(data) > MOST_RECORD:
-            raise ValueError(f"{len(data)} bytes; expected {MOST_RECORD} at most")
-        # a snapshot stands at a record's number: one that stays the same would be replaced while it is the
-        # only one
+        if len(data) > MAX_RECORD_BYTES:
+            raise ValueError(f"{len(data)} bytes; expected {MAX_RECORD_BYTES} at most")
+        # A snapshot is named after its record's number. Without a new record the new snapshot would replace
+        # the only one that there is.
         self._log.append(b"")
         self._log.snapshot(data)
 
     def close(self) -> None:
+        """Releases the folder for the next process."""
         self._log.close()
         self._keys_disk.close()
+
+
+def _read_log(path: Path) -> tuple[WriteAheadLog, WarmStartDocument | None]:
+    """Raises CorruptLogError, msgspec's errors and OSError, with the folder closed."""
+    disk = Folder(path)
+    try:
+        opened, found = recover(disk)
+        if found.snapshot is None:
+            return opened, None
+        return opened, msgspec.msgpack.decode(found.snapshot, type=WarmStartDocument)
+    except BaseException:
+        disk.close()
+        raise
--- a/gladelane/routes/concurrency.py
+++ b/gladelane/routing/concurrency_limit.py
@@ -20,6 +20,8 @@
 
     `chance` draws from [0, 1) for limits below one."""
 
+    __slots__ = ("share", "chance", "most", "least", "out", "limit", "cut_ms", "lateness")
+
     def __init__(
         self, share: float = LATE_SHARE, chance: Callable[[], float] = lambda: 0.0, most: float = LIMIT_MOST
     ) -> None:
@@ -30,16 +32,26 @@
         self.cut_ms = -1.0
         self.lateness = 0.0
 
-    def room(self, part: float = 1.0) -> bool:
-        """A limit under one, where many proxies share what is behind it, is the chance to let one through."""
-        room = self.limit * part
-        return self.out < room if room >= 1.0 else not self.out and self.chance() < room
+    def has_capacity(self, part: float = 1.0) -> bool:
+        """Whether one more attempt may be sent, within a part of the limit. A limit below one, where many
+        directors share what is behind it, is the probability to admit one."""
+        capacity = self.limit * part
+        return self.out < capacity if capacity >= 1.0 else not self.out and self.chance() < capacity
 
     def widen(self, most: float) -> None:
+        """Raises the greatest limit, and the limit to it; never lowers either."""
         if most > self.most:
             self.most = self.limit = most
 
+    def divide(self, directors: int, chance: Callable[[], float]) -> None:
+        """So many directors ask the same cache and know nothing of each other: each one's limit may become so
+        low that all of them together may have out what one alone always may."""
+        self.chance = chance
+        self.least = LIMIT_LEAST / directors
+        self.limit = max(self.limit, self.least)
+
     def release(self) -> None:
+        """An attempt that was counted ended."""
         self.out = max(self.out - 1, 0)
 
     def learn(self, now: float, sent_ms: float, late: bool) -> None:
--- a/gladelane/interface.py
+++ b/gladelane/routing/events.py
@@ -1,7 +1,7 @@
-"""What the router is told and what it may ask for: settings, events and actions. No decision stands here.
+"""The interface of the router: settings, events, and actions that it asks for. No decision stands here.
 
 Times are milliseconds of the caller's clock. Stores, requests and objects are opaque identifiers.
-The settings are `deployment`'s; they are named here too, so that this one module is the whole interface.
+The settings are those of `deployment`. They are named here too, so that this module is the whole interface.
 """
 
 from __future__ import annotations
@@ -9,15 +9,14 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import Enum
-from typing import Protocol
 
-from .deployment import ClassSpec as ClassSpec
-from .deployment import Effect as Effect
-from .deployment import Settings as Settings
+from ..deployment import ClassSpec as ClassSpec
+from ..deployment import Effect as Effect
+from ..deployment import Settings as Settings
 
 
 class State(Enum):
-    """Of a store, by the list: it takes work, finishes what it has, or has left."""
+    """The state of a store by the endpoint list: it accepts requests, is draining, or was removed."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -41,11 +40,20 @@
 #: Outcomes that prove the attempt never ran.
 NEVER_RAN = frozenset({Status.FULL, Status.CONNECT_FAILED, Status.MOOT, Status.MISS})
 
+#: Stores may drop a request that has 60 ms left or less without an answer; 10 ms are for ticks and transit.
+MAY_BE_DROPPED_MS = 70.0
+
+
+def is_telling_timeout(waited_ms: float, aim_ms: float) -> bool:
+    """Whether a timeout says anything of the store: an attempt that had less time than its latency objective,
+    and so little that stores may drop it, says nothing."""
+    return waited_ms >= min(aim_ms, MAY_BE_DROPPED_MS)
+
 
 class Note(Enum):
-    """How an attempt was answered, or why its fill failed; UNTOLD where the deployment does not say."""
+    """How an attempt was answered, or why its fill failed; NOT_REPORTED: it is not known."""
 
-    UNTOLD = 0
+    NOT_REPORTED = 0
     HIT = 1
     PARENT_HELD = 2
     FROM_ORIGIN = 3
@@ -59,7 +67,7 @@
 
 
 class ListKind(Enum):
-    """What a list of stores holds: what changed, all of it, all as remembered, or nothing where it failed."""
+    """What a `Members` event has: changes, the complete list, the list as remembered, or none."""
 
     CHANGES = "changes"
     COMPLETE = "complete"
@@ -72,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client asks. The router does not read repeat and tenant."""
+    """A client's request. The router reads neither `repeat` nor `tenant`."""
 
     id: int
     cls: str
@@ -83,28 +91,29 @@
     part: int = 0
     repeat: bool = False
     tenant: str = ""
-    ran_ms: float = 0.0  # when an earlier try of the same key first may have run, 0: none is known
+    ran_ms: float = 0.0  # when an earlier attempt with the same key may first have run, 0: none is known
     ran_at: str = ""  # and at which store
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """An attempt ended. The router goes by its own clock and reads neither latency_ms nor report."""
+    """An attempt ended. The router uses its own clock and reads neither `latency_ms` nor `report`."""
 
     id: int
     attempt: int
     store: str
     status: Status
     latency_ms: float = 0.0
-    note: Note = Note.UNTOLD
+    note: Note = Note.NOT_REPORTED
     source_wait_ms: float = 0.0
     over: bool = False
     report: Mapping[str, float] | None = None
+    unread_ms: float = 0.0  # for how long at most it lay here unread: the event loop was held up
 
 
 @dataclass(frozen=True, slots=True)
 class Probed:
-    """What a probe found; the router sends none and passes it over."""
+    """The result of a health check. The router asks for none and ignores it."""
 
     store: str
     status: Status
@@ -114,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The answer's stream has begun: the attempt belongs to the client now."""
+    """The answer's stream has begun: its request is not attempted elsewhere any more."""
 
     id: int
     attempt: int
@@ -122,14 +131,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """Nobody waits for this request any more."""
+    """The client of this request left."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Purge:
-    """An object, or a whole group where object is 0, was purged age_ms ago."""
+    """An object, or a group where `object` is 0, was purged `age_ms` ago."""
 
     object: int
     group: int
@@ -138,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """From another proxy; the router passes it over."""
+    """A message from another director; the router ignores it."""
 
     sender: int
     data: bytes
@@ -146,14 +155,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """One that SetTimer asked for is due."""
+    """A timer that SetTimer asked for is due."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One entry of the list; `came_up_ms` 0: it has run for long."""
+    """An entry of the endpoint list. `came_up_ms`: its start, Unix ms; 0: long ago."""
 
     store: str
     zone: str
@@ -166,7 +175,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Members:
-    """The list, or what changed in it."""
+    """The endpoint list, or changes of it."""
 
     kind: ListKind
     stores: tuple[Member, ...] = ()
@@ -180,7 +189,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lookup:
-    """Ask a store for what it holds, no fill."""
+    """Ask a store for its copy; a miss is not filled."""
 
     id: int
     store: str
@@ -189,7 +198,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """Ask a store; a miss is filled from `source` (the store itself: no fill). max_age_ms 0: fresh time."""
+    """Ask a store; a miss is filled from `source` (the store itself: it is not filled). `max_age_ms`: the
+    oldest copy that may be served, 0: as the class's fresh time says."""
 
     id: int
     store: str
@@ -205,7 +215,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Give one attempt up; its outcome still comes."""
+    """Cancel an attempt; its outcome still follows."""
 
     id: int
     attempt: int
@@ -213,14 +223,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a store for its load; the router does not."""
+    """Ask a store for a load report; the router asks for none."""
 
     store: str
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """The final answer that a further try is harmless; `come_back_ms` 0: no advice when."""
+    """The final answer that the request was rejected, and that a retry is harmless. `come_back_ms`: its
+    Retry-After, 0: none."""
 
     id: int
     come_back_ms: float = 0.0
@@ -228,14 +239,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """The final answer that says nothing on whether the request ran."""
+    """The final answer that the request failed, and may have run."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Asks for a Timer at that time or soon after; it cannot be taken back."""
+    """Ask for a Timer event at that time or soon after; it cannot be cancelled."""
 
     token: str
     due_ms: float
@@ -243,19 +254,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Asks for changes of the list from now on."""
+    """Subscribe to changes of the endpoint list."""
 
     on: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class AskList:
-    """Ask for the list once; the router subscribes instead."""
+    """Poll the endpoint list once; the router subscribes instead."""
 
 
 @dataclass(frozen=True, slots=True)
 class Tell:
-    """A message to one proxy, or to all where `to` is absent; the router sends none."""
+    """A message to a director, or to all of them where `to` is None; the router sends none."""
 
     data: bytes
     to: int | None = None
@@ -263,25 +274,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators; the router writes none."""
+    """A line for the log; the router writes none."""
 
     text: str
 
 
 Action = Lookup | Fetch | Cancel | Probe | Refuse | Fail | SetTimer | Subscribe | AskList | Tell | Log
-
-
-# --- what the decisions ask of the fleet's purges
-
-
-class PurgeIndex(Protocol):
-    """The newest moment that any purge in force sets. Objects count from 0 here; times are Unix ms."""
-
-    def add_one(self, object_: int, group: int, at: float, until: float) -> None:
-        """Copies from before `at` are out of date up to `until`: of one object, or below 0 of a group."""
-
-    def newest(self, cls: str, group: int, object_: int, part: int, now: float) -> float:
-        """The newest moment from before which no copy may be served, 0: none."""
-
-    def expire(self, now: float) -> int:
-        """Forgets some of what has ended; gives how many."""
--- /dev/null
+++ b/gladelane/server.py
@@ -0,0 +1,295 @@
+"""Composition root of a director: builds its parts, connects them, starts and stops them.
+
+Which parts there are follows from the platform's configuration and from an operator's file, which may switch
+on purges, recovery, audit and leases (`operator_parts`).
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import os
+import random
+import socket
+from concurrent.futures import Future
+from typing import TYPE_CHECKING
+
+from . import shutdown
+from .admin.handler import AdminHandler
+from .admin.live_settings import TRANSITION_MS, apply_live, transition_settings
+from .admin.requests import AdminRequest
+from .clock import Clock
+from .discovery.client import DiscoveryClient
+from .endpoints.plan import Endpoints
+from .net.client_listener import ClientListener
+from .net.config import Config
+from .net.connection_pool import ConnectionPool
+from .net.descriptors import share_descriptors
+from .net.director import Director
+from .process import STANDARD_DESCRIPTORS, descriptor_limit
+from .routing.events import Settings
+from .routing.idempotency import BYTES_PER_KEY
+from .timer_wheel import TimerWheel
+
+if TYPE_CHECKING:
+    from .admin.endpoint import AdminEndpoint
+    from .audit.service import AuditService
+    from .hot_restart.coordinator import RestartCoordinator
+    from .leases.client import LeaseClient
+    from .purges.subscription import PurgeSubscription
+    from .recovery.service import Recovery
+    from .settings.operator import Operator
+
+log = logging.getLogger("gladelane")
+endpoints_log = logging.getLogger("gladelane.endpoints")
+
+BYTES_PER_MB = 1_000_000
+BUFFER_MEMORY_SHARE = 0.25  # for bodies and answers that clients have not read yet
+KEY_MEMORY_SHARE = 0.04  # for idempotency keys: 4,500 of them with 80 MB
+ENDPOINTS_SEED = 0x656E6473
+
+
+class Server:
+    """One director with all its parts; `config` has everything that differs between two directors."""
+
+    def __init__(
+        self, config: Config, operator: Operator | None = None, inherited: int = STANDARD_DESCRIPTORS
+    ) -> None:
+        """`inherited` is the number of descriptors open before the start. Raises ConfigError, OSError."""
+        self.config = config
+        self.clock = Clock()
+        self.wheel = TimerWheel(self.clock.now)
+        # randomness of its own: the routing decisions must not depend on what was dialled
+        rng = random.Random(config.seed ^ ENDPOINTS_SEED)
+        self.endpoints = Endpoints(rng, log_warning=endpoints_log.warning)
+        memory_bytes = config.limits.memory_mb * BYTES_PER_MB
+        self.director = self._make_director(int(memory_bytes * KEY_MEMORY_SHARE / BYTES_PER_KEY))
+        descriptors = descriptor_limit(config.limits.sockets)
+        self.shares = share_descriptors(descriptors, inherited, _count_purge_servers(operator))
+        self.upstream = ConnectionPool(
+            config.conn, self.shares.upstream, self.clock.now, self.wheel, self.endpoints
+        )
+        self.director.sender, self.upstream.owner = self.upstream, self.director
+        buffer_bytes = memory_bytes * BUFFER_MEMORY_SHARE
+        self.front = ClientListener(
+            self.director, self.clock.now, self.wheel, self.shares.clients, buffer_bytes, descriptors
+        )
+        self.admin_handler = AdminHandler(
+            self.director,
+            self.front.drain,
+            self.clock.now,
+            self.front.send_goaway_to_all,
+            self._share_admin_request,
+        )
+        self.purges: PurgeSubscription | None = None
+        self.recovery: Recovery | None = None
+        self.audit: AuditService | None = None
+        self.lease_client: LeaseClient | None = None
+        if operator is not None:
+            self.configure(operator)
+            self._open_operator_parts(operator)
+        self.port = 0
+        self.folder = os.environ.get("TMPDIR", "")
+        self.admin_endpoint: AdminEndpoint | None = None
+        self.restart_coordinator: RestartCoordinator | None = None
+        self._wheel_task: asyncio.Task[None] | None = None
+        self._discovery_task: asyncio.Task[None] | None = None
+
+    def _make_director(self, max_keys: int) -> Director:
+        config = self.config
+        return Director(config.settings, config.seed, self.clock.now, self.wheel, self.endpoints, max_keys)
+
+    def _open_operator_parts(self, operator: Operator) -> None:
+        from . import operator_parts as parts
+
+        if operator.purges is not None:
+            self.purges = self.director.guard = parts.open_purges(operator.purges, self.director, self.clock)
+        if operator.recovery is not None:
+            self.recovery = parts.open_recovery(
+                operator.recovery, self.config, self.director, self.purges, self.clock, self.admin_handler
+            )
+            self.director.more = self.recovery.lines
+        if self.purges is None:
+            return
+        if operator.fleet is not None:
+            self.audit = self.director.audit = parts.open_audit(
+                operator.fleet,
+                self.config,
+                self.director,
+                self.purges,
+                self.clock,
+                self.front,
+                self.follow_discovery,
+            )
+            self.purges.on_change = self.audit.refresh_view
+            self.director.more = self._operator_metrics
+        if operator.owners is not None:
+            self.lease_client = parts.open_leases(operator.owners, self.purges, self.config)
+
+    def _operator_metrics(self) -> list[tuple[str, int]]:
+        """Metrics of the parts that an operator's file has switched on."""
+        metrics = self.recovery.lines() if self.recovery is not None else []
+        return metrics + (self.audit.lines() if self.audit is not None else [])
+
+    # --- start
+
+    async def start(self) -> int:
+        """Starts all parts and returns the port for clients. Raises OSError.
+
+        Clients are accepted only once all that is known has been applied: readiness promises that."""
+        listening_socket = self._connect_to_predecessor()
+        self._restore_state()
+        if self.config.ops is not None:
+            self._open_admin_endpoint(*self.config.ops)
+        self._wheel_task = asyncio.create_task(self.wheel.run())
+        self.follow_discovery()
+        if self.purges is not None:
+            await self._start_purges(self.purges)
+        if self.audit is not None:
+            await self.audit.start()
+        host, port = self.config.listen
+        is_shared = self.config.ops is not None
+        self.port = await self.front.listen(host, port, listening_socket, shared=is_shared)
+        if self.restart_coordinator is not None:
+            self.restart_coordinator.listen()
+        self.admin_handler.takes_clients = True
+        return self.port
+
+    def _connect_to_predecessor(self) -> socket.socket | None:
+        """The listening socket of the process that this one is started beside, if there is one. Without an
+        admin endpoint nobody starts a new version beside the old one."""
+        if self.config.ops is None or not self.folder:
+            return None
+        from .hot_restart.coordinator import RestartCoordinator
+
+        host, port = self.config.listen
+        self.restart_coordinator = RestartCoordinator(
+            self.folder,
+            f"{self.config.name} {host}:{port}",
+            self.clock,
+            self.director,
+            self.upstream,
+            self.front,
+            self.admin_handler,
+        )
+        return self.restart_coordinator.connect()
+
+    def _restore_state(self) -> None:
+        """Applies what the configuration knows, then what an earlier process has left."""
+        for notice in self.config.known.notices:
+            self.director.apply_watch_event(notice)
+        self.director.rev = max(self.director.rev, self.config.known.rev)
+        if self.restart_coordinator is not None:
+            self.restart_coordinator.take_over()
+        if self.recovery is not None:
+            self.recovery.take_over()
+            self.recovery.start()
+
+    def _open_admin_endpoint(self, host: str, port: int) -> None:
+        from .admin.endpoint import AdminEndpoint  # imported only where there is one: it starts a thread
+
+        loop = asyncio.get_running_loop()
+        self.admin_endpoint = AdminEndpoint(self.admin_handler, loop, self.shares.callers)
+        self.admin_endpoint.open(host, port)
+
+    async def _start_purges(self, purges: PurgeSubscription) -> None:
+        """Returns once the purges known to the purge servers have been applied."""
+        from .purges.order_sender import OrderSender
+
+        timeout_ms = self.config.conn.dial_timeout_ms
+        purges.start(OrderSender(purges.orders, self.endpoints, self.upstream, timeout_ms))
+        if self.lease_client is not None:
+            self.lease_client.start()
+        await purges.ready()
+
+    def follow_discovery(self) -> None:
+        """Follows the discovery server anew from the revision reached, and at once: neither the stream nor
+        the backoff of an earlier one goes on."""
+        if self._discovery_task is not None:
+            self._discovery_task.cancel()
+        rng = random.Random(f"{self.config.name} {self.config.seed}")
+        client = DiscoveryClient(
+            *self.config.discovery, lambda: self.director.rev, self.director.apply_watch_event, rng
+        )
+        if self.audit is not None:
+            client.heard, client.steady = self.audit.lease.renew_list, self.audit.steady_ms
+        self._discovery_task = asyncio.create_task(client.run())
+
+    def _share_admin_request(self, request: AdminRequest) -> Future[None] | None:
+        """An admin request to this process was put into force: the other process gets it too. Returns what is
+        done once the request is stored; None where nothing stores it."""
+        if self.restart_coordinator is None:
+            return None
+        return self.restart_coordinator.share_admin_request(request)
+
+    # --- new configuration
+
+    def configure(self, operator: Operator) -> None:
+        """Applies an operator's file under load, as one change; dials to addresses that are gone end."""
+        self.director.configure(operator.options, operator.rules)
+        if self.audit is not None and operator.fleet is not None:
+            self.audit.reconfigure(operator.fleet.digest)
+
+    def reload(self, config: Config, operator: Operator | None = None) -> None:
+        """Applies what may change under load: discovery, classes, attempts and the operator's file. All else
+        is bound to sockets and limits in use; it is logged and takes a restart."""
+        if operator is not None:
+            self.configure(operator)
+        settings, after_restart = apply_live(self.config.settings, config.settings)
+        if settings != self.config.settings:
+            self._change_settings(settings)
+        has_moved = config.discovery != self.config.discovery
+        self.config.discovery = config.discovery
+        for notice in config.known.notices:
+            self.director.apply_watch_event(notice)  # ignored there if it is known already
+        if has_moved:
+            self.follow_discovery()
+        config.known, config.seed = self.config.known, self.config.seed  # these are for a start only
+        config.ops, config.settings = self.config.ops, self.config.settings
+        after_restart += _differences(config, self.config)
+        log.info("reloaded board=%s:%d moved=%d rev=%d", *config.discovery, has_moved, self.director.rev)
+        if after_restart:
+            log.warning("reloaded: a change of %s takes a restart", ", ".join(after_restart))
+
+    def _change_settings(self, settings: Settings) -> None:
+        """Clients use the new file a little later than this: until then requests by either are accepted."""
+        self.config.settings = settings
+        self.director.retune(transition_settings(self.director.settings, settings))
+
+        def complete_transition() -> None:
+            if self.config.settings is settings:  # no later file has come
+                self.director.retune(settings)
+
+        self.wheel.schedule(self.clock.now() + TRANSITION_MS, complete_transition)
+
+    # --- stop
+
+    async def drain(self) -> None:
+        """Lets clients leave and answers what is pending; see `shutdown.drain`."""
+        self.admin_handler.takes_clients = False
+        has_peer = self.restart_coordinator is not None and self.restart_coordinator.has_peers
+        await shutdown.drain(self.director, self.front, has_peer)
+
+    async def close(self) -> None:
+        """Closes all parts, whether or not they were drained."""
+        if self.admin_endpoint is not None:
+            self.admin_endpoint.close()
+        if self.restart_coordinator is not None:
+            self.restart_coordinator.close()
+        await self.front.close()
+        self.upstream.close()
+        for part in (self.audit, self.recovery, self.lease_client, self.purges):
+            if part is not None:
+                await part.close()
+        for task in (self._wheel_task, self._discovery_task):
+            if task is not None:
+                task.cancel()
+
+
+def _count_purge_servers(operator: Operator | None) -> int:
+    return len(operator.purges.feeds) if operator is not None and operator.purges is not None else 0
+
+
+def _differences(one: Config, other: Config) -> list[str]:
+    """Names of the keys in which two configurations differ."""
+    return [name for name in one.__struct_fields__ if getattr(one, name) != getattr(other, name)]
--- a/gladelane/settings/operator.py
+++ b/gladelane/settings/operator.py
@@ -13,28 +13,29 @@
 import netaddr
 import pyjson5
 
-from ..endpoints.address import BadAddress, Family, parse
+from ..audit.options import AuditOptions
+from ..endpoints.address import Family, InvalidAddressError, parse
 from ..endpoints.plan import Options
 from ..endpoints.rules import Network, Preference, Rule, Rules, check_template
-from ..fleet.options import Options as FleetOptions
-from ..ownership.options import Options as OwnerOptions
-from ..purges.options import Options as HolderOptions
+from ..leases.options import LeaseOptions
+from ..purges.options import Options as PurgeOptions
 from ..recovery.options import Options as RecoveryOptions
 
-MOST_BYTES = 4_000_000
+MAX_FILE_BYTES = 4_000_000
 _FAMILIES = {family.value: family for family in Family}
 _ACTIONS = ("add", "replace", "order")
 
 
-class BadOperatorFile(Exception):
-    """What is wrong, in one line: the key's path and what was expected."""
+class OperatorFileError(Exception):
+    """An operator's file that cannot be used; in one line the key's path and what was expected."""
 
     def __init__(self, path: str, why: str) -> None:
         super().__init__(f"{path}: {why}" if path else why)
 
 
 class Match(msgspec.Struct, forbid_unknown_fields=True):
-    """All that is given must hold. id: a glob; network: of the server's hostPort."""
+    """The servers to which a rule applies: all that is given must hold. id: a glob; network: of
+    `hostPort`."""
 
     id: str = ""
     zone: str = ""
@@ -43,6 +44,8 @@
 
 
 class RuleText(msgspec.Struct, forbid_unknown_fields=True):
+    """One rule for addresses, as it is written; see `endpoints.rules`."""
+
     name: str
     match: Match = msgspec.field(default_factory=Match)
     add: list[str] = []
@@ -52,7 +55,7 @@
 
 
 class DelayText(msgspec.Struct, forbid_unknown_fields=True):
-    """Between the dials of a race, ms."""
+    """The delay between two dials of one connect, ms."""
 
     first_ms: float = 250.0
     least_ms: float = 20.0
@@ -60,7 +63,7 @@
 
 
 class PauseText(msgspec.Struct, forbid_unknown_fields=True):
-    """For which an address is passed over, ms."""
+    """How long an address is avoided, ms."""
 
     first_ms: float = 500.0
     most_ms: float = 30_000.0
@@ -68,6 +71,8 @@
 
 
 class EndpointsText(msgspec.Struct, forbid_unknown_fields=True):
+    """Addresses of servers; see `endpoints.plan.Options`."""
+
     rules: list[RuleText] = []
     prefer: list[str] = []
     first_family_count: int = 1
@@ -77,11 +82,15 @@
 
 
 class LogsText(msgspec.Struct, forbid_unknown_fields=True):
+    """Form and least level of the log."""
+
     format: Literal["plain", "keyvalue", "json"] = "plain"
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
 class PurgesText(msgspec.Struct, forbid_unknown_fields=True):
+    """Purges and the servers they come from, `feeds`; see `purges.options`."""
+
     feeds: list[str]
     token_file: str
     dir: str = ""
@@ -98,7 +107,7 @@
 
 
 class RecoveryText(msgspec.Struct, forbid_unknown_fields=True):
-    """dir: a lasting folder of this director alone; empty: nothing that was learnt is kept."""
+    """dir: a lasting folder of this director only; if it is empty no learnt state outlives the process."""
 
     dir: str = ""
     every_s: float = 5.0
@@ -107,7 +116,7 @@
 
 class FleetText(msgspec.Struct, forbid_unknown_fields=True):
     """The audit of the fleet: which director acted on which version. dir: a lasting folder of this director
-    alone."""
+    only."""
 
     dir: str = ""
     report_ms: float = 500.0
@@ -119,13 +128,15 @@
 
 
 class OwnersText(msgspec.Struct, forbid_unknown_fields=True):
-    """One owner at a time for the fleet's work: orders to servers, by shards."""
+    """Leases of shards: one director at a time sends the orders of a shard to servers."""
 
     length_ms: float = 3_000.0
     shards: int = 16
 
 
 class OperatorText(msgspec.Struct, forbid_unknown_fields=True):
+    """The whole file as it is written; an absent part is switched off."""
+
     endpoints: EndpointsText = msgspec.field(default_factory=EndpointsText)
     purges: PurgesText | None = None
     recovery: RecoveryText | None = None
@@ -135,28 +146,28 @@
 
 
 class Operator(msgspec.Struct, frozen=True):
-    """A checked file, in the words of those who use it."""
+    """A checked file, as options of the parts that use it."""
 
     options: Options
     rules: Rules
     logs: LogsText
-    purges: HolderOptions | None = None
+    purges: PurgeOptions | None = None
     recovery: RecoveryOptions | None = None
-    fleet: FleetOptions | None = None
-    owners: OwnerOptions | None = None
+    fleet: AuditOptions | None = None
+    owners: LeaseOptions | None = None
 
 
 def read_operator(data: bytes) -> Operator:
-    """Raises BadOperatorFile."""
-    if len(data) > MOST_BYTES:
-        raise BadOperatorFile("", f"{len(data)} bytes; expected {MOST_BYTES} at most")
+    """Reads and checks a file. Raises OperatorFileError."""
+    if len(data) > MAX_FILE_BYTES:
+        raise OperatorFileError("", f"{len(data)} bytes; expected {MAX_FILE_BYTES} at most")
     try:
         raw = pyjson5.decode(data.decode("utf-8"))
     except UnicodeDecodeError as error:
-        raise BadOperatorFile("", f"byte {error.start} is not UTF-8; expected JSON5 in UTF-8") from None
+        raise OperatorFileError("", f"byte {error.start} is not UTF-8; expected JSON5 in UTF-8") from None
     except pyjson5.Json5DecoderException as error:
         why = " ".join(str(error.args[0] if error.args else error).split())
-        raise BadOperatorFile("", f"{_line(data.decode(), why)}{why}; expected JSON5") from None
+        raise OperatorFileError("", f"{_line(data.decode(), why)}{why}; expected JSON5") from None
     try:
         text = msgspec.convert(raw, OperatorText)
     except msgspec.ValidationError as error:
@@ -169,55 +180,60 @@
 
 
 def _recovery(text: OperatorText) -> RecoveryOptions | None:
-    """Phases are told wherever something has to be caught up with, or is kept."""
+    """Recovery also reports its phases if purges alone are switched on, since they have to be caught up
+    with."""
     if text.recovery is None:
         return RecoveryOptions() if text.purges is not None else None
-    told = text.recovery
-    _bounded("recovery.every_s", told.every_s, 1, 600)
-    _bounded("recovery.most_age_s", told.most_age_s, 1, 3600)
-    return RecoveryOptions(told.dir, told.every_s * 1000.0, told.most_age_s * 1000.0)
+    recovery = text.recovery
+    _bounded("recovery.every_s", recovery.every_s, 1, 600)
+    _bounded("recovery.most_age_s", recovery.most_age_s, 1, 3600)
+    return RecoveryOptions(recovery.dir, recovery.every_s * 1000.0, recovery.most_age_s * 1000.0)
 
 
-def _fleet(text: OperatorText) -> FleetOptions | None:
-    told = text.fleet
-    if told is None:
+def _fleet(text: OperatorText) -> AuditOptions | None:
+    fleet = text.fleet
+    if fleet is None:
         return None
     if text.purges is None:
-        raise BadOperatorFile("fleet", "needs purges.feeds; expected feeds that take reports")
-    _bounded("fleet.report_ms", told.report_ms, 100, 10_000)
-    if told.board_ms:  # it says every second that it is there
-        _bounded("fleet.board_ms", told.board_ms, 2_000, 600_000)
-    _bounded("fleet.trail_mb", told.trail_mb, 0.1, 100)
-    if not told.board or len(told.board) > 64:
-        raise BadOperatorFile("fleet.board", f"{told.board[:64]!r}; expected a name of up to 64 characters")
-    return FleetOptions(
-        told.dir,
-        told.report_ms,
-        told.board,
-        told.board_ms,
-        told.alone,
-        told.enforce,
-        int(told.trail_mb * 1e6),
+        raise OperatorFileError("fleet", "needs purges.feeds; expected feeds that take reports")
+    _bounded("fleet.report_ms", fleet.report_ms, 100, 10_000)
+    if fleet.board_ms:  # the discovery server sends a heartbeat every second
+        _bounded("fleet.board_ms", fleet.board_ms, 2_000, 600_000)
+    _bounded("fleet.trail_mb", fleet.trail_mb, 0.1, 100)
+    if not fleet.board or len(fleet.board) > 64:
+        raise OperatorFileError(
+            "fleet.board", f"{fleet.board[:64]!r}; expected a name of up to 64 characters"
+        )
+    return AuditOptions(
+        fleet.dir,
+        fleet.report_ms,
+        fleet.board,
+        fleet.board_ms,
+        fleet.alone,
+        fleet.enforce,
+        int(fleet.trail_mb * 1e6),
         _digest(text),
     )
 
 
-def _owners(text: OperatorText) -> OwnerOptions | None:
+def _owners(text: OperatorText) -> LeaseOptions | None:
     if text.owners is None:
         return None
     if text.purges is None or not text.purges.order_kinds:
         why = "needs purges.order_kinds; expected kinds of servers that take orders"
-        raise BadOperatorFile("owners", why)
+        raise OperatorFileError("owners", why)
     if not len(text.purges.feeds) % 2:
         count = len(text.purges.feeds)
-        raise BadOperatorFile("owners", f"{count} feeds; expected an odd number, of which a majority decides")
+        raise OperatorFileError(
+            "owners", f"{count} feeds; expected an odd number, of which a majority decides"
+        )
     _bounded("owners.length_ms", text.owners.length_ms, 500, 60_000)
     _bounded("owners.shards", text.owners.shards, 1, 256)
-    return OwnerOptions(text.owners.length_ms, text.owners.shards)
+    return LeaseOptions(text.owners.length_ms, text.owners.shards)
 
 
 def _digest(text: OperatorText) -> str:
-    """Of what the file decides: places and tokens differ from director to director."""
+    """A digest of what the file decides, without places and tokens, which differ between directors."""
     raw = msgspec.to_builtins(text)
     places = {"purges": ("feeds", "token_file", "dir"), "recovery": ("dir",), "fleet": ("dir",)}
     for part, keys in places.items():
@@ -231,18 +247,18 @@
     return f"line {text.count(chr(10), 0, int(found[1])) + 1}: " if found else ""
 
 
-def _worded(message: str) -> BadOperatorFile:
-    """msgspec's words in ours: `Expected `int`, got `str` - at `$.a[0].b``; what is unknown with the
-    known."""
+def _worded(message: str) -> OperatorFileError:
+    """An error of msgspec, such as "Expected `int`, got `str` - at `$.a[0].b`", with the known names for an
+    unknown one."""
     what, _, at = message.partition(" - at `$")
     path = at.rstrip("`").lstrip(".")
     if unknown := re.fullmatch(r"Object contains unknown field `(.*)`", what):
         known = ", ".join(_type_at(path).cls.__struct_fields__)
-        return BadOperatorFile(f"{path}.{unknown[1]}".lstrip("."), f"unknown key; expected one of {known}")
+        return OperatorFileError(f"{path}.{unknown[1]}".lstrip("."), f"unknown key; expected one of {known}")
     if what.startswith("Invalid enum value"):
         known = ", ".join(_type_at(path).values)
-        return BadOperatorFile(path, f"{what[19:].strip()}; expected one of {known}")
-    return BadOperatorFile(path or "the whole file", what[:1].lower() + what[1:].replace("`", ""))
+        return OperatorFileError(path, f"{what[19:].strip()}; expected one of {known}")
+    return OperatorFileError(path or "the whole file", what[:1].lower() + what[1:].replace("`", ""))
 
 
 def _type_at(path: str) -> Any:
@@ -259,7 +275,7 @@
 
 def _bounded(path: str, value: float, least: float, most: float) -> float:
     if not least <= value <= most:
-        raise BadOperatorFile(path, f"{value:g}; expected a number from {least:g} to {most:g}")
+        raise OperatorFileError(path, f"{value:g}; expected a number from {least:g} to {most:g}")
     return value
 
 
@@ -287,28 +303,30 @@
     )
 
 
-def _purges(text: PurgesText) -> HolderOptions:
-    feeds = []
-    for place, feed in enumerate(text.feeds):
+def _purges(text: PurgesText) -> PurgeOptions:
+    servers = []
+    for place, server in enumerate(text.feeds):
         try:
-            address = parse(feed)
-        except BadAddress as error:
-            raise BadOperatorFile(f"purges.feeds[{place}]", str(error)) from None
+            address = parse(server)
+        except InvalidAddressError as error:
+            raise OperatorFileError(f"purges.feeds[{place}]", str(error)) from None
         if address.family is Family.UNIX:
-            raise BadOperatorFile(f"purges.feeds[{place}]", f"{feed!r}; expected an IP address and a port")
-        feeds.append((address.host, address.port))
-    if not feeds:
-        raise BadOperatorFile("purges.feeds", "expected at least one feed")
+            raise OperatorFileError(
+                f"purges.feeds[{place}]", f"{server!r}; expected an IP address and a port"
+            )
+        servers.append((address.host, address.port))
+    if not servers:
+        raise OperatorFileError("purges.feeds", "expected at least one feed")
     _bounded("purges.retention_s", text.retention_s, 60, 31_536_000)
     _bounded("purges.skew_ms", text.skew_ms, 0, 60_000)
-    # a feed says every second that it is there
+    # a purge server sends a heartbeat every second
     _bounded("purges.delay_ms", text.delay_ms, 2_000, 600_000)
     _bounded("purges.cut_off_per_s", text.cut_off_per_s, 0, 1_000_000)
     _bounded("purges.orders_per_s", text.orders_per_s, 1, 1_000_000)
     _bounded("purges.origin_per_s", text.origin_per_s, 0, 1_000_000)
     _bounded("purges.start_wait_ms", text.start_wait_ms, 0, 30_000)
-    return HolderOptions(
-        tuple(feeds),
+    return PurgeOptions(
+        tuple(servers),
         text.token_file,
         text.dir,
         text.retention_s * 1000.0,
@@ -329,16 +347,16 @@
     for place, text in enumerate(texts):
         at = f"endpoints.rules[{place}]"
         if not text.name or text.name in names:
-            raise BadOperatorFile(f"{at}.name", f"{text.name!r}; expected a name that no other rule has")
+            raise OperatorFileError(f"{at}.name", f"{text.name!r}; expected a name that no other rule has")
         names.add(text.name)
         if sum(bool(getattr(text, action)) for action in _ACTIONS) != 1:
-            raise BadOperatorFile(at, f"expected exactly one of {', '.join(_ACTIONS)}")
+            raise OperatorFileError(at, f"expected exactly one of {', '.join(_ACTIONS)}")
         for action in ("add", "replace"):
             for number, template in enumerate(getattr(text, action)):
                 try:
                     check_template(template)
-                except BadAddress as error:
-                    raise BadOperatorFile(f"{at}.{action}[{number}]", str(error)) from None
+                except InvalidAddressError as error:
+                    raise OperatorFileError(f"{at}.{action}[{number}]", str(error)) from None
         network = _network(f"{at}.match.network", text.match.network) if text.match.network else None
         rules.append(
             Rule(
@@ -368,5 +386,5 @@
         network = netaddr.IPNetwork(text)
     except (netaddr.AddrFormatError, ValueError):
         also = f"unix, ipv4, ipv6 or {also.removeprefix('a family or ')}" if also else ""
-        raise BadOperatorFile(path, f"{text!r}; expected {also}a network such as 10.1.0.0/16") from None
+        raise OperatorFileError(path, f"{text!r}; expected {also}a network such as 10.1.0.0/16") from None
     return Network(network.cidr.network.packed, network.prefixlen)
--- a/gladelane/settings_checks.py
+++ b/gladelane/settings_checks.py
@@ -1,7 +1,8 @@
-"""What one setting may hold, and the one error for all settings that cannot be used. Pure.
+"""Kinds of values that a setting may have, and the one error for all settings that cannot be used. Pure.
 
-A kind of value says what it accepts, in what form it is kept, and how that is worded for whoever has to mend
-the file. Which setting is of which kind stands with its reader (`deployment`, `settings_wire`, `net/config`).
+A kind of value says what it accepts, into what it is converted, and how to describe it to whoever has to
+correct the file. Which setting is of which kind stands with its reader (`deployment`, `settings_wire`,
+`net/config`).
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 REQUIRED: Final = _Mark.REQUIRED
 
 
-class BadSetting(ValueError):
+class BadSetting(ValueError):  # noqa: N818  the simulator is told an error by its name
     """A setting that cannot be used.
 
     key: its path as the file has it, such as `rules.fall_ms` or `classes[0].effect`; empty: all of the file.
@@ -69,7 +70,8 @@
     def expected(self) -> str:
         """In words, after 'expected'."""
 
-    def accepts(self, value: Any) -> bool: ...
+    def accepts(self, value: Any) -> bool:
+        """Whether a value can be used."""
 
     def convert(self, value: Any) -> Any:
         """An accepted value in the form in which it is kept."""
@@ -77,42 +79,56 @@
 
 @dataclass(frozen=True, slots=True)
 class Flag:
+    """True or false."""
+
     expected: str = "true or false"
 
     def accepts(self, value: Any) -> bool:
+        """See `Kind.accepts`."""
         return isinstance(value, bool)
 
     def convert(self, value: Any) -> bool:
+        """See `Kind.convert`."""
         return bool(value)
 
 
 @dataclass(frozen=True, slots=True)
 class Text:
+    """A text of at least `least` characters, 0 or 1."""
+
     least: int = 1  # characters
 
     @property
     def expected(self) -> str:
+        """See `Kind.expected`."""
         return "a text of at least one character" if self.least else "a text"
 
     def accepts(self, value: Any) -> bool:
+        """See `Kind.accepts`."""
         return isinstance(value, str) and len(value) >= self.least
 
     def convert(self, value: Any) -> str:
+        """See `Kind.convert`."""
         return str(value)
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
+    """One of several words."""
+
     words: tuple[str, ...]
 
     @property
     def expected(self) -> str:
+        """See `Kind.expected`."""
         return f"one of {', '.join(self.words)}"
 
     def accepts(self, value: Any) -> bool:
+        """See `Kind.accepts`."""
         return isinstance(value, str) and value in self.words
 
     def convert(self, value: Any) -> str:
+        """See `Kind.convert`."""
         return str(value)
 
 
@@ -127,6 +143,7 @@
 
     @property
     def expected(self) -> str:
+        """See `Kind.expected`."""
         noun = "a whole number" if self.whole else "a number"
         if self.above:
             return f"{noun} above {self.least:g}" + (
@@ -137,6 +154,7 @@
         return f"{noun} from {self.least:g} to {self.most:.12g}"
 
     def accepts(self, value: Any) -> bool:
+        """See `Kind.accepts`."""
         if not isinstance(value, (int, float)) or isinstance(value, bool):
             return False
         # of NaN every comparison is false
@@ -144,6 +162,7 @@
         return within and (not self.whole or value == int(value))
 
     def convert(self, value: Any) -> int | float:
+        """See `Kind.convert`."""
         return int(value) if self.whole else float(value)
 
 
@@ -155,6 +174,7 @@
     parse: Callable[[str], Any]
 
     def accepts(self, value: Any) -> bool:
+        """See `Kind.accepts`."""
         if not isinstance(value, str):
             return False
         try:
@@ -164,24 +184,27 @@
         return True
 
     def convert(self, value: Any) -> Any:
+        """See `Kind.convert`."""
         return self.parse(value)
 
 
 @dataclass(frozen=True, slots=True)
 class Field:
+    """One setting of an object: its kind of value, and its default unless it is required."""
+
     kind: Kind
     default: Any = REQUIRED
 
 
 def read_value(value: Any, kind: Kind, key: str) -> Any:
-    """Raises BadSetting."""
+    """The value, converted. Raises BadSetting, which names `key`."""
     if not kind.accepts(value):
         raise BadSetting(key, value, kind.expected)
     return kind.convert(value)
 
 
 def read_object(value: Any, key: str) -> Mapping[str, Any]:
-    """Raises BadSetting."""
+    """The value as an object. Raises BadSetting, which names `key`."""
     if value is None or value is MISSING:
         raise BadSetting(key, MISSING, "an object")
     if not isinstance(value, Mapping):
@@ -190,13 +213,13 @@
 
 
 def read_fields(raw: Any, fields: Mapping[str, Field], key: str = "") -> dict[str, Any]:
-    """The values of an object's fields; `key` is its own path. Other fields of it are passed over, and null
-    is no value. Raises BadSetting."""
-    told = read_object(raw, key)
+    """The values of an object's fields; `key` is its own path. Other fields of it are ignored, and null
+    counts as absent. Raises BadSetting."""
+    found = read_object(raw, key)
     prefix = f"{key}." if key else ""
     values = {}
     for name, field in fields.items():
-        value = told.get(name)
+        value = found.get(name)
         if value is not None:
             values[name] = read_value(value, field.kind, f"{prefix}{name}")
         elif field.default is REQUIRED:
@@ -207,8 +230,8 @@
 
 
 def read_list(value: Any, kind: Kind, key: str, length: int | None = None, of: str = "") -> tuple[Any, ...]:
-    """One value for each of `length` things, which `of` names; any number where that is None. A list that is
-    left out, or empty, tells nothing. Raises BadSetting, which names the element at fault."""
+    """The values of a list: one for each of `length` items, which `of` names, or any number if that is None.
+    A list that is absent or empty gives none. Raises BadSetting, which names the element at fault."""
     if value is None or (isinstance(value, (list, tuple)) and not value):
         return ()
     each = "" if length is None else f" of {length}, one for each {of}"
--- a/gladelane/settings_wire.py
+++ b/gladelane/settings_wire.py
@@ -1,7 +1,6 @@
-"""The settings as the wire and GW_CONFIG name them, read into the module's own. Shared by both hosts.
+"""Reads settings as the wire and GW_CONFIG name them into `deployment.Settings`. Shared by both hosts. Pure.
 
-Whatever is wrong is told by its path in the file: what `Settings.read` finds under a name of its own is
-renamed here.
+An error names its path in the file: what `Settings.read` reports under a name of its own is renamed here.
 """
 
 from __future__ import annotations
@@ -10,7 +9,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from . import interface as api
+from . import deployment as api
 from .settings_checks import (
     MISSING,
     BadSetting,
@@ -26,7 +25,7 @@
     read_value,
 )
 
-#: plain key -> the file's word -> the module's
+#: key of `Settings` -> the file's word -> the word of `Settings`
 _WORDS: dict[str, dict[str, Any]] = {
     "effect": {"retryable": "safe", "dedup": "keyed", "fragile": "unsafe"},
     "reports": {"inline": "inline", "on_probe": "probe", "off": "none"},
@@ -35,7 +34,7 @@
     "weights": {"off": "none", "nominal": "nominal", "rough": "rough", "live": "live"},
     "subscribe": {"automatic": False, "subscribe": True},
 }
-#: plain key -> where the wire has it
+#: key of `Settings` -> its path in the file
 _PATHS = {
     "me": "me",
     "proxies": "balancers",
@@ -78,7 +77,7 @@
     "purge_grace_ms": "family_info.notice_time_ms",
     "purge_done_ms": "family_info.gone_everywhere_ms",
 }
-#: likewise of what the file has as a place in `kinds`, and the module by its name
+#: the same for what the file gives as an index into `kinds` and `Settings` by name
 _KIND_PATHS = {"origin_kind": "family_info.store_kind", "parent_kind": "family_info.upper_kind"}
 _CLASS_KEYS = {
     "name": "name",
@@ -92,7 +91,7 @@
     "late_worth": "late_worth",
     "stream": "stream",
 }
-#: plain key of a class -> the list in `family_info` that has one value for each class
+#: key of a class -> the list in `family_info` that has one value for each class
 _CLASS_ROWS = {
     "fresh_ms": "good_for_ms",
     "grace_ms": "stale_for_ms",
@@ -109,22 +108,22 @@
 
 
 def settings_from_wire(raw: Mapping[str, Any]) -> api.Settings:
-    """Raises BadSetting, whose key is the path in `raw`."""
-    told = read_object(raw, "")
+    """The settings of a decoded file. Raises BadSetting, whose key is the path in `raw`."""
+    fields = read_object(raw, "")
     for section in _SECTIONS:
-        if told.get(section) is not None or section != "report":  # where there are none it may be left out
-            read_object(told.get(section), section)
-    plain = {key: _plain(key, _at(told, path), path) for key, path in _PATHS.items()}
-    plain.update(_kinds(told))
-    rows = told.get("classes")
-    plain["classes"] = _classes(told, rows) if isinstance(rows, list) and rows else rows
+        if fields.get(section) is not None or section != "report":  # where there are none it may be left out
+            read_object(fields.get(section), section)
+    plain = {key: _plain(key, _at(fields, path), path) for key, path in _PATHS.items()}
+    plain.update(_kinds(fields))
+    rows = fields.get("classes")
+    plain["classes"] = _classes(fields, rows) if isinstance(rows, list) and rows else rows
     try:
         settings = api.Settings.read(plain)
     except BadSetting as error:
         key = _file_key(error.key)
-        found = _at(told, key) if key in (*_PATHS.values(), *_KIND_PATHS.values()) else error.found
+        found = _at(fields, key) if key in (*_PATHS.values(), *_KIND_PATHS.values()) else error.found
         raise BadSetting(key, MISSING if found is None else found, error.expected) from None
-    read_fields(told["family_info"], _NEEDED, "family_info")
+    read_fields(fields["family_info"], _NEEDED, "family_info")
     return settings
 
 
@@ -136,7 +135,8 @@
 
 
 def _plain(key: str, value: Any, path: str) -> Any:
-    """A value in the module's words. Raises BadSetting for a word that the file's format does not have."""
+    """A value in the words of `Settings`. Raises BadSetting for a word that the file's format does not
+    have."""
     words = _WORDS.get(key)
     if words is None or value is None:
         return value
@@ -162,9 +162,10 @@
     lists = {key: _class_list(raw, key, name, len(rows)) for key, name in _CLASS_ROWS.items()}
     classes = []
     for place, row in enumerate(rows):
-        told = read_object(row, f"classes[{place}]")
+        fields = read_object(row, f"classes[{place}]")
         spec = {
-            key: _plain(key, told.get(name), f"classes[{place}].{name}") for key, name in _CLASS_KEYS.items()
+            key: _plain(key, fields.get(name), f"classes[{place}].{name}")
+            for key, name in _CLASS_KEYS.items()
         }
         spec.update({key: values[place] for key, values in lists.items() if values})
         classes.append(spec)
@@ -184,7 +185,7 @@
 
 
 def _file_key(key: str) -> str:
-    """The path in the file of what the module knows as `key`."""
+    """The path in the file of a key of `Settings`."""
     if of_class := _CLASS_KEY.fullmatch(key):
         place, name = of_class.groups()
         if name in _CLASS_ROWS:
--- a/gladelane/simhost.py
+++ b/gladelane/simhost.py
@@ -1,4 +1,7 @@
-"""The simulator's wire on one side, the interface on the other: translation only, many routers a process."""
+"""`python -m gladelane.simhost`: the simulator's line protocol, translated to events and actions of routers.
+
+One process hosts many routers. Nothing is decided here.
+"""
 
 from __future__ import annotations
 
@@ -7,8 +10,8 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
-from . import interface as api
-from .choice import Router
+from .routing import events as api
+from .routing.router import Router
 from .settings_wire import settings_from_wire
 
 _CODES = {
@@ -41,7 +44,7 @@
     return float(value) if value is not None else 0.0
 
 
-def _whole(parts: list[str], place: int) -> int:
+def _integer(parts: list[str], place: int) -> int:
     value = _text(parts, place)
     return int(value) if value is not None else 0
 
@@ -62,12 +65,12 @@
         id=int(parts[1]),
         cls=parts[2],
         tenant=_text(parts, 3) or "",
-        object=_whole(parts, 4),
+        object=_integer(parts, 4),
         deadline_ms=float(parts[5]),
         size_kb=_number(parts, 6),
-        group=_whole(parts, 7),
-        part=_whole(parts, 8),
-        repeat=bool(_whole(parts, 9) & 2),
+        group=_integer(parts, 7),
+        part=_integer(parts, 8),
+        repeat=bool(_integer(parts, 9) & 2),
     )
 
 
@@ -76,8 +79,8 @@
         id=int(parts[1]),
         status=_CODES[parts[2]],
         latency_ms=_number(parts, 3),
-        note=api.Note(_whole(parts, 4)),
-        attempt=_whole(parts, 5),
+        note=api.Note(_integer(parts, 4)),
+        attempt=_integer(parts, 5),
         store=parts[6],
         source_wait_ms=_number(parts, 7),
         over=_text(parts, 8) == "1",
@@ -96,7 +99,7 @@
         store=parts[1],
         zone=parts[2],
         kind=parts[3],
-        cell=_whole(parts, 4),
+        cell=_integer(parts, 4),
         state=_STATES[parts[5]],
         weight=_number(parts, 6),
         came_up_ms=_number(parts, 7),
@@ -109,8 +112,8 @@
     "PROBE_RESULT": _probed,
     "TIMED_OUT_CLIENT": lambda p, _: api.ClientGone(int(p[1])),
     "PEER": lambda p, _: api.Message(int(p[1]), bytes.fromhex(_text(p, 2) or "")),
-    "UNDER_WAY": lambda p, _: api.Started(int(p[1]), _whole(p, 2)),
-    "REPLACED": lambda p, _: api.Purge(_whole(p, 1), _whole(p, 2), _number(p, 3)),
+    "UNDER_WAY": lambda p, _: api.Started(int(p[1]), _integer(p, 2)),
+    "REPLACED": lambda p, _: api.Purge(_integer(p, 1), _integer(p, 2), _number(p, 3)),
     "REMINDER": lambda p, _: api.Timer(p[1]),
 }
 
@@ -132,7 +135,7 @@
     api.Fail: lambda a: f"ERROR {a.id}",
     api.SetTimer: lambda a: f"REMIND {a.token} {a.due_ms:.3f}",
     api.Subscribe: lambda a: f"FOLLOW {int(a.on)}",
-    api.AskList: lambda a: "FETCH",
+    api.AskList: lambda _action: "FETCH",
     api.Tell: lambda a: f"MEMO_TO {'*' if a.to is None else a.to} {a.data.hex() or '-'}",
     api.Log: lambda a: f"REMARK {a.text}",
 }
@@ -160,6 +163,7 @@
         return None if line is None else self.line
 
     def serve(self) -> None:
+        """Serves batches until the input ends. Raises ValueError for a line that cannot be read."""
         while (line := self._next()) is not None:
             parts = line.split(" ")
             if parts[0] != "CLOCK":
@@ -222,6 +226,8 @@
 
 
 def main() -> int:
+    """Serves standard input and output; the exit code is 1 after an error, which is also a line of the
+    output."""
     host = Host(sys.stdin, sys.stdout)
     try:
         host.serve()
--- a/gladelane/sse.py
+++ b/gladelane/sse.py
@@ -4,22 +4,23 @@
 
 from collections.abc import Iterator
 
-MAX_EVENT = 4_000_000
+MAX_EVENT_BYTES = 4_000_000
 
 
 class EventStream:
-    """Sans-I/O: bytes in, the data of each event out."""
+    """Decodes one stream, fed in chunks of any size."""
 
     def __init__(self) -> None:
-        self._held = b""
+        self._buffer = b""
         self._data: list[str] = []
         self._size = 0  # of these
 
     def feed(self, chunk: bytes) -> Iterator[str]:
-        self._held += chunk
-        if len(self._held) > MAX_EVENT:
+        """The data of each event that the chunk completes. Raises OSError for an event that is too long."""
+        self._buffer += chunk
+        if len(self._buffer) > MAX_EVENT_BYTES:
             raise OSError("event too long")
-        *lines, self._held = self._held.split(b"\n")
+        *lines, self._buffer = self._buffer.split(b"\n")
         for raw in lines:
             line = raw.rstrip(b"\r").decode("utf-8", "replace")
             if not line and self._data:
@@ -27,11 +28,11 @@
                 yield data
             elif line.startswith("data:"):
                 self._size += len(raw)
-                if self._size > MAX_EVENT:  # lines of an event that never ends
+                if self._size > MAX_EVENT_BYTES:  # lines of an event that never ends
                     raise OSError("event too long")
                 self._data.append(line[5:].removeprefix(" "))
 
 
 def encode_event(data: str) -> bytes:
-    """One event; data holds no line break."""
+    """One event; its data must not contain a line break."""
     return f"data: {data}\n\n".encode()
--- a/gladelane/structures/__init__.py
+++ b/gladelane/structures/__init__.py
@@ -1,1 +1,5 @@
-"""Data structures made for the job. No I/O, no clock, no knowledge of the product."""
+"""Data structures and algorithms without knowledge of the product: no I/O, no clock.
+
+`rendezvous.RendezvousTable` ranks weighted members for a key, `step_map.StepMap` maps ranges of integers to
+values, and `backoff.Backoff` computes the waits between retries.
+"""
--- a/gladelane/structures/backoff.py
+++ b/gladelane/structures/backoff.py
@@ -1,20 +1,24 @@
-"""Waits between calls of one service: doubling, and spread, so that many cut off as one come back apart."""
+"""Exponential backoff with jitter, so that many clients that lost a server at once return at different
+times."""
 
 from __future__ import annotations
 
 import random
 
-SPREAD = 0.5  # part of a wait that chance may take off; none is longer than its bound
+#: The part of a wait that jitter may take off. Jitter never adds: no wait exceeds its bound.
+JITTER = 0.5
 
 
 class Backoff:
-    """From `first_s`, doubling up to `most_s` while a call brings nothing new, each shortened by chance."""
+    """Waits that start at `first_s` and double up to `max_s` for as long as calls bring nothing new."""
 
-    def __init__(self, rng: random.Random, first_s: float, most_s: float) -> None:
-        self._rng, self._first_s, self._most_s = rng, first_s, most_s
+    def __init__(self, rng: random.Random, first_s: float, max_s: float) -> None:
+        self._rng = rng
+        self._first_s = first_s
+        self._max_s = max_s
         self._wait_s = first_s
 
-    def after(self, heard: bool) -> float:
-        """The wait after a call that brought something new, or nothing."""
-        self._wait_s = self._first_s if heard else min(self._wait_s * 2, self._most_s)
-        return self._wait_s * (1.0 - SPREAD * self._rng.random())
+    def after(self, succeeded: bool) -> float:
+        """The wait in s after a call. One that succeeded, or brought something new, starts over."""
+        self._wait_s = self._first_s if succeeded else min(self._wait_s * 2, self._max_s)
+        return self._wait_s * (1.0 - JITTER * self._rng.random())
--- /dev/null
+++ b/gladelane/timer_wheel.py
@@ -0,0 +1,93 @@
+"""A hashed timer wheel: timers in ticks of 5 ms, and how late the event loop runs them. Times are ms."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+
+log = logging.getLogger(__name__)
+
+TICK_MS = 5.0
+SLOTS = 2048  # about 10 s: most timers fall due within one revolution
+LATE_MS = 100.0  # a tick this late is logged: something blocked the event loop
+WORST_LATE_DECAY = 0.998  # of the worst lateness, at each tick: it halves in 2 s
+# The most that is remembered: a loop that is later was stopped, not busy, which says nothing about the next
+# timers. Without this limit, requests with 1.4 s left would be rejected for 4 s after a stop of 6 s.
+WORST_LATE_LIMIT_MS = LATE_MS
+
+
+class TimerHandle:
+    """A scheduled callback. Cancelling it drops the callback at once, with all that it refers to."""
+
+    __slots__ = ("call", "tick")
+
+    def __init__(self, tick: int, call: Callable[[], None]) -> None:
+        self.tick = tick
+        self.call: Callable[[], None] | None = call
+
+    def cancel(self) -> None:
+        """Prevents the callback; has no effect once it has run."""
+        self.call = None
+
+
+class TimerWheel:
+    """Runs callbacks at the first tick at or after their time; within a tick in the order of scheduling."""
+
+    def __init__(self, clock: Callable[[], float]) -> None:
+        self._clock = clock
+        self._slots: list[list[TimerHandle]] = [[] for _ in range(SLOTS)]
+        self._last_tick_ms = clock()
+        self._tick = int(self._last_tick_ms // TICK_MS)
+        self._late_ms = self._worst_ms = 0.0
+
+    def lag(self) -> float:
+        """How long data that is read now may have been waiting: since the last tick, and its lateness."""
+        return max(self._clock() - self._last_tick_ms - TICK_MS, 0.0) + self._late_ms
+
+    def margin(self) -> float:
+        """By how much to bring a deadline forward to meet it: the lag and the recent worst lateness."""
+        return TICK_MS + self.lag() + self._worst_ms
+
+    def schedule(self, due_ms: float, call: Callable[[], None]) -> TimerHandle:
+        """Runs `call` at the first tick at or after `due_ms`, but never before the next tick."""
+        tick = max(-int(-due_ms // TICK_MS), self._tick + 1)
+        handle = TimerHandle(tick, call)
+        self._slots[tick % SLOTS].append(handle)
+        return handle
+
+    def advance(self) -> None:
+        """Runs all callbacks that are due. Each slot is visited once, however late the tick is."""
+        now = int(self._clock() // TICK_MS)
+        first = max(self._tick + 1, now - SLOTS + 1)
+        self._tick = max(now, self._tick)
+        for tick in range(first, now + 1):
+            place = tick % SLOTS
+            handles, self._slots[place] = self._slots[place], []
+            for handle in handles:
+                if handle.call is None:
+                    continue
+                if handle.tick > now:
+                    self._slots[place].append(handle)
+                    continue
+                try:
+                    handle.call()
+                except Exception:  # one timer's fault must not stop the others
+                    log.exception("timer failed")
+
+    async def run(self) -> None:
+        """Advances the wheel at each tick until cancelled."""
+        while True:
+            before = self._clock()
+            await asyncio.sleep(TICK_MS / 1000.0)
+            self.record_tick(before, self._clock())
+            self.advance()
+
+    def record_tick(self, before_ms: float, now_ms: float) -> None:
+        """Updates the lateness by a tick at `now_ms` that was waited for since `before_ms`."""
+        late = now_ms - before_ms - TICK_MS
+        self._last_tick_ms = now_ms
+        self._late_ms = max(late, 0.0)
+        self._worst_ms = max(min(late, WORST_LATE_LIMIT_MS), self._worst_ms * WORST_LATE_DECAY)
+        if late > LATE_MS:
+            log.warning("loop late ms=%.0f", late)
--- a/tests/operations/test_door.py
+++ b/tests/admin/test_endpoint.py
@@ -1,4 +1,4 @@
-"""The door on real sockets: answered while the serving loop stands still, and beside callers who say nothing."""
+"""The admin endpoint on real sockets: answered while the serving loop stands still, and beside callers who say nothing."""
 
 from __future__ import annotations
 
@@ -6,42 +6,48 @@
 import socket
 import time
 from collections.abc import Iterator
+from concurrent.futures import Future
 from contextlib import contextmanager, suppress
 
 import pytest
 from harness import trial
 
-import gladelane.operations.door as door_module
-from gladelane.operations.calls import Answer, Call, Word
-from gladelane.operations.door import MOST_CALLERS, Door
+import gladelane.admin.endpoint as endpoint_module
+from gladelane.admin.endpoint import MAX_CONNECTIONS, AdminEndpoint
+from gladelane.admin.requests import AdminAction, AdminRequest, AdminResponse
 
 
-class Desk:
+class RecordingHandler:
     def __init__(self) -> None:
-        self.bound: list[Call] = []
-        self.applied: list[Call] = []
+        self.bound: list[AdminRequest] = []
+        self.applied: list[AdminRequest] = []
+        self.stored: Future[None] | None = None
 
-    def bind(self, call: Call) -> Answer | None:
-        self.bound.append(call)
-        return Answer(200, "at once\n") if call.word is Word.HEALTH else None
+    def accept(self, request: AdminRequest) -> AdminResponse | None:
+        self.bound.append(request)
+        return AdminResponse(200, "at once\n") if request.action is AdminAction.HEALTH else None
 
-    def apply(self, call: Call) -> Answer:
-        self.applied.append(call)
-        if call.store == "fault":
+    def complete(self, request: AdminRequest) -> AdminResponse:
+        self.applied.append(request)
+        if request.store == "fault":
             raise RuntimeError("planted")
-        return Answer(200, "applied\n")
+        if request.store == "unstored":
+            self.stored = Future()
+        return AdminResponse(200, "applied\n")
 
-    def late(self, call: Call) -> Answer:
-        return Answer(202, "bound\n")
+    def respond_late(self, request: AdminRequest) -> AdminResponse:
+        return AdminResponse(202, "bound\n")
 
 
 @contextmanager
-def opened(desk: Desk, most_callers: int = MOST_CALLERS) -> Iterator[tuple[Door, int]]:
-    door = Door(desk, asyncio.get_running_loop(), most_callers)
+def opened(
+    handler: RecordingHandler, max_connections: int = MAX_CONNECTIONS
+) -> Iterator[tuple[AdminEndpoint, int]]:
+    endpoint = AdminEndpoint(handler, asyncio.get_running_loop(), max_connections)
     try:
-        yield door, door.open("127.0.0.1", 0)
+        yield endpoint, endpoint.open("127.0.0.1", 0)
     finally:
-        door.close()
+        endpoint.close()
 
 
 def ask(port: int, text: bytes, wait: float = 3.0) -> bytes:
@@ -63,8 +69,8 @@
 
 @trial
 async def test_one_call_a_connection_is_applied_and_answered() -> None:
-    desk = Desk()
-    with opened(desk) as (_, port):
+    handler = RecordingHandler()
+    with opened(handler) as (_, port):
         whole = await asyncio.to_thread(
             ask, port, http("POST", "/caches/a%20b/maint") + http("POST", "/caches/c/maint")
         )
@@ -73,7 +79,7 @@
             and whole.endswith(b"applied\n")
             and b"onnection: close" in whole
         )
-        assert desk.applied == desk.bound == [Call(Word.MAINT, "a b")]
+        assert handler.applied == handler.bound == [AdminRequest(AdminAction.MAINT, "a b")]
         assert (
             await status(port, http("GET", "/nowhere")) == 404
             and await status(port, http("POST", "/stats")) == 405
@@ -84,10 +90,21 @@
         assert await status(port, http("GET", "/healthcheck")) == 200  # and it goes on
 
 
+@trial
+async def test_a_yes_waits_until_the_call_is_stored_but_no_longer_than_it_is_owed() -> None:
+    handler = RecordingHandler()
+    with opened(handler) as (_, port):
+        asked = asyncio.create_task(status(port, http("POST", "/caches/unstored/maint")))
+        while not handler.applied:
+            await asyncio.sleep(0.005)
+        assert not asked.done()
+        assert await asked == 202, "in force, and answered in time"
+
+
 @trial
 async def test_while_the_serving_loop_stands_still_a_call_is_bound_and_answered() -> None:
-    desk = Desk()
-    with opened(desk) as (_, port):
+    handler = RecordingHandler()
+    with opened(handler) as (_, port):
         caller = asyncio.get_running_loop().run_in_executor(
             None, lambda: (ask(port, http("POST", "/caches/a/maint")), time.monotonic())
         )
@@ -97,20 +114,20 @@
         answer, answered = await caller
         assert answer.startswith(b"HTTP/1.1 202") and stood < answered < until
         await asyncio.sleep(0)
-        assert desk.applied == [Call(Word.MAINT, "a")]  # carried out once the loop goes on
+        assert handler.applied == [AdminRequest(AdminAction.MAINT, "a")]  # carried out once the loop goes on
 
 
 @trial
 async def test_callers_without_a_whole_call_give_way_oldest_first() -> None:
-    with opened(Desk()) as (door, port):
-        held = [socket.create_connection(("127.0.0.1", port)) for _ in range(MOST_CALLERS * 2)]
+    with opened(RecordingHandler()) as (endpoint, port):
+        held = [socket.create_connection(("127.0.0.1", port)) for _ in range(MAX_CONNECTIONS * 2)]
         for caller in held:
             caller.sendall(b"GET /healthcheck HT")
         assert await status(port, http("GET", "/healthcheck")) == 200
         held[0].settimeout(1.0)
         with pytest.raises((ConnectionResetError, IndexError)):  # cut off without an answer
             held[0].recv(10)[0]
-        assert len(door._callers) <= MOST_CALLERS
+        assert len(endpoint._connections) <= MAX_CONNECTIONS
         for caller in held:
             caller.close()
 
@@ -118,8 +135,10 @@
 @trial
 async def test_callers_who_come_again_at_once_end_no_call_that_lies_unread() -> None:
     # each newcomer ended one held caller at once: of 97 calls beside ten of them 57 were cut off unanswered
-    with pytest.MonkeyPatch.context() as patch, opened(Desk(), most_callers=2) as (_, port):
-        patch.setattr(door_module, "YOUNG_S", 0.3)  # a test machine may stall between a dial and its call
+    with pytest.MonkeyPatch.context() as patch, opened(RecordingHandler(), max_connections=2) as (_, port):
+        patch.setattr(
+            endpoint_module, "MIN_AGE_S", 0.3
+        )  # a test machine may stall between a dial and its call
         over = asyncio.Event()
 
         async def again() -> None:
--- a/tests/operations/test_door_orders.py
+++ b/tests/admin/test_endpoint_actions.py
@@ -11,18 +11,20 @@
 import pytest
 from harness import Cache, Client, Command, config, hit, mute, raw_frame, running, trial, until
 
-from gladelane.net.config import notice_decoder
-from gladelane.operations.calls import Answer, Call, Word
+from gladelane.admin.requests import AdminAction, AdminRequest, AdminResponse
+from gladelane.discovery.events import watch_event_decoder
 
 REFUSED = "127.0.0.1:1"
 
 
-def order(node: Any, word: Word, store: str = "") -> Answer:
-    return node.desk.bind(Call(word, store)) or node.desk.apply(Call(word, store))
+def order(node: Any, word: AdminAction, store: str = "") -> AdminResponse:
+    return node.admin_handler.accept(AdminRequest(word, store)) or node.admin_handler.complete(
+        AdminRequest(word, store)
+    )
 
 
 def figures(node: Any) -> dict[str, int]:
-    lines = order(node, Word.STATS).text.splitlines()
+    lines = order(node, AdminAction.STATS).text.splitlines()
     return {
         name.removeprefix("director."): int(value)
         for name, _, value in (line.partition("=") for line in lines)
@@ -31,7 +33,7 @@
 
 def listed(id_: str, address: str, lifecycle: str = "in_service", reset: bool = False, rev: int = 2) -> Any:
     kinds = {"c": ("edge", "box"), "p": ("hub", "mid")}
-    return notice_decoder.decode(
+    return watch_event_decoder.decode(
         (f'{{"rev":{rev},"pool":{{"reset":{str(reset).lower()},"instances":[{{"instanceId":"{id_}","hostPort":"{address}",'
          f'"zone":"{kinds[id_[0]][0]}","machineType":"{kinds[id_[0]][1]}","lifecycle":"{lifecycle}","startedAtMs":0}}]}}}}').encode())  # fmt: skip
 
@@ -49,8 +51,11 @@
         for stream in range(1, 21):
             assert await ask(client, stream) == 0
         assert one.seen and two.seen
-        assert order(node, Word.MAINT, "nobody").status == 404
-        assert order(node, Word.MAINT, "c0").yes and order(node, Word.MAINT, "c0").yes
+        assert order(node, AdminAction.MAINT, "nobody").status == 404
+        assert (
+            order(node, AdminAction.MAINT, "c0").is_success
+            and order(node, AdminAction.MAINT, "c0").is_success
+        )
         before = len(one.seen)
         notices = [
             listed("c0", places["c0"], "terminated"),
@@ -59,11 +64,14 @@
         ]
         for stream, notice in enumerate([None, *notices], 21):
             if notice is not None:
-                node.director.notice(notice)
+                node.director.apply_watch_event(notice)
             for part in range(10):
                 assert await ask(client, stream * 100 + part) == 0
         assert len(one.seen) == before and figures(node)["hosts_down"] == 1
-        assert order(node, Word.READY, "c0").yes and order(node, Word.READY, "nobody").status == 404
+        assert (
+            order(node, AdminAction.READY, "c0").is_success
+            and order(node, AdminAction.READY, "nobody").status == 404
+        )
         store = node.director.router.stores["c0"]
         assert store.member.came_up_ms > node.clock.now() - 1000.0  # cold: it was restarted in between
         node.director.router.cold.caches.usual = (
@@ -79,13 +87,13 @@
     cache = Cache(hit)
     async with running(config({"c0": await cache.start(), "p0": REFUSED, "r0": REFUSED})) as (node, client):
         assert await ask(client, 1) == 0 and cache.seen[-1][1]["parent"] == "p0"
-        node.desk.bind(
-            Call(Word.MAINT, "p0")
-        )  # bound in the door's thread; this loop has not heard of it yet
+        node.admin_handler.accept(
+            AdminRequest(AdminAction.MAINT, "p0")
+        )  # accepted in the endpoint's thread; this loop has not heard of it yet
         client.ask(2, o=f"{2:016x}", m="1")
         await client.next()
         assert all(command[1].get("parent") != "p0" for command in cache.seen[1:])
-        node.desk.apply(Call(Word.MAINT, "p0"))
+        node.admin_handler.complete(AdminRequest(AdminAction.MAINT, "p0"))
         assert await ask(client, 3) == 0 and cache.seen[-1][1].get("parent") == "r0"
 
 
@@ -97,7 +105,7 @@
         assert await ask(client, 1) == await ask(idle, 1) == 0
         busy.ask(1, o="00000000000000ff", d="1200", m="1")
         await until(lambda: slow.seen[-1][1]["thing"].endswith("f"))
-        assert order(node, Word.FAIL).yes and order(node, Word.FAIL).yes
+        assert order(node, AdminAction.FAIL).is_success and order(node, AdminAction.FAIL).is_success
         late = await Client.to(node.port)  # newcomers are served while they come
         late.send(32, 0, b"\x00")
         assert (await late.next())[2] == 1  # not ready
@@ -114,7 +122,7 @@
             await busy.next(2.0)
         await until(lambda: not node.front.connections)  # `busy` has not closed its own side yet
         assert node.front.listener is not None
-        assert order(node, Word.OK).yes
+        assert order(node, AdminAction.OK).is_success
         again = await Client.to(node.port)
         again.send(32, 0, b"\x00")
         assert (await again.next())[2] == 0 and await ask(again, 1) == 0 and await again.silent()
@@ -125,9 +133,9 @@
     async with running(config({"c0": await Cache(hit).start(), "r0": REFUSED})) as (node, client):
         client.ask(1, o="0000000000000001", m="1")
         await client.next()
-        order(node, Word.FAIL)
+        order(node, AdminAction.FAIL)
         conn = next(iter(node.front.connections))
-        conn.told_ms -= 2000.0  # told two seconds ago
+        conn.goaway_ms -= 2000.0  # told two seconds ago
         client.ask(2, o="0000000000000002", m="1")
         frames = [await client.next(), await client.next()]
         assert sorted(frame[0] for frame in frames) == [17, 48]
@@ -192,7 +200,7 @@
         assert told["withdrawn"] == 1 and not any(
             told[f"calls.film.{word}"] for word in ("success", "busy", "failure")
         )
-        node.front.turns_away = lambda: True
+        node.front.rejects_requests = lambda: True
         client.ask(3)
         assert (await client.next())[1:3] == (3, 1) and figures(node)["calls.film.busy"] == 1
         client.writer.write(raw_frame(3, 16, 1))
@@ -221,8 +229,8 @@
             client.ask(stream, o=f"{stream:016x}", m="1")
             assert (await client.next(1.0))[2] == 0
             taken += len((await slow.next())[4])
-        assert node.front.held < node.front.held_bytes
-        order(node, Word.FAIL)
+        assert node.front.buffered_bytes < node.front.max_buffered_bytes
+        order(node, AdminAction.FAIL)
         while taken < asked * len(part):  # nor is it cut off by the drain: what it is owed is written first
             frame = await slow.next()
             assert frame[0] == 48 or frame[2] == 0
--- a/tests/operations/test_keys.py
+++ b/tests/admin/test_keys.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gladelane.interface import Fail, Fetch, Refuse
-from gladelane.routes.keys import KeyWindows, is_past_window, kept_for
+from gladelane.routing.events import Fail, Fetch, Refuse
+from gladelane.routing.idempotency import KeyWindows, is_past_window, retention_for
 
 REFUSED = "127.0.0.1:1"
 KEPT_MS, MOST = 10_000.0, 40
@@ -36,32 +36,37 @@
             keys.may_have_run(key, now, "s")
         elif ran[key]:
             keys.never_ran(key, ran[key].pop(which % len(ran[key])), "s")
-        for name in ran:
-            assert keys.first(name, now)[0] == min(ran[name], default=0.0)
+        for name, times in ran.items():
+            # once the latest is disproved, those before it count no longer than their own latest one allows
+            counts = bool(times) and max(times) >= now - KEPT_MS
+            assert keys.first_attempt(name, now)[0] == (min(times) if counts else 0.0)
 
 
 def test_it_is_bounded_forgets_nothing_that_counts_and_goes_over_whole() -> None:
     old, new = KeyWindows(KEPT_MS, MOST), KeyWindows(KEPT_MS, MOST)
     for number in range(MOST):
-        assert not old.full(str(number), 1.0)
+        assert not old.is_full(str(number), 1.0)
         old.may_have_run(str(number), 1.0 + number / 1000.0, "s")
     # a key that were forgotten for want of room would pass for a new one, and run twice
-    assert old.full("new", 2.0) and not old.full("0", 2.0) and old.first("0", 2.0) == (1.0, "s")
+    assert old.is_full("new", 2.0) and not old.is_full("0", 2.0) and old.first_attempt("0", 2.0) == (1.0, "s")
     new.may_have_run("own", 0.5, "t")
     new.may_have_run("9", 3.0, "t")
-    new.take_over(old.known(6.0))
-    assert new.first("9", 6.0) == old.first("9", 6.0) and new.first("own", 6.0) == (0.5, "t")
-    assert new.first("own", 0.6 + KEPT_MS) == (0.0, "")
-    assert not old.full("new", 1.0 + KEPT_MS + 0.5) and old.first("0", 1.5 + KEPT_MS) == (0.0, "")
+    new.take_over(old.snapshot(6.0))
+    assert new.first_attempt("9", 6.0) == old.first_attempt("9", 6.0) and new.first_attempt("own", 6.0) == (
+        0.5,
+        "t",
+    )
+    assert new.first_attempt("own", 0.6 + KEPT_MS) == (0.0, "")
+    assert not old.is_full("new", 1.0 + KEPT_MS + 0.5) and old.first_attempt("0", 1.5 + KEPT_MS) == (0.0, "")
 
 
 def test_keys_are_kept_for_as_long_as_the_settings_make_them_matter() -> None:
     # 10 s and 4,096 keys, as it was, forget a window of 15 s before it has passed
     classes = Driver().router.settings.classes
     sale = classes["sale"]
-    assert kept_for(classes.values()) == sale.window_ms + sale.deadline_ms
+    assert retention_for(classes.values()) == sale.window_ms + sale.deadline_ms
     longer = replace(sale, window_ms=15_000.0, deadline_ms=20_000.0)
-    assert kept_for([longer, classes["film"]]) == 35_000.0 and kept_for([classes["film"]]) == 0.0
+    assert retention_for([longer, classes["film"]]) == 35_000.0 and retention_for([classes["film"]]) == 0.0
 
 
 def test_a_repeat_after_the_window_of_the_first_try_is_not_sent() -> None:
@@ -78,7 +83,7 @@
     origin = Cache(lambda command: scripts.get(command[0], mute)(command))
     async with running(config({"c0": REFUSED, "r0": await origin.start()})) as (node, client):
         client.ask(1, c="sheet", k="aa", d="200")
-        assert (await client.next())[2] == 1 and node.director.keys.first("aa", node.clock.now()) == (
+        assert (await client.next())[2] == 1 and node.director.keys.first_attempt("aa", node.clock.now()) == (
             0.0,
             "",
         )  # never ran
@@ -87,7 +92,7 @@
         assert (await client.next())[2] == 1
         client.ask(3, c="sheet", k="aa", d="150")
         assert (await client.next())[2] == 1
-        at, store = node.director.keys.first("aa", node.clock.now())
+        at, store = node.director.keys.first_attempt("aa", node.clock.now())
         assert (
             store == "r0" and before <= at < node.clock.now() - 100.0
         )  # of the second try, not of the third
--- a/tests/operations/test_retune.py
+++ b/tests/admin/test_live_settings.py
@@ -10,9 +10,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gladelane.interface import ClassSpec, Effect
-from gladelane.net.config import BadConfig, read_config
-from gladelane.operations.retune import STRICTNESS, applied, between, stricter
+from gladelane.admin.live_settings import STRICTNESS, apply_live, stricter, transition_settings
+from gladelane.net.config import ConfigError, read_config
+from gladelane.routing.events import ClassSpec, Effect
 from gladelane.settings_wire import settings_from_wire
 
 REFUSED = "127.0.0.1:1"
@@ -48,7 +48,7 @@
     data: bytes, says: str
 ) -> None:
     with pytest.raises(
-        BadConfig, match=says if b"NaN" not in data and b"Infinity" not in data else "JSON|" + says
+        ConfigError, match=says if b"NaN" not in data and b"Infinity" not in data else "JSON|" + says
     ) as caught:
         read_config(data, json.dumps(WHOLE).encode())
     assert "\n" not in str(caught.value)
@@ -57,7 +57,7 @@
 @given(st.integers(0, len(json.dumps(WHOLE)) - 1))
 def test_a_file_cut_short_anywhere_is_turned_down(length: int) -> None:
     text = json.dumps(WHOLE).encode()
-    with pytest.raises(BadConfig):
+    with pytest.raises(ConfigError):
         read_config(text[:length], text)
 
 
@@ -95,14 +95,14 @@
             "family_info": rows_for(["film", "sheet", "new"]),
         }
     )
-    now, later = applied(used, told)
+    now, later = apply_live(used, told)
     assert (
         later == ["zone"]
         and now.zone == used.zone
         and now.max_attempts == 2
         and set(now.classes) == {"film", "sheet", "new"}
     )
-    back = between(now, used)
+    back = transition_settings(now, used)
     assert set(back.classes) == {"film", "sheet", "new"} and back.max_attempts == min(2, used.max_attempts)
 
 
@@ -133,11 +133,11 @@
         await until(lambda: len(cache.seen) == 1)
         new = {**film, "name": "new"}
         node.reload(retuned(places, [{**film, "effect": "fragile"}, new], max_attempts=2))
-        assert node.director.figures.classes.keys() == {"film", "sheet", "new"}
+        assert node.director.metrics.classes.keys() == {"film", "sheet", "new"}
         open_ = next(iter(node.director.live.values()))
         assert (
             open_.spec.effect is Effect.SAFE
-            and open_.most == node.director.router.pending[open_.request.id].most > 2
+            and open_.max_attempts == node.director.router.pending[open_.request.id].max_attempts > 2
         )
         for stream, cls in enumerate(("new", "sheet", "film"), 2):
             client.ask(stream, c=cls, k="aa", o="0000000000000001", m="1")
@@ -148,11 +148,11 @@
         assert (await client.next())[1] == 1  # the open one ends in its own time
         await until(lambda: "sheet" not in node.director.settings.classes)
         client.ask(9, c="sheet", k="aa")
-        assert (await client.next())[1:3] == (9, 2) and node.director.figures.unusable == 1
+        assert (await client.next())[1:3] == (9, 2) and node.director.metrics.unusable == 1
         moved = retuned(places, [film])
-        moved.board = ("127.0.0.1", 2)  # both in one file
+        moved.discovery = ("127.0.0.1", 2)  # both in one file
         node.reload(moved)
-        assert node.config.board == ("127.0.0.1", 2)
+        assert node.config.discovery == ("127.0.0.1", 2)
         assert (
             node.director.settings.classes["film"].effect is Effect.UNSAFE
             and "new" in node.director.settings.classes
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,12 +2,11 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, TypeVar
 
 from hypothesis import settings as hypothesis_settings
 
-from gladelane.choice import Router
-from gladelane.interface import (
+from gladelane.routing.events import (
     Action,
     Event,
     Fetch,
@@ -22,10 +21,13 @@
     State,
     Status,
 )
+from gladelane.routing.router import Router
 
 hypothesis_settings.register_profile("steady", derandomize=True, deadline=None, max_examples=80)
 hypothesis_settings.load_profile("steady")
 
+Kind = TypeVar("Kind")
+
 PLAIN: dict[str, Any] = {
     "me": 0, "proxies": 2, "zone": "edge", "zones": ["hub", "edge"], "hub_of": [0, 0], "seats_by_zone": [0, 2],
     "origin_kind": "root", "parent_kind": "mid", "reports": "none", "notes": "all", "peers_fill": "any",
@@ -101,13 +103,13 @@
         return fetch
 
 
-def only(actions: list[Action], kind: Any) -> Any:
+def only(actions: list[Action], kind: type[Kind]) -> Kind:
     found = [a for a in actions if isinstance(a, kind)]
     assert len(found) == 1, actions
     return found[0]
 
 
-def some(actions: list[Action], kind: Any) -> list[Any]:
+def some(actions: list[Action], kind: type[Kind]) -> list[Kind]:
     return [a for a in actions if isinstance(a, kind)]
 
 
--- a/tests/control/test_control.py
+++ b/tests/control_plane/test_control.py
@@ -9,14 +9,20 @@
 
 import pytest
 
-from gladelane.control.event_stream import EventSink
-from gladelane.control.group_commit import GroupCommit
-from gladelane.control.http import Refused, Request, fetch, stream_response
-from gladelane.control.part import MAX_BODY_BYTES, MAX_LARGE_BODY_BYTES, Route, StreamRoute
-from gladelane.control.positions import Vector
-from gladelane.control.replication import NotReplicated, PeerReport, PendingReplication, Replication
-from gladelane.control.server import ControlServer
-from gladelane.control.tokens import Tokens
+from gladelane.control_plane.errors import error_label
+from gladelane.control_plane.event_stream import EventSink
+from gladelane.control_plane.group_commit import GroupCommit
+from gladelane.control_plane.http import HttpStatusError, Request, fetch, stream_response
+from gladelane.control_plane.part import MAX_BODY_BYTES, MAX_LARGE_BODY_BYTES, Route, StreamRoute
+from gladelane.control_plane.positions import Vector
+from gladelane.control_plane.replication import (
+    NotReplicatedError,
+    PeerReport,
+    PendingReplication,
+    Replication,
+)
+from gladelane.control_plane.server import ControlServer
+from gladelane.control_plane.tokens import Tokens
 from gladelane.sse import EventStream
 
 TOKEN = "a-token-of-the-operators"
@@ -52,8 +58,8 @@
 
     async def count(self, request: Request, sink: EventSink) -> None:
         if request.query == "refuse":
-            raise Refused(409, "not now")
-        sink.begin()
+            raise HttpStatusError(409, "not now")
+        sink.send_header()
         for number in range(3):
             await sink.send(str(number).encode())
 
@@ -62,7 +68,7 @@
     """The body, or the status and the text of an error."""
     try:
         return (await fetch("127.0.0.1", port, method, target, token, body)).decode()
-    except Refused as error:
+    except HttpStatusError as error:
         return f"{error.status} {error}"
 
 
@@ -91,6 +97,9 @@
         events = EventStream()
         parts = stream_response("127.0.0.1", port, "GET", "/b/stream", TOKEN)
         assert [text async for part in parts for text in events.feed(part)] == ["0", "1", "2"]
+        with pytest.raises(HttpStatusError) as rejected:
+            await fetch("127.0.0.1", port, "GET", "/c", TOKEN)
+        assert error_label(rejected.value) == "Refused", "operators search logs for it"
         await server.close()
         assert calls == ["start /a", "start /b", "close /a", "close /b"]
         with pytest.raises(OSError):
@@ -151,12 +160,12 @@
         replication: Replication[str] = Replication(copies)
         replication.peers = {str(n): PeerReport(position) for n, position in enumerate(positions)}
         done: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        replication.wait_for(PendingReplication(("a", 1), 5, done, "stored", 2.0))
-        replication.release(now_s)
+        replication.add_pending(PendingReplication(("a", 1), 5, done, "stored", 2.0))
+        replication.resolve_pending(now_s)
         if outcome == "late":
-            with pytest.raises(NotReplicated, match=f"not at {copies} feeds yet") as late:
+            with pytest.raises(NotReplicatedError, match=f"not at {copies} feeds yet") as late:
                 done.result()
-            assert late.value.status == 503
+            assert late.value.status == 503 and error_label(late.value) == "NotReplicated"
         else:
             assert (done.result() if done.done() else "waits") == outcome
 
--- a/tests/endpoints/test_address_measure.py
+++ b/tests/endpoints/test_address_measure.py
@@ -9,7 +9,7 @@
 
 from benchmarks import addresses
 from benchmarks.addresses import Asking
-from gladelane.net.frames import FrameDecoder, Type, encode_fields, encode_frame
+from gladelane.net.client_protocol import FrameDecoder, Type, encode_fields, encode_frame
 
 FIELDS = {"c": "film", "i": "0" * 16}
 
