--- a/tests/endpoints/test_pure.py
+++ b/tests/endpoints/test_pure.py
@@ -9,12 +9,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gladelane.endpoints.address import Address, BadAddress, Family, parse
-from gladelane.endpoints.book import Book
+from gladelane.endpoints.address import Address, Family, InvalidAddressError, parse
+from gladelane.endpoints.address_selection import interleave, sort_addresses
 from gladelane.endpoints.health import DialEnd, Health, Pauses
-from gladelane.endpoints.order import arrange, interleave
 from gladelane.endpoints.plan import Endpoints, Options
-from gladelane.endpoints.rules import MOST, Listing, Network, Rule, Rules
+from gladelane.endpoints.registry import AddressRegistry
+from gladelane.endpoints.rules import MAX_ADDRESSES, Listing, Network, Rule, Rules
 
 V4, V6, UNIX = parse("10.1.0.9:4100"), parse("[2001:db8::9]:4100"), parse("unix:/run/c.sock")
 
@@ -36,7 +36,7 @@
     "unix:/a\0b", "10.0.0.1\0:80",
 ])  # fmt: skip
 def test_what_is_no_address_says_what_was_expected(text: str) -> None:
-    with pytest.raises(BadAddress, match="expected IPv4:port"):
+    with pytest.raises(InvalidAddressError, match="expected IPv4:port"):
         parse(text)
 
 
@@ -44,16 +44,16 @@
 def test_any_text_is_an_address_or_a_clear_error(text: str) -> None:
     try:
         assert parse(parse(text).text) == parse(text)
-    except BadAddress as error:
+    except InvalidAddressError as error:
         assert "\n" not in str(error)
 
 
 def listing(server: str = "c-7", host_port: str = "10.1.2.3:4100", **more: Any) -> Listing:
-    return Listing(server, host_port, **{"zone": "east", "kind": "std", "cell": 2, **more})
+    return Listing(server, host_port, **{"zone": "east", "kind": "std", "site": 2, **more})
 
 
-def texts(book: Book, server: str) -> list[str]:
-    return [address.text for address in book.addresses(server)]
+def texts(registry: AddressRegistry, server: str) -> list[str]:
+    return [address.text for address in registry.addresses(server)]
 
 
 RULES = [
@@ -69,24 +69,26 @@
 
 @pytest.mark.parametrize("rule,expected", RULES)
 def test_rules_match_and_make_addresses(rule: Rule, expected: list[str]) -> None:
-    book = Book(Rules([rule]))
-    change = book.tell([listing()])
-    assert texts(book, "c-7") == expected and not change.bad
+    registry = AddressRegistry(Rules([rule]))
+    change = registry.update([listing()])
+    assert texts(registry, "c-7") == expected and not change.errors
 
 
 def test_rules_apply_in_turn_up_to_the_last_and_lists_are_bounded() -> None:
     many = Rule("many", add=tuple(f"10.9.0.{n}:1" for n in range(1, 30)), last=True)
-    book = Book(Rules([Rule("first", add=("unix:@a",)), many, Rule("never", replace=("unix:@b",))]))
-    change = book.tell([listing()])
-    assert len(book.addresses("c-7")) == MOST and texts(book, "c-7")[1] == "unix:@a"
-    assert [line for _, line in change.bad] == ["31 addresses; expected 16 at most, the rest is left out"]
+    registry = AddressRegistry(
+        Rules([Rule("first", add=("unix:@a",)), many, Rule("never", replace=("unix:@b",))])
+    )
+    change = registry.update([listing()])
+    assert len(registry.addresses("c-7")) == MAX_ADDRESSES and texts(registry, "c-7")[1] == "unix:@a"
+    assert [line for _, line in change.errors] == ["31 addresses; expected 16 at most, the rest is left out"]
 
 
 def test_a_name_from_the_board_leads_out_of_no_folder_and_an_empty_replacement_changes_nothing() -> None:
     for id_ in ("../etc/x", "a/b"):
-        book = Book(Rules([Rule("r", replace=("unix:/run/{id}.sock",))]))
-        change = book.tell([listing(id_)])
-        assert texts(book, id_) == ["10.1.2.3:4100"] and "holds / or .." in change.bad[0][1]
+        registry = AddressRegistry(Rules([Rule("r", replace=("unix:/run/{id}.sock",))]))
+        change = registry.update([listing(id_)])
+        assert texts(registry, id_) == ["10.1.2.3:4100"] and "holds / or .." in change.errors[0][1]
 
 
 CLAIMS = [
@@ -101,16 +103,16 @@
 def test_two_that_claim_one_address_are_settled(
     name: str, first: dict[str, Any], second: dict[str, Any], owner: str
 ) -> None:
-    book = Book()
-    book.tell([listing("a", **first)])
-    change = book.tell([listing("b", **second)])
+    registry = AddressRegistry()
+    registry.update([listing("a", **first)])
+    change = registry.update([listing("b", **second)])
     address = parse("10.1.2.3:4100")
-    assert book.owner(address) == owner and change.conflicts[0].owner == owner
+    assert registry.owner(address) == owner and change.conflicts[0].owner == owner
     assert (("a", address) in change.lost) is (owner == "b")
-    book.tell([listing("a", **first)])  # told again: a claim that goes on is not a later one
-    assert book.owner(address) == owner
-    book.tell([], gone=[owner])
-    assert book.owner(address) == ("a" if owner == "b" else "b")  # the other gets it back
+    registry.update([listing("a", **first)])  # told again: a claim that goes on is not a later one
+    assert registry.owner(address) == owner
+    registry.update([], gone=[owner])
+    assert registry.owner(address) == ("a" if owner == "b" else "b")  # the other gets it back
 
 
 def told_servers() -> Any:
@@ -124,7 +126,7 @@
 def test_every_claimed_address_has_one_owner_that_claims_it_and_changes_say_what_was_lost(
     moves: list[Any],
 ) -> None:
-    book, usable = Book(), dict[str, set[Address]]()
+    registry, usable = AddressRegistry(), dict[str, set[Address]]()
     for server, own, more, ready, started, kind in moves:
         one = listing(
             server,
@@ -134,18 +136,20 @@
             started_ms=started,
         )
         if kind == "rules":
-            change = book.replace_rules(Rules([Rule("r", add=(f"10.0.0.{own}:1",))] if ready else ()))
+            change = registry.replace_rules(Rules([Rule("r", add=(f"10.0.0.{own}:1",))] if ready else ()))
         elif kind == "gone":
-            change = book.tell([], gone=[server])
+            change = registry.update([], gone=[server])
         else:
-            change = book.tell([one], complete=kind == "all")
-        now = {s: set(book.addresses(s)) for s in "abc"}
+            change = registry.update([one], complete=kind == "all")
+        now = {s: set(registry.addresses(s)) for s in "abc"}
         for s in "abc":
-            assert len(book.addresses(s)) == len(now[s])
+            assert len(registry.addresses(s)) == len(now[s])
             assert {a for name, a in change.lost if name == s} == usable.get(s, set()) - now[s]
         owned = [a for s in "abc" for a in now[s]]
-        assert len(owned) == len(set(owned)) == len(book._claims)  # each claimed address is usable somewhere
-        assert all(book.owner(a) == s for s in "abc" for a in now[s])
+        assert (
+            len(owned) == len(set(owned)) == len(registry._claims)
+        )  # each claimed address is usable somewhere
+        assert all(registry.owner(a) == s for s in "abc" for a in now[s])
         usable = now
 
 
@@ -154,15 +158,15 @@
         parse(t)
         for t in ("10.0.0.1:1", "[fd00::1]:1", "[2001:db8::1]:1", "unix:@a", "[2002:102::1]:1", "127.0.0.1:1")
     ]
-    words = [a.text for a in sorted(listed, key=lambda a: arrange(listed).index(a))]
+    words = [a.text for a in sorted(listed, key=lambda a: sort_addresses(listed).index(a))]
     assert words[0] == "unix:@a" and words[1] == "[2001:db8::1]:1" and words[2] == "127.0.0.1:1"
     assert words[-1] == "[fd00::1]:1"  # RFC 6724: unique local addresses come after IPv4 unless preferred
     ula = Network(parse("[fd00::]:1").packed, 8)
-    assert arrange(listed, (ula, Family.V4))[0].text == "[fd00::1]:1"
+    assert sort_addresses(listed, (ula, Family.V4))[0].text == "[fd00::1]:1"
     near, far = parse("10.0.0.1:1"), parse("10.0.0.2:1")
     times = {near: 300.0, far: 3.0}
-    assert arrange([near, far], connect_ms=times.get) == [far, near]
-    assert arrange([near, far], connect_ms={near: 3.9, far: 2.0}.get) == [
+    assert sort_addresses([near, far], connect_ms=times.get) == [far, near]
+    assert sort_addresses([near, far], connect_ms={near: 3.9, far: 2.0}.get) == [
         near,
         far,
     ]  # within one step: listed order
@@ -194,7 +198,7 @@
     now, spans = 0.0, []
     for _ in range(8):
         known.failed("a", V4, DialEnd.REFUSED, now)
-        span = known.at("a", V4).until_ms - now  # type: ignore[union-attr]
+        span = known.of("a", V4).until_ms - now  # type: ignore[union-attr]
         spans.append(span)
         now += span
     for place, span in enumerate(spans):
@@ -202,7 +206,7 @@
         assert usual * 0.7 <= span <= usual * 1.25
     assert len(set(spans)) == 8
     known.failed("a", V4, DialEnd.REFUSED, now + 600_000.0)  # aged: as good as the first
-    assert known.at("a", V4).until_ms - now - 600_000.0 <= 130.0  # type: ignore[union-attr]
+    assert known.of("a", V4).until_ms - now - 600_000.0 <= 130.0  # type: ignore[union-attr]
 
 
 def longest_pause(most_ms: float) -> float:
@@ -211,7 +215,7 @@
     now = longest = 0.0
     for _ in range(60):
         known.failed("a", V4, DialEnd.REFUSED, now)
-        until = known.at("a", V4).until_ms  # type: ignore[union-attr]
+        until = known.of("a", V4).until_ms  # type: ignore[union-attr]
         longest, now = max(longest, until - now), until
     return longest
 
@@ -222,40 +226,43 @@
 
 
 def test_one_trial_at_a_time_brings_an_address_back() -> None:
-    ends = Endpoints(random.Random(1), Options(pause_first_ms=100.0))
-    ends.tell([listing("a", "10.1.0.9:4100", addresses=(V6.text,))])
-    ends.health.connected("b", V6, 1.0)  # the family is good
-    ends.health.connected("b", V4, 1.0)
-    ends.health.failed("a", V6, DialEnd.REFUSED, 0.0)
-    assert ends.plan("a", 50.0) == ((V4, V6), 20.0, None)
-    assert ends.plan("a", 200.0).trial == V6
-    ends.health.tried("a", V6)
-    assert ends.plan("a", 201.0).trial is None
-    ends.health.failed("a", V6, DialEnd.REFUSED, 210.0)
-    assert ends.plan("a", 250.0).trial is None and ends.plan("a", 900.0).trial == V6
-    ends.health.tried("a", V6)
-    ends.health.connected("a", V6, 1.0)
-    assert ends.plan("a", 901.0) == ((V6, V4), 20.0, None)
+    endpoints = Endpoints(random.Random(1), Options(pause_first_ms=100.0))
+    endpoints.update([listing("a", "10.1.0.9:4100", addresses=(V6.text,))])
+    endpoints.health.connected("b", V6, 1.0)  # the family is good
+    endpoints.health.connected("b", V4, 1.0)
+    endpoints.health.failed("a", V6, DialEnd.REFUSED, 0.0)
+    assert endpoints.plan("a", 50.0) == ((V4, V6), 20.0, None)
+    assert endpoints.plan("a", 200.0).address_to_check == V6
+    endpoints.health.check_started("a", V6)
+    assert endpoints.plan("a", 201.0).address_to_check is None
+    endpoints.health.failed("a", V6, DialEnd.REFUSED, 210.0)
+    assert (
+        endpoints.plan("a", 250.0).address_to_check is None
+        and endpoints.plan("a", 900.0).address_to_check == V6
+    )
+    endpoints.health.check_started("a", V6)
+    endpoints.health.connected("a", V6, 1.0)
+    assert endpoints.plan("a", 901.0) == ((V6, V4), 20.0, None)
 
 
 def test_a_family_is_given_up_from_few_servers_and_comes_back_by_one() -> None:
     known, lines = health(family_few=3, first_ms=100.0)
     for n in range(3):
-        assert known.family_leads(Family.V6, f"s{n}", 0.0)
-        known.dialled(f"s{n}", V6, 0.0)
-    assert not known.family_leads(Family.V6, "s3", 0.0)  # unproven: few at once
+        assert known.may_family_lead(Family.V6, f"s{n}", 0.0)
+        known.first_dial_started(f"s{n}", V6, 0.0)
+    assert not known.may_family_lead(Family.V6, "s3", 0.0)  # unproven: few at once
     for n in range(3):
         known.failed(f"s{n}", V6, DialEnd.OVERTAKEN, 20.0)
         known.family_failed(f"s{n}", Family.V6, 20.0)
-    assert known.families[Family.V6].broken() and not known.family_leads(Family.V6, "s0", 20.0)
-    assert not known.wants_trial("s9", V6, 21.0) and known.wants_trial("s9", V6, 200.0)
-    known.tried("s9", V6)
-    assert not known.wants_trial("s8", V6, 200.0)
+    assert known.families[Family.V6].is_broken() and not known.may_family_lead(Family.V6, "s0", 20.0)
+    assert not known.is_check_due("s9", V6, 21.0) and known.is_check_due("s9", V6, 200.0)
+    known.check_started("s9", V6)
+    assert not known.is_check_due("s8", V6, 200.0)
     known.failed("s9", V6, DialEnd.TIMED_OUT, 300.0)
-    assert not known.wants_trial("s8", V6, 400.0) and known.wants_trial("s8", V6, 800.0)
-    known.tried("s8", V6)
+    assert not known.is_check_due("s8", V6, 400.0) and known.is_check_due("s8", V6, 800.0)
+    known.check_started("s8", V6)
     known.connected("s8", V6, 2.0)
-    assert known.family_leads(Family.V6, "s3", 800.0) and known.families[Family.V6].proven
+    assert known.may_family_lead(Family.V6, "s3", 800.0) and known.families[Family.V6].proven
     assert [line[0].split()[:2] for line in lines if line[0].startswith("family")] == [
         ["family", "down"],
         ["family", "back"],
@@ -268,43 +275,43 @@
     known, _ = health(family_few=3)
     known.connected("a", V6, 1.0)
     for n in range(9):
-        known.dialled(f"s{n}", V6, 100.0)
-    assert known.family_leads(Family.V6, "x", 101.0) and not known.family_leads(Family.V6, "x", 200.0)
+        known.first_dial_started(f"s{n}", V6, 100.0)
+    assert known.may_family_lead(Family.V6, "x", 101.0) and not known.may_family_lead(Family.V6, "x", 200.0)
     for n in range(9):
         known.failed(f"s{n}", V6, DialEnd.TIMED_OUT, 400.0)  # and no other family came up there either
-    assert known.family_leads(Family.V6, "x", 400.0)
+    assert known.may_family_lead(Family.V6, "x", 400.0)
 
 
 def test_what_was_learnt_ends_with_the_process_it_was_learnt_of() -> None:
-    ends = Endpoints(random.Random(1))
+    endpoints = Endpoints(random.Random(1))
     told = listing("a", "10.1.0.9:4100", addresses=(UNIX.text,))
-    ends.tell([told])
-    assert ends.stalled("a", UNIX, 0.0) and ends.plan("a", 1.0).addresses == (V4, UNIX)
-    ends.tell([told])
-    assert ends.plan("a", 2.0).addresses == (V4, UNIX)
-    ends.tell([listing("a", "10.1.0.9:4100", addresses=(UNIX.text,), started_ms=3.0)])
-    assert ends.plan("a", 3.0).addresses == (UNIX, V4)
-    assert not ends.stalled("b", UNIX, 4.0) and not ends.health.passed_over("b", UNIX)  # not its own
+    endpoints.update([told])
+    assert endpoints.stalled("a", UNIX, 0.0) and endpoints.plan("a", 1.0).addresses == (V4, UNIX)
+    endpoints.update([told])
+    assert endpoints.plan("a", 2.0).addresses == (V4, UNIX)
+    endpoints.update([listing("a", "10.1.0.9:4100", addresses=(UNIX.text,), started_ms=3.0)])
+    assert endpoints.plan("a", 3.0).addresses == (UNIX, V4)
+    assert not endpoints.stalled("b", UNIX, 4.0) and not endpoints.health.is_avoided("b", UNIX)  # not its own
 
 
 @given(st.lists(st.tuples(st.sampled_from([V4, V6, UNIX]), st.sampled_from(["ok", "fail", "stall", "late"]), st.integers(1, 4000)),
                 max_size=30))  # fmt: skip
 def test_plans_hold_every_address_once_and_a_remembered_one_equals_a_fresh_one(events: list[Any]) -> None:
-    ends = Endpoints(random.Random(2))
-    ends.tell([listing("a", V4.text, addresses=(V6.text, UNIX.text))])
+    endpoints = Endpoints(random.Random(2))
+    endpoints.update([listing("a", V4.text, addresses=(V6.text, UNIX.text))])
     now = 0.0
     for address, what, wait in events:
         now += wait
         if what == "ok":
-            ends.health.connected("a", address, wait / 10.0)
+            endpoints.health.connected("a", address, wait / 10.0)
         elif what == "stall":
-            ends.stalled("a", address, now)
+            endpoints.stalled("a", address, now)
         else:
             end = DialEnd.REFUSED if what == "fail" else DialEnd.OVERTAKEN
-            ends.health.failed("a", address, end, now)
+            endpoints.health.failed("a", address, end, now)
             if end is DialEnd.OVERTAKEN:
-                ends.health.family_failed("a", address.family, now)
-        kept = ends.plan("a", now)
-        assert sorted(a.text for a in kept.addresses) == sorted(a.text for a in (V4, V6, UNIX))
-        ends._plans.clear()
-        assert ends.plan("a", now) == kept
+                endpoints.health.family_failed("a", address.family, now)
+        cached = endpoints.plan("a", now)
+        assert sorted(a.text for a in cached.addresses) == sorted(a.text for a in (V4, V6, UNIX))
+        endpoints._plans.clear()
+        assert endpoints.plan("a", now) == cached
--- a/tests/endpoints/test_sockets.py
+++ b/tests/endpoints/test_sockets.py
@@ -21,26 +21,28 @@
 from harness import Client, config, running, trial, until
 from test_net_rules import REFUSED, notice, outcomes, ready, told
 
-from gladelane.__main__ import Node
-from gladelane.endpoints import dialling as dialling_module
+from gladelane.discovery.events import WatchEvent
+from gladelane.endpoints import connect as connect_module
 from gladelane.endpoints.address import Family, parse
-from gladelane.endpoints.dialling import Connect, Dialling
+from gladelane.endpoints.connect import Connect
+from gladelane.endpoints.dialer import Dialer
 from gladelane.endpoints.health import DialEnd
+from gladelane.endpoints.health_check import check_health
 from gladelane.endpoints.plan import Endpoints, Options, Plan
 from gladelane.endpoints.rules import Listing
-from gladelane.interface import Status
-from gladelane.lab.standins import Fault, Standin
+from gladelane.lab.fake_server import FakeServer, Fault
 from gladelane.net import cache_connection as connection_module
-from gladelane.net.config import Notice
 from gladelane.net.exchange import Attempt
+from gladelane.routing.events import Status
+from gladelane.server import Server
 
 ROOT = Path(__file__).parents[2]
 V6_FIRST = (Family.V6, Family.V4)
 ALL = (Family.UNIX, Family.V6, Family.V4)  # in the order in which they are dialled
 
 
-async def listening(name: str, families: tuple[Family, ...]) -> tuple[Standin, list[str]]:
-    standin = Standin(name)
+async def listening(name: str, families: tuple[Family, ...]) -> tuple[FakeServer, list[str]]:
+    standin = FakeServer(name)
     return standin, [await standin.listen(family) for family in families]
 
 
@@ -54,7 +56,7 @@
 @asynccontextmanager
 async def origin(
     families: tuple[Family, ...], host_port_is_last: bool = False, **limits: Any
-) -> AsyncIterator[tuple[Standin, list[str], Node, Client]]:
+) -> AsyncIterator[tuple[FakeServer, list[str], Server, Client]]:
     """A director with one origin at several addresses; `sheet` goes straight there. Its `hostPort` is the
     first of them, or the last, which is dialled last."""
     standin, listed = await listening("r0", families)
@@ -105,17 +107,17 @@
         await standin.set(listed[0], Fault.BLACK_HOLE)
         submit(client, 1)
         assert (await client.next())[:3] == (17, 1, 0)
-        assert node.endpoints.health.passed_over("r0", parse(listed[0]))
+        assert node.endpoints.health.is_avoided("r0", parse(listed[0]))
         plan = node.endpoints.plan("r0", node.clock.now())
-        assert [a.text for a in plan.addresses] == listed[::-1] and plan.trial is None
+        assert [a.text for a in plan.addresses] == listed[::-1] and plan.address_to_check is None
         # once it is due, and heals, a trial beside an ordinary dial brings it back
         await standin.set(listed[0], Fault.NONE)
-        node.endpoints.health.at("r0", parse(listed[0])).until_ms = 1.0  # type: ignore[union-attr]
+        node.endpoints.health.of("r0", parse(listed[0])).until_ms = 1.0  # type: ignore[union-attr]
         await standin.set(listed[1], Fault.NONE)  # drops what is connected
         await until(lambda: not node.upstream._pool)
         submit(client, 2)
         assert (await client.next())[:3] == (17, 2, 0)
-        await until(lambda: not node.endpoints.health.passed_over("r0", parse(listed[0])))
+        await until(lambda: not node.endpoints.health.is_avoided("r0", parse(listed[0])))
         assert standin.seen[1].address == listed[1] and node.upstream._extra == 0
         assert [a.text for a in node.endpoints.plan("r0", node.clock.now()).addresses] == listed
 
@@ -137,7 +139,7 @@
             paid.append(led is Family.V6)
             connection.close()
         assert paid == [True] * 3 + [False] * 5
-        assert node.endpoints.health.families[Family.V6].broken()
+        assert node.endpoints.health.families[Family.V6].is_broken()
         client.writer.close()
     for standin, _ in standins.values():
         await standin.close()
@@ -195,7 +197,7 @@
                 assert standin.times(f"{stream:016x}") <= sent[f"{stream:016x}"]
             # late or full is no fault of an address; all else is passed over, and a further submit goes elsewhere
             blamed = fault not in (Fault.LATE, Fault.FULL)
-            assert node.endpoints.health.passed_over("r0", parse(listed[0])) is blamed
+            assert node.endpoints.health.is_avoided("r0", parse(listed[0])) is blamed
             assert fault is not Fault.LATE or [answer[2] for answer in answers] == [0, 0, 0]
             if blamed:
                 await asyncio.sleep(0.6)  # the module leaves an origin that failed alone for a while
@@ -217,20 +219,20 @@
         assert {status for _, store, status, _ in outcomes(events) if store == "r0"} == {
             Status.CONNECT_FAILED
         }
-        assert not standin.seen and not node.upstream._held()
+        assert not standin.seen and not node.upstream._sockets_in_use()
 
 
-def a_race(endpoints: Endpoints, budget: Any, addresses: list[str], delay_ms: float) -> Dialling:
+def dialer_of(endpoints: Endpoints, budget: Any, addresses: list[str], delay_ms: float) -> Dialer:
     parsed = tuple(map(parse, addresses))
-    endpoints.tell([Listing("r0", addresses[0], addresses=tuple(addresses))], complete=True)
-    return Dialling("r0", Plan(parsed, delay_ms), endpoints, budget, 1000.0)
+    endpoints.update([Listing("r0", addresses[0], addresses=tuple(addresses))], complete=True)
+    return Dialer("r0", Plan(parsed, delay_ms), endpoints, budget, 1000.0)
 
 
-class Book:
+class ManualBudget:
     """A budget without a wheel: the test turns the time."""
 
-    def __init__(self, room: int = 9) -> None:
-        self.now, self.free, self.held = 1000.0, room, 0
+    def __init__(self, spare: int = 9) -> None:
+        self.now, self.free, self.held = 1000.0, spare, 0
         self.due: list[tuple[float, Any]] = []
 
     def clock(self) -> float:
@@ -243,7 +245,7 @@
     def cancel(self) -> None:
         pass
 
-    def room(self) -> int:
+    def spare_sockets(self) -> int:
         return self.free - self.held
 
     def hold(self, sockets: int) -> None:
@@ -253,13 +255,13 @@
 @trial
 async def test_of_two_dials_that_come_up_in_one_tick_one_wins_and_the_other_is_closed_unwritten() -> None:
     standin, listed = await listening("r0", V6_FIRST)
-    budget = Book()
-    dialling = a_race(Endpoints(random.Random(1)), budget, listed, 0.0)
-    dialling._wake()  # the second is dialled before the loop has looked at the first
+    budget = ManualBudget()
+    dialer = dialer_of(Endpoints(random.Random(1)), budget, listed, 0.0)
+    dialer._wake()  # the second is dialled before the loop has looked at the first
     assert budget.held == 1
-    won = await dialling.winner()
+    won = await dialer.winner()
     assert not isinstance(won, DialEnd) and budget.held == 0
-    dialling.written()
+    dialer.written()
     await until(lambda: sum(standin.accepted(a) for a in listed) == 2)
     await until(lambda: sum(standin.open(a) for a in listed) == 1)
     assert standin.open(won[1].text) == 1 and not standin.seen
@@ -271,15 +273,15 @@
 async def test_a_race_without_room_goes_on_one_address_at_a_time() -> None:
     standin, listed = await listening("r0", V6_FIRST)
     await standin.set(listed[0], Fault.BLACK_HOLE)
-    budget = Book(room=0)
-    dialling = a_race(Endpoints(random.Random(1)), budget, listed, 100.0)
+    budget = ManualBudget(spare=0)
+    dialer = dialer_of(Endpoints(random.Random(1)), budget, listed, 100.0)
     for at in (1100.0, 1400.0):
         budget.now = at
-        dialling._wake()
-        assert dialling.race.open() == 1 and not dialling._result.done()
+        dialer._wake()
+        assert dialer.machine.count_open() == 1 and not dialer._result.done()
     budget.now = 1500.0
-    dialling._wake()
-    won = await dialling.winner()
+    dialer._wake()
+    won = await dialer.winner()
     assert not isinstance(won, DialEnd) and won[1].text == listed[1] and budget.held == 0
     won[0].close()
     await standin.close()
@@ -328,14 +330,14 @@
                 "zone": "hub",
                 "machineType": "root",
             }
-            node.director.notice(notice(2, leaving))
+            node.director.apply_watch_event(notice(2, leaving))
             assert (await client.next(0.2))[:3] == (17, 1, 1)
-            assert outcomes(events)[0][1:3] == ("r0", Status.MOOT) and not node.upstream._held()
+            assert outcomes(events)[0][1:3] == ("r0", Status.MOOT) and not node.upstream._sockets_in_use()
 
     asyncio.run(scene())
 
 
-def relisted(rev: int, host_port: str, addresses: list[str]) -> Notice:
+def relisted(rev: int, host_port: str, addresses: list[str]) -> WatchEvent:
     """The origin again, with so many addresses beside its own."""
     instance = {"instanceId": "r0", "hostPort": host_port, "lifecycle": "in_service", "zone": "hub"}
     return notice(rev, {**instance, "machineType": "root", "addresses": addresses})
@@ -355,7 +357,7 @@
         await until(
             lambda: [c.dialling for conns in node.upstream._pool.values() for c in conns if c.dialling]
         )
-        node.director.notice(relisted(2, listed[1], []))
+        node.director.apply_watch_event(relisted(2, listed[1], []))
         assert (await client.next(1.0))[:3] == (17, 1, 0)
         assert standin.seen[0].address == listed[1]
 
@@ -366,7 +368,7 @@
         standin.answer = lambda seen: None
         submit(client, 1)
         await until(lambda: standin.seen)
-        node.director.notice(relisted(2, listed[2], [listed[1]]))
+        node.director.apply_watch_event(relisted(2, listed[2], [listed[1]]))
         submit(client, 2)
         await until(lambda: len(standin.seen) == 2)
         assert [seen.address for seen in standin.seen] == listed[:2] and standin.open(listed[0]) == 1
@@ -381,9 +383,9 @@
         assert (await client.next())[:3] == (17, 1, 0)
         node.endpoints.health.stalled("r0", parse(listed[0]), node.clock.now())
         other = {"instanceId": "c1", "hostPort": listed[0], "lifecycle": "in_service", "startedAtMs": 5.0}
-        node.director.notice(notice(2, other))
-        assert node.endpoints.book.owner(parse(listed[0])) == "c1"
-        assert not node.endpoints.health.passed_over("c1", parse(listed[0]))
+        node.director.apply_watch_event(notice(2, other))
+        assert node.endpoints.registry.owner(parse(listed[0])) == "c1"
+        assert not node.endpoints.health.is_avoided("c1", parse(listed[0]))
         await until(lambda: standin.open(listed[0]) == 0)
         submit(client, 2)
         assert (await client.next())[:3] == (17, 2, 0)
@@ -398,10 +400,10 @@
         def full(*_: Any) -> Any:
             raise OSError(24, "Too many open files")
 
-        patch.setattr(dialling_module.socket, "socket", full)
-        dialling = a_race(endpoints, Book(), ["[::1]:9", "127.0.0.1:9"], 10.0)
-        assert await dialling.winner() is DialEnd.NO_SOCKET
-    assert not endpoints.health.passed_over("r0", parse("[::1]:9"))
+        patch.setattr(connect_module.socket, "socket", full)
+        dialer = dialer_of(endpoints, ManualBudget(), ["[::1]:9", "127.0.0.1:9"], 10.0)
+        assert await dialer.winner() is DialEnd.NO_SOCKET
+    assert not endpoints.health.is_avoided("r0", parse("[::1]:9"))
 
 
 @trial
@@ -422,10 +424,10 @@
         node.endpoints.health.stalled("r0", first, node.clock.now())
         for fault, back in ((Fault.STALL, False), (Fault.NONE, True)):
             await standin.set(listed[0], fault)
-            node.endpoints.health.at("r0", first).until_ms = 1.0  # type: ignore[union-attr]
-            await dialling_module.try_again("r0", first, node.endpoints, node.upstream, 200.0)
-            assert node.endpoints.health.passed_over("r0", first) is not back and standin.probed == 1 + back
-        assert not standin.seen and node.upstream._held() == 0
+            node.endpoints.health.of("r0", first).until_ms = 1.0  # type: ignore[union-attr]
+            await check_health("r0", first, node.endpoints, node.upstream, 200.0)
+            assert node.endpoints.health.is_avoided("r0", first) is not back and standin.probed == 1 + back
+        assert not standin.seen and node.upstream._sockets_in_use() == 0
         submit(client, 1)
         await client.next()
         assert standin.seen[0].address == listed[0]
--- a/tests/fleet/test_audit.py
+++ b/tests/fleet/test_audit.py
@@ -10,8 +10,9 @@
 import shutil
 import signal
 import time
+from collections.abc import Awaitable, Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar
 
 import msgspec
 import pytest
@@ -19,13 +20,15 @@
 from harness import Cache, Command, config, running, trial, until
 from test_coming_back import fleet_of, said, struck
 
-from gladelane.control.http import Refused, fetch
-from gladelane.fleet.options import Options
-from gladelane.fleet.service import Service
-from gladelane.fleet.steady import steady_ms
-from gladelane.fleet.trail import Trail
-from gladelane.fleet.view import View, name_of
-from gladelane.fleet.wire import Answer, Report
+from benchmarks.comeback import time_imports
+from gladelane.audit.activity_log import ActivityLog
+from gladelane.audit.audit_queries import directors
+from gladelane.audit.options import AuditOptions
+from gladelane.audit.service import AuditService
+from gladelane.audit.steady import steady_ms
+from gladelane.audit.view import View, view_id
+from gladelane.audit.wire import Report, ReportReply
+from gladelane.control_plane.http import HttpStatusError, fetch
 from gladelane.lab.fleet.audited import asked, play_audited
 from gladelane.lab.fleet.fleet import TOKEN, Fleet, Shape, kept_port
 from gladelane.lab.fleet.load import Load
@@ -33,6 +36,17 @@
 from gladelane.lab.processes import ROOT
 
 SHORT = {"tenure_ms": 2000.0, "behind_ms": 4000.0}
+WAIT_S = 60.0  # many times what it takes
+MOST_LIVES = 40  # of a director that is killed each second: none lasts for as long as a director may lag
+Found = TypeVar("Found")
+
+
+async def reading(read: Callable[[], Awaitable[Found]], is_expected: Callable[[Found], bool]) -> Found:
+    """The first reading that is as expected; the last one at the deadline, for an assertion to show it."""
+    deadline = time.monotonic() + WAIT_S
+    while not is_expected(found := await read()) and time.monotonic() < deadline:
+        await asyncio.sleep(0.1)
+    return found
 
 
 def run(line: str, seconds: float, purges: int = 0, look: Any = None, **shape: Any) -> dict[str, Any]:
@@ -45,7 +59,7 @@
             "stale_strict",
             "doubles",
             "lost",
-            "rules_broken",
+            "rules",
             "wrong",
             "contradictions",
             "acted_after_out",
@@ -55,12 +69,12 @@
         "stale_strict": 0,
         "doubles": 0,
         "lost": 0,
-        "rules_broken": 0,
+        "rules": [],
         "wrong": [],
         "contradictions": [],
         "acted_after_out": 0,
     }
-    assert always == nothing, figures
+    assert always == nothing, (figures["clients_late_s"], figures)
     assert figures["same"] and figures["attempts"] > 300 and figures["spans"] > 0
     return figures
 
@@ -88,23 +102,23 @@
     def __init__(self) -> None:
         self.open, self.answers, self.seen = True, True, list[str]()
 
-    def admits(self, cls: str) -> float:
+    def retry_after_ms(self, cls: str) -> float:
         return 0.0
 
-    def may(self, cls: str) -> bool:
+    def may_send(self, cls: str) -> bool:
         self.seen.append("may")
         return self.open
 
     def may_answer(self, cls: str) -> bool:
         return self.answers
 
-    def sent(self, cls: str) -> int:
+    def record_attempt(self, cls: str) -> int:
         return 7
 
-    def served(self, cls: str, number: int) -> None:
+    def record_answer(self, cls: str, number: int) -> None:
         self.seen.append(f"served {number}")
 
-    def turned(self) -> None:
+    def refresh_view(self) -> None:
         self.seen.append("turned")
 
 
@@ -187,7 +201,7 @@
         9.0,
         5,
     )
-    assert figures["unknown_share"] < 0.1 and len(figures["ledger"].directors()) == 6
+    assert figures["unknown_share"] < 0.1 and len(directors(figures["ledger"])) == 6
 
 
 def test_stragglers_are_told_held_back_and_let_back_while_most_that_are_behind_are_not() -> None:
@@ -234,10 +248,7 @@
                 told = {name: await stage_of(fleet, name) for name in (f"director-{n}" for n in range(6))}
                 return {name: stage for name, stage in told.items() if stage != "well"}
 
-            async with asyncio.timeout(5.0):
-                while len(await versions(fleet)) < 6:
-                    await asyncio.sleep(0.1)
-            old = (await versions(fleet))["director-0"]
+            old = (await reading(lambda: versions(fleet), lambda found: len(found) == 6))["director-0"]
             newer = tmp_path / "newer"
             shutil.copytree(
                 ROOT / "gladelane", newer / "gladelane", ignore=shutil.ignore_patterns("__pycache__")
@@ -249,31 +260,32 @@
             limits = json.loads((ROOT / "example" / "config.json").read_text())["settings"]["limits"]
             fleet.settings["director-5"] = {"limits": {**limits, "max_attempts": 3}}
             await struck(fleet, "0 term directors:2-5")
-            async with asyncio.timeout(5.0):
-                while True:
-                    new = {name: view["program"] for name, view in (await versions(fleet)).items()}
-                    if all(new[f"director-{n}"] != old["program"] for n in range(2, 6)):
-                        break
-                    await asyncio.sleep(0.1)
-            assert (
-                len({new[f"director-{n}"] for n in range(2, 6)}) == 1 and old["program"] == new["director-0"]
+
+            async def programs() -> dict[str, str]:
+                return {name: view["program"] for name, view in (await versions(fleet)).items()}
+
+            upgraded = [f"director-{n}" for n in range(2, 6)]
+            new = await reading(
+                programs,
+                lambda found: all(found.get(name, "") not in ("", old["program"]) for name in upgraded),
             )
+            assert len({new[name] for name in upgraded}) == 1 and old["program"] == new["director-0"]
+            assert new["director-2"] != old["program"]
             code, text = await said("fleet", "stragglers", *feed)
             assert code == 0, "a rollout is no fault until somebody says what is right"
             await expect(fleet, "settings", old["settings"])
-            for _ in range(5):
+            lives, judged = 0, dict[str, str]()
+            while lives < 5 or (lives < MOST_LIVES and judged != {"director-5": "out"}):
+                lives += 1
                 await struck(fleet, "0 kill directors:5")
                 await asyncio.sleep(0.8)
-            assert await stages() == {
-                "director-5": "out"
-            }, "it comes back each second, and is judged as it was"
+                judged = await stages()
+            assert judged == {"director-5": "out"}, "it comes back each second, and is judged as it was"
             await expect(fleet, "program", new["director-2"])
-            await asyncio.sleep(4.0)
-            told = await stages()
-            assert (
-                set(told) == {"director-0", "director-1", "director-5"}
-                and len([s for s in told.values() if s != "again"]) <= 3
-            ), told
+            await asyncio.sleep(4.0)  # longer than the time that a director may lag
+            lagging = {"director-0", "director-1", "director-5"}
+            told = await reading(stages, lambda found: set(found) == lagging)
+            assert set(told) == lagging and len([s for s in told.values() if s != "again"]) <= 3, told
             code, text = await said("fleet", "stragglers", *feed)
             assert code == 1 and "settings" in text and "program" in text
             code, text = await said("fleet", "explain", "director-5", *feed)
@@ -294,9 +306,8 @@
             code, text = await said("fleet", "expect", "settings", *feed)
             assert code == 0 and "settings: any" in text
             await expect(fleet, "program")
-            async with asyncio.timeout(15.0):
-                while (await said("fleet", "stragglers", *feed))[0]:
-                    await asyncio.sleep(0.3)
+            code, text = await reading(lambda: said("fleet", "stragglers", *feed), lambda found: not found[0])
+            assert code == 0, text
 
     asyncio.run(scene())
 
@@ -327,18 +338,28 @@
             fleet_feeds, fleet.feeds = fleet.feeds, fleet.feeds[:1]
             await load.purge(5, 0.5)
             fleet.feeds = fleet_feeds
-            await asyncio.sleep(4.0)
+            await asyncio.sleep(4.0)  # longer than the time that a director may lag
+
+            def says(text: str) -> Callable[[dict[str, Any]], bool]:
+                return lambda found: any(text in line for line in found["lacks"])
+
+            behind = await reading(lambda: asked(fleet, 1, "/fleet/versions"), says("is not heard"))
+            assert says("is not heard")(behind), behind["lacks"]
             for number in (0, 1):
                 assert (await asked(fleet, number, "/fleet/stragglers"))["held_back"] == 0
-            behind = await asked(fleet, 1, "/fleet/versions")
-            assert any("is not heard" in line for line in behind["lacks"])
             for relay in cut:
                 relay.set(State.OPEN)
-            await asyncio.sleep(8.5)
-            told = await asked(fleet, 0, "/fleet/versions")
-            assert "director director-0: two processes have this name" in told["lacks"], told["lacks"]
-            rows = (await asked(fleet, 0, "/fleet/audit?director=director-0"))["rows"]
-            assert len({row["start"] for row in rows if row["known"] == "acted"}) >= 2
+            await asyncio.sleep(8.5)  # for feeds that hear each other again to find what does not agree
+            twins = "director director-0: two processes have this name"
+            told = await reading(lambda: asked(fleet, 0, "/fleet/versions"), says(twins))
+            assert twins in told["lacks"], told["lacks"]
+
+            async def starts_that_acted() -> set[int]:
+                rows = (await asked(fleet, 0, "/fleet/audit?director=director-0"))["rows"]
+                return {row["start"] for row in rows if row["known"] == "acted"}
+
+            starts = await reading(starts_that_acted, lambda found: len(found) >= 2)
+            assert len(starts) >= 2, starts
             assert [
                 w for w in (await asked(fleet, 0, "/fleet/verify"))["wrong"] if w["what"] != "missing"
             ] == []
@@ -353,18 +374,18 @@
         rng = random.Random(5)
         async with fleet_of(tmp_path, directors=0, feeds=2, audit=True) as fleet:
             view = View("m", 1)
-            trails = [Trail(f"d{n}", 1, name_of(view), {}, 1000.0) for n in range(5)]
+            trails = [ActivityLog(f"d{n}", 1, view_id(view), {}, 1000.0) for n in range(5)]
             for trail in trails:
                 for turn in range(40):
-                    trail.sent("film")
-                    trail.turn(name_of(view), {"film": [turn + 1, 0, 0]}, 1001.0 + turn)
+                    trail.record_attempt("film")
+                    trail.close_interval(view_id(view), {"film": [turn + 1, 0, 0]}, 1001.0 + turn)
             waiting = [(trail, n) for trail in trails for n in range(0, 40, 4)] * 2
             rng.shuffle(waiting)
-            answered: list[Answer] = []
+            answered: list[ReportReply] = []
             while waiting:
                 trail, n = waiting.pop()
                 told = Report(
-                    trail.director, 1, "z", 0.0, view, trail.kept()[n : n + 4], {name_of(view): view}
+                    trail.director, 1, "z", 0.0, view, trail.intervals()[n : n + 4], {view_id(view): view}
                 )
                 feed = rng.choice(fleet.feeds)
                 call = asyncio.ensure_future(
@@ -382,13 +403,18 @@
                     await asyncio.sleep(rng.uniform(0.0, 0.004))
                     await struck(fleet, f"0 kill feeds:{fleet.feeds.index(feed)}")
                 try:
-                    answered.append(msgspec.json.decode(await call, type=Answer))
-                except (OSError, Refused, TimeoutError):
+                    answered.append(msgspec.json.decode(await call, type=ReportReply))
+                except (OSError, HttpStatusError, TimeoutError):
                     waiting.insert(0, (trail, n))
-            await asyncio.sleep(2.0)
+            await asyncio.sleep(2.0)  # for what would be there twice
+            complete = [[trail.director, 1, 40] for trail in trails]
+
+            async def marks_at(number: int) -> list[list[Any]]:
+                return sorted((await asked(fleet, number, "/fleet/marks"))["marks"])
+
             for number in (0, 1):
-                marks = (await asked(fleet, number, "/fleet/marks"))["marks"]
-                assert sorted(marks) == [[trail.director, 1, 40] for trail in trails], marks
+                marks = await reading(lambda number=number: marks_at(number), lambda found: found == complete)  # type: ignore[misc]
+                assert marks == complete, marks
                 assert (await asked(fleet, number, "/fleet/verify"))["wrong"] == []
                 rows = (await asked(fleet, number, "/fleet/audit?director=d3"))["rows"]
                 assert sum(row["counts"]["film"][0] for row in rows if row["known"] == "acted") == 40
@@ -397,6 +423,25 @@
     asyncio.run(scene())
 
 
+LEASES_ENDED_MS = 6000.0  # after the feed was killed
+RETURN_S = (
+    2.5  # until all have a lease again, on a machine at rest: the longest backoff and 1.5 s for reports
+)
+BACKOFF_S = 1.0
+REST_IMPORT_S = 0.5  # in which a machine at rest imports the program twice at once
+
+
+def return_limit_s(import_s: float) -> float:
+    """The reports take longer on a busy machine, the backoff does not. What imports take says how busy it is: the
+    reports themselves would excuse a server that takes longer over each."""
+    return BACKOFF_S + (RETURN_S - BACKOFF_S) * max(import_s / REST_IMPORT_S, 1.0)
+
+
+@pytest.mark.parametrize(("import_s", "limit_s"), [(0.1, RETURN_S), (REST_IMPORT_S, RETURN_S), (2.0, 7.0)])
+def test_the_limit_of_a_return_grows_on_a_busy_machine_alone(import_s: float, limit_s: float) -> None:
+    assert return_limit_s(import_s) == limit_s
+
+
 def test_two_hundred_directors_report_after_a_feeds_return_without_a_crowd(tmp_path: Path) -> None:
     """The program's own reporting, two hundred times in this process, against feeds of their own processes."""
 
@@ -404,30 +449,35 @@
         def __init__(self, ports: list[int]) -> None:
             from test_simhost import WIRE
 
-            from gladelane.interface import Settings
-            from gladelane.operations.figures import Figures
-            from gladelane.operations.maintenance import Register
+            from gladelane.admin.maintenance import MaintenanceRegister
+            from gladelane.admin.metrics import Metrics
             from gladelane.purges.active_purges import ActivePurges
+            from gladelane.routing.events import Settings
             from gladelane.settings_wire import settings_from_wire
 
             self.settings: Settings = settings_from_wire(WIRE)
-            self.rev, self.register, self.figures, self.standing = 1, Register(), Figures(), ActivePurges()
+            self.rev, self.register, self.metrics, self.active = (
+                1,
+                MaintenanceRegister(),
+                Metrics(),
+                ActivePurges(),
+            )
             self.options = self
             self.strict: frozenset[str] = frozenset()
             self.feeds = tuple(("127.0.0.1", port) for port in ports)
 
-        def told(self) -> dict[str, Any]:
+        def known_endpoints(self) -> dict[str, Any]:
             return {}
 
         def own_token(self) -> str:
             return TOKEN
 
-        def follow_again(self) -> None: ...
+        def resubscribe(self) -> None: ...
 
-        def behind(self, now: float) -> bool:
+        def mark_lagging(self, now: float) -> bool:
             return True
 
-        def forward(self) -> bool:
+        def clear_lagging(self) -> bool:
             return True
 
     async def scene() -> None:
@@ -436,24 +486,29 @@
             told: Any = Told([feed.port])
             clock = lambda: time.time() * 1000.0  # noqa: E731
             services = [
-                Service(Options(), f"n{n}", told, told, clock, told, lambda: None, lambda: None)
+                AuditService(AuditOptions(), f"n{n}", told, told, clock, told, lambda: None, lambda: None)
                 for n in range(200)
             ]
             await asyncio.gather(*(one.start() for one in services))
-            holds = lambda: sum(one.tenure.may(False, steady_ms()) for one in services)  # noqa: E731
+
+            def holds(after_ms: float = 0.0) -> int:
+                """How many have a lease then, if it is not renewed."""
+                return sum(one.lease.permits(False, steady_ms() + after_ms) for one in services)
+
             assert holds() == 200
             await fleet.end(feed, signal.SIGKILL)
-            await until(lambda: holds() == 0, 6.0)
+            assert holds(LEASES_ENDED_MS) == 0
+            await until(lambda: holds() == 0, WAIT_S)
+            before_s = await asyncio.to_thread(time_imports, 2)
             began = time.monotonic()
             await fleet.again(feed)
             back = time.monotonic()
-            before = (await asked(fleet, 0, "/fleet/versions"))["now_ms"]
-            await until(lambda: holds() == 200, 4.0)
+            await until(lambda: holds() == 200, WAIT_S)
             took = time.monotonic() - back
+            import_s = max(before_s, await asyncio.to_thread(time_imports, 2))
             rows = (await asked(fleet, 0, "/fleet/versions"))["rows"]
-            assert len(rows) == 200 and took < 2.5, (took, back - began, before)
-            for one in services:
-                await one.close()
+            assert len(rows) == 200 and took < return_limit_s(import_s), (took, back - began, import_s)
+            await asyncio.gather(*(one.close() for one in services))
 
     uvloop.run(scene())
 
@@ -476,6 +531,11 @@
             told = json.loads(file.read_text())
             told["purges"]["dir"] = ""  # one folder of purges cannot be open twice
             fleet.changes["director-0"] = {"purges": told["purges"]}
+
+            async def starts_reported() -> list[int]:
+                rows = (await asked(fleet, 0, "/fleet/audit?director=director-0"))["rows"]
+                return sorted({row["start"] for row in rows})
+
             await struck(fleet, "0 term directors:0")
             command, env = fleet.command(one)
             raw = json.loads((tmp_path / "director-0.json").read_text())
@@ -486,21 +546,27 @@
                     *command, cwd=ROOT, env={**env, "GW_CONFIG": str(tmp_path / "newer.json")}, stderr=log
                 )
             try:
-                await until(lambda: "ready name=" in (tmp_path / "newer.log").read_text(), 10.0)
+                await until(lambda: "ready name=" in (tmp_path / "newer.log").read_text(), WAIT_S)
                 await fleet.end(one, signal.SIGTERM)
                 await until(
                     lambda: list((one.folder / "trail").glob("*.log"))
                     and "processes=1" in (tmp_path / "newer.log").read_text(),
-                    5.0,
+                    WAIT_S,
                 )
-                await asyncio.sleep(3.5)
+                await asyncio.sleep(3.5)  # longer than a tenure: nothing is awaited of the first any more
+                starts = await reading(starts_reported, lambda found: len(found) == 3)
                 rows = (await asked(fleet, 0, "/fleet/audit?director=director-0"))["rows"]
-                starts = sorted({row["start"] for row in rows})
-                assert len(starts) == 3 and [row["known"] for row in rows if row["start"] == starts[1]][
-                    -1
-                ] in ("acted", "not running"), rows
-                assert (await asked(fleet, 0, "/fleet/verify"))["wrong"] == []
-                assert (await asked(fleet, 0, "/fleet/versions"))["lacks"] == []
+                assert len(starts) == 3, rows
+                last_of_second = [row["known"] for row in rows if row["start"] == starts[1]][-1]
+                assert last_of_second in ("acted", "not running"), rows
+                wrong = await reading(
+                    lambda: asked(fleet, 0, "/fleet/verify"), lambda found: not found["wrong"]
+                )
+                assert wrong["wrong"] == []
+                lacks = await reading(
+                    lambda: asked(fleet, 0, "/fleet/versions"), lambda found: not found["lacks"]
+                )
+                assert lacks["lacks"] == []
                 assert (
                     "the process before this one has the trail's folder"
                     in (tmp_path / "newer.log").read_text()
@@ -508,9 +574,13 @@
             finally:
                 newer.terminate()
                 await newer.wait()
-            last = (
-                await asked(fleet, 0, "/fleet/audit?director=director-0&from=" + str(time.time() * 1000.0))
-            )["rows"]
-            assert [row["known"] for row in last if row["start"] == starts[2]][-1:] == ["not running"], last
+            since = str(time.time() * 1000.0)
+
+            async def last_of_third() -> list[str]:
+                rows = (await asked(fleet, 0, f"/fleet/audit?director=director-0&from={since}"))["rows"]
+                return [row["known"] for row in rows if row["start"] == starts[2]][-1:]
+
+            last = await reading(last_of_third, lambda found: found == ["not running"])
+            assert last == ["not running"], last
 
     asyncio.run(scene())
--- a/tests/fleet/test_many_directors.py
+++ b/tests/fleet/test_many_directors.py
@@ -5,9 +5,9 @@
 
 from conftest import Driver, some
 
-from gladelane.choice import Router
-from gladelane.interface import Fetch, ListKind, Member, Note, Status, Timer
-from gladelane.net.board import BACKOFF_MOST_S, BACKOFF_S
+from gladelane.discovery.client import BACKOFF_MOST_S, BACKOFF_S
+from gladelane.routing.events import Fetch, ListKind, Member, Note, Status, Timer
+from gladelane.routing.router import Router
 from gladelane.structures.backoff import Backoff
 
 WEIGHT, SEATS = 8.0, 8
@@ -95,7 +95,7 @@
     calls: list[float] = []
     for n, backoff in enumerate(backoffs):
         while due[n] < 60.0:
-            due[n] += (wait := backoff.after(heard=False))
+            due[n] += (wait := backoff.after(succeeded=False))
             assert wait * 2 > BACKOFF_S and wait <= BACKOFF_MOST_S
             calls.append(due[n])
     in_tick = [sum(int(t / 0.02) == tick for t in calls) for tick in range(3000)]
--- a/tests/fleet/test_rig.py
+++ b/tests/fleet/test_rig.py
@@ -3,16 +3,40 @@
 from __future__ import annotations
 
 import asyncio
+import json
+import math
+import os
+import subprocess
+import sys
+import time
 from collections.abc import Callable
+from pathlib import Path
 from random import Random
+from types import SimpleNamespace
+from typing import Any
 
 import pytest
-from harness import trial
+from harness import trial, until
 
-from gladelane.lab.fleet.day import spans
-from gladelane.lab.fleet.faults import BadLine, read_line
-from gladelane.lab.fleet.relay import Relay, State
-from gladelane.lab.fleet.rules import Made, Purged, Ran, Service, busiest, doubles, stale
+from gladelane.lab.fleet.day import full_service_after, play, spans
+from gladelane.lab.fleet.faults import FaultScheduleError, read_line
+from gladelane.lab.fleet.fleet import Life, Shape
+from gladelane.lab.fleet.ports import release_port, reserve_port
+from gladelane.lab.fleet.relay import SLOW_S, Relay, State
+from gladelane.lab.fleet.rules import (
+    Made,
+    Purged,
+    PurgeName,
+    Ran,
+    Service,
+    back_after,
+    busiest,
+    doubles,
+    of_earlier_starts,
+    stale,
+)
+from gladelane.lab.fleet.stepped import stepped
+from gladelane.lab.processes import ROOT
 from gladelane.purges.scope import parse
 
 COUNTS = {"directors": 10, "feeds": 2, "caches": 4}
@@ -46,7 +70,7 @@
     ("1 kill directors:1 60", "'60'; expected one of kept"), ("1 cut directors:*>caches:*", "expected one of feeds, board"),
 ])  # fmt: skip
 def test_a_line_that_cannot_be_is_refused_with_its_step(line: str, says: str) -> None:
-    with pytest.raises(BadLine, match=says):
+    with pytest.raises(FaultScheduleError, match=says):
         read_line(line, COUNTS, Random(1))
 
 
@@ -56,10 +80,107 @@
         COUNTS,
         Random(1),
     )
-    assert [(text[:13], at, until) for text, at, until in spans(steps, 9.0)] == [
+    assert [(span.text[:13], span.at, span.until) for span in spans(steps, 9.0)] == [
         ("1 kill direct", 1.5, 6.0),
         ("6 stop direct", 6.0, 9.0),
     ]
+    assert [span.struck for span in spans(steps, 9.0)] == [
+        {("directors", 0): 1.0, ("directors", 1): 1.5},
+        {("directors", 2): 6.0},
+    ]
+
+
+@pytest.mark.parametrize(("ups", "downs", "expected"), [
+    ([1.0], [], 5.0),  # nothing came of it
+    ([1.0, 7.2], [5.01], 7.2),
+    ([1.0, 7.2, 8.5], [5.01, 7.5], 8.5),  # struck again while it came back
+    ([1.0, 7.2], [5.01, 7.5], math.inf),
+    ([1.0], [5.01], math.inf),
+    ([1.0, 7.2, 12.0], [5.01, 11.0], 7.2),  # a later fault is another span's
+    ([1.0, 7.2], [5.5, 5.01], 7.2),  # stopped, then killed: in any order
+])  # fmt: skip
+def test_a_process_is_back_with_the_last_start_that_a_fault_brought_about(
+    ups: list[float], downs: list[float], expected: float
+) -> None:
+    assert back_after(ups, downs, 5.0, 10.0) == expected
+
+
+BEGAN_S = 100.0  # Unix s of the line's begin
+STOP_AT_S, STOP_FOR_S = 1.0, 2.0
+
+
+def run_with_a_stop(life: Life, in_time_s: float) -> tuple[Any, Any]:
+    """A fleet of one director that was stopped and its load: on waking it answers in time what was asked in the last
+    `in_time_s` of the stop."""
+    stop_s = BEGAN_S + STOP_AT_S
+    resume_s = stop_s + STOP_FOR_S
+    life.stops.append(stop_s)
+    life.resumes.append(resume_s)
+    service, rng, due = Service(), Random(5), BEGAN_S - 3.0
+    while (due := due + rng.expovariate(120.0)) < BEGAN_S + 9.0:
+        service.ask(due, 1.0)
+        if not stop_s <= due < resume_s - in_time_s:
+            service.earn(due, 1.0)
+    return SimpleNamespace(of=lambda whom: life), SimpleNamespace(
+        service=Service.together([service]), by_director={life.name: service}
+    )
+
+
+@pytest.mark.parametrize("in_time_s", [0.0, 0.3, 0.6, 2.0])
+def test_a_stopped_director_is_not_back_before_it_is_resumed_whatever_it_answers_on_waking(
+    tmp_path: Path, in_time_s: float
+) -> None:
+    """What was asked shortly before it is resumed may be answered within its latency objective."""
+    life = Life("director-0", 1, tmp_path)
+    fleet, load = run_with_a_stop(life, in_time_s)
+    (span,) = spans(read_line(f"{STOP_AT_S} stop directors:0 for {STOP_FOR_S}", COUNTS, Random(1)), 9.0)
+    assert full_service_after(span, fleet, load, BEGAN_S) == pytest.approx(STOP_FOR_S, abs=0.01)
+
+
+def test_a_stopped_director_that_is_never_resumed_is_never_back(tmp_path: Path) -> None:
+    life = Life("director-0", 1, tmp_path)
+    fleet, load = run_with_a_stop(life, STOP_FOR_S)  # its share looks full all the while
+    life.resumes.clear()
+    (span,) = spans(read_line(f"{STOP_AT_S} stop directors:0 for {STOP_FOR_S}", COUNTS, Random(1)), 9.0)
+    assert full_service_after(span, fleet, load, BEGAN_S) == math.inf
+
+
+def test_a_process_is_dated_when_it_is_stopped_and_resumed_and_its_successor_is_not(tmp_path: Path) -> None:
+    command = [sys.executable, "-c", "import time; time.sleep(60)"]
+    life = Life("director-0", 1, tmp_path)
+    life.stop()
+    life.resume()
+    assert life.stops == life.resumes == []  # nothing runs
+    first, second = subprocess.Popen(command), subprocess.Popen(command)
+    try:
+        life.process = first
+        for _ in range(2):
+            life.resume()  # without a stop before it
+            life.stop()
+            os.waitid(os.P_PID, first.pid, os.WSTOPPED)  # until it stands still
+            life.resume()
+            os.waitid(os.P_PID, first.pid, os.WCONTINUED)
+        assert len(life.stops) == len(life.resumes) == 2
+        assert life.stops[0] <= life.resumes[0] <= life.stops[1] <= life.resumes[1]
+        life.stop()
+        life.process = second
+        life.resume()
+        assert (len(life.stops), len(life.resumes)) == (3, 2)
+    finally:
+        for process in (first, second):
+            process.kill()
+            process.wait()
+
+
+@pytest.mark.parametrize(("delay_s", "kind"), [(0.0, "kept"), (2.0, "kept"), (2.0, "stop")])
+def test_full_service_waits_for_each_director_that_was_struck_also_where_others_do_its_work(
+    delay_s: float, kind: str
+) -> None:
+    """Clients alone see full service at once: two of three directors are enough for them."""
+    line = f"1 stop directors:0 for {delay_s}" if kind == "stop" else f"1 kill directors:0 kept for {delay_s}"
+    figures = asyncio.run(play(line, Shape(3, feeds=0), 3, 9.0, per_s=120.0))
+    assert delay_s <= figures["full_service_s"] < delay_s + 4.0, figures
+    assert figures["full_service_s"] > 0.0, figures
 
 
 @trial
@@ -75,7 +196,8 @@
     relay = Relay(server.sockets[0].getsockname()[1])
     await relay.start()
 
-    async def asked(state: State, wait: float = 0.3) -> int:
+    async def asked(state: State, wait: float = 30.0) -> int:
+        """How many bytes came; -1: not all within the wait, -2: the connection was closed."""
         relay.set(State.OPEN)
         reader, writer = await asyncio.open_connection("127.0.0.1", relay.port)
         await asyncio.sleep(0.05)
@@ -95,16 +217,51 @@
 
     assert await asked(State.OPEN) == 1000 and len(heard) == 1
     assert await asked(State.CLOSED) in (0, -2) and len(heard) == 1
-    assert await asked(State.SILENT) == -1 and len(heard) == 1
-    assert await asked(State.ONEWAY) == -1 and len(heard) == 3  # what the silent link held has come, too
-    assert await asked(State.SLOW, 2.0) == 1000
-    assert await asked(State.HALFWAY) in range(-2, 401) and relay.cut_short == 1
+    assert await asked(State.SILENT, 0.3) == -1 and len(heard) == 1
+    assert await asked(State.ONEWAY, 0.3) == -1
+    await until(lambda: len(heard) == 3, 30.0)  # what the silent link held has come, too
+    began = time.monotonic()
+    assert await asked(State.SLOW) == 1000 and time.monotonic() - began >= 2 * SLOW_S
+    assert await asked(State.HALFWAY) in (-2, *range(401)) and relay.cut_short == 1
     relay.set(State.OPEN)
     assert await asked(State.OPEN) == 1000
     await relay.close()
     server.close()
 
 
+def test_runs_with_one_seed_beside_each_other_have_ports_of_their_own_also_while_nobody_listens() -> None:
+    """A director that is killed and started again finds its port free."""
+    one, other = ([reserve_port(rng) for _ in range(5)] for rng in (Random(4), Random(4)))
+    assert not set(one) & set(other)
+    beside = subprocess.run(
+        [
+            sys.executable,
+            "-c",
+            "from random import Random\nfrom gladelane.lab.fleet.ports import reserve_port\n"
+            "rng = Random(4)\nprint([reserve_port(rng) for _ in range(5)])",
+        ],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=True,
+    )
+    assert not {*one, *other} & set(json.loads(beside.stdout))
+    for port in (*one, *other):
+        release_port(port)
+    assert reserve_port(Random(4)) == one[0]
+    release_port(one[0])
+
+
+def test_a_wall_clock_that_is_stepped_is_off_from_each_moment_on() -> None:
+    passed = [0.0]
+    read = stepped("2:500,0:-1000", lambda: 100.0 + passed[0], lambda: 7.0 + passed[0])
+    found = []
+    for passed[0] in (0.0, 1.9, 2.0, 9.0):
+        found.append(read() - 100.0 - passed[0])
+    assert found == pytest.approx([-1.0, -1.0, 0.5, 0.5])
+    assert stepped("", lambda: 100.0, lambda: 7.0)() == 100.0
+
+
 def test_each_rule_catches_what_it_is_for() -> None:
     scope = parse("object:000000000000000a")
     answers = [
@@ -119,6 +276,15 @@
     assert busiest([0.1, 0.2, 1.5, 1.6, 1.7, 9.0], 0.0, 5.0) == 3
 
 
+def test_a_purge_counts_as_of_an_earlier_start_where_its_issuer_has_begun_anew_since() -> None:
+    scope = parse("group:3")
+    purges = [
+        Purged(1000.0 + epoch, scope, 0.0, issuer, epoch, 1)
+        for issuer, epoch in (("a", 5), ("a", 9), ("b", 5), ("c", 5))
+    ]
+    assert of_earlier_starts(purges, {"a": 9, "b": 5}) == {PurgeName("a", 5, 1)}
+
+
 def asked_for(seed: int, answered: Callable[[float], bool]) -> Service:
     """Arrivals as in a run, 20 s of them; those due at moments that `answered` says are answered in time."""
     service, rng, due = Service(), Random(seed), 0.0
--- /dev/null
+++ b/tests/golden/test_upgrade_channel.py
@@ -0,0 +1,273 @@
+"""Golden bytes of an upgrade: the messages between the old process and the new one, and the hand-over's file."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import socket
+import struct
+import threading
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from pathlib import Path
+
+import pytest
+from channel_handler import RecordingHandler
+from harness import until
+
+from gladelane.admin.requests import AdminAction
+from gladelane.discovery.events import Instance, ListChange, PurgeEvent, WatchEvent
+from gladelane.hot_restart.channel import Channel
+from gladelane.hot_restart.decoding import MismatchError
+from gladelane.hot_restart.handover import Handover, decode, encode
+from gladelane.hot_restart.handover_file import FILE_NAME
+from gladelane.hot_restart.learnt import Learnt, ObjectLearnt, StoreLearnt
+from gladelane.hot_restart.messages import MAY_HAVE_RUN, NEVER_RAN, Message, read_message
+from gladelane.hot_restart.rendezvous_socket import SOCKET_NAME
+
+NAME = "n0 127.0.0.1:4100"
+#: a message, and its line
+MESSAGES: dict[str, tuple[Message, bytes]] = {
+    "hello": (
+        Message("hello", 1, NAME, "", "", True),
+        b'{"kind":"hello","name":"n0 127.0.0.1:4100","keys":true}\n',
+    ),
+    "hello_of_an_older_version": (
+        Message("hello", 1, NAME),
+        b'{"kind":"hello","name":"n0 127.0.0.1:4100"}\n',
+    ),
+    "here": (
+        Message("here", 1, NAME, "", "", True),
+        b'{"kind":"here","name":"n0 127.0.0.1:4100","keys":true}\n',
+    ),
+    "order_maint": (
+        Message("order", 1, "", "maint", "cache-1"),
+        b'{"kind":"order","word":"maint","store":"cache-1"}\n',
+    ),
+    "order_ready": (
+        Message("order", 1, "", "ready", "cache-1"),
+        b'{"kind":"order","word":"ready","store":"cache-1"}\n',
+    ),
+    "order_fail": (Message("order", 1, "", "fail"), b'{"kind":"order","word":"fail"}\n'),
+    "order_ok": (Message("order", 1, "", "ok"), b'{"kind":"order","word":"ok"}\n'),
+    "may_have_run": (
+        Message(
+            "order",
+            1,
+            "",
+            MAY_HAVE_RUN,
+            "cache-1",
+            False,
+            "5c0f",
+            1764667245123.5,
+            "a-boot",
+            1764660000000.25,
+        ),
+        b'{"kind":"order","word":"may_have_run","store":"cache-1","key":"5c0f","at_ms":1764667245123.5,'
+        b'"boot_id":"a-boot","zero_ms":1764660000000.25}\n',
+    ),
+    "never_ran": (
+        Message(
+            "order", 1, "", NEVER_RAN, "cache-1", False, "5c0f", 1764667245123.5, "a-boot", 1764660000000.25
+        ),
+        b'{"kind":"order","word":"never_ran","store":"cache-1","key":"5c0f","at_ms":1764667245123.5,'
+        b'"boot_id":"a-boot","zero_ms":1764660000000.25}\n',
+    ),
+}
+ORDERS = [name for name, (_, line) in MESSAGES.items() if b'"order"' in line]
+INSTANCE = Instance("cache-1", "127.0.0.1:5001", "edge", "box", "in_service", 3, 2.5, 5.5, ["[::1]:5001"])
+LEARNT = Learnt(
+    1.5,
+    0.25,
+    1e6,
+    (2.5, 3.5),
+    {"film": 0.75},
+    [StoreLearnt("cache-1", 5.0, 0.5, 0.25, 0.125, 6.0, 7.0, 500.0, 8.0, 2.0, True, (1.5, 9.0, 0.0))],
+    [ObjectLearnt(2**64 - 1, 3.0, 0.5, 2, 4, False, 1.25)],
+)
+#: a hand-over, and its file: magic, version, length and checksum; then the payload
+HANDOVERS: dict[str, tuple[Handover, str]] = {
+    "full": (
+        Handover(
+            NAME,
+            1764667245123.5,
+            {"cache-1": 5.0},
+            {"cache-2": 6.0},
+            7.0,
+            41,
+            [
+                WatchEvent(40, None, PurgeEvent(8.0, "7f3a9c21e0b4d655")),
+                WatchEvent(41, ListChange([INSTANCE], True)),
+            ],
+            {"5c0f": [(9.0, "cache-1")]},
+            LEARNT,
+            "a-boot",
+            1764660000000.25,
+        ),
+        "676c68616e646f76"
+        "0001"
+        "00000256"
+        "ffe337a6"
+        "9bb16e30203132372e302e302e313a34313030cb4279ade5d424380081a763616368652d31cb40140000000000"
+        "0081a763616368652d32cb4018000000000000cb401c000000000000299283a372657628a4706f6f6cc0a5666c"
+        "75736883a26d73cb4020000000000000a56173736574b037663361396332316530623464363535aa636f6c6c65"
+        "6374696f6ec083a372657629a4706f6f6c82a9696e7374616e6365739189aa696e7374616e63654964a7636163"
+        "68652d31a8686f7374506f7274ae3132372e302e302e313a35303031a47a6f6e65a465646765ab6d616368696e"
+        "6554797065a3626f78a96c6966656379636c65aa696e5f73657276696365a463656c6c03a6776569676874cb40"
+        "04000000000000ab7374617274656441744d73cb4016000000000000a961646472657373657391aa5b3a3a315d"
+        "3a35303031a57265736574c3a5666c757368c081a4356330669192cb4022000000000000a763616368652d3197"
+        "cb3ff8000000000000cb3fd0000000000000cb412e84800000000092cb4004000000000000cb400c0000000000"
+        "0081a466696c6dcb3fe8000000000000919ca763616368652d31cb4014000000000000cb3fe0000000000000cb"
+        "3fd0000000000000cb3fc0000000000000cb4018000000000000cb401c000000000000cb407f400000000000cb"
+        "4020000000000000cb4000000000000000c393cb3ff8000000000000cb4022000000000000cb00000000000000"
+        "009197cfffffffffffffffffcb4008000000000000cb3fe00000000000000204c2cb3ff4000000000000a6612d"
+        "626f6f74cb4279addeeb500400",
+    ),
+    "default": (
+        Handover(NAME, 5.0),
+        "676c68616e646f76"
+        "0001"
+        "00000035"
+        "86e857e7"
+        "9bb16e30203132372e302e302e313a34313030cb40140000000000008080cb0000000000000000009080c0a0cb"
+        "0000000000000000",
+    ),
+}
+
+
+def line_of(sock: socket.socket) -> tuple[bytes, list[int]]:
+    """A line from the other process, and the descriptors that came with it."""
+    data, fds, _, _ = socket.recv_fds(sock, 4096, 1)
+    while not data.endswith(b"\n"):
+        data += sock.recv(4096)
+    return data, fds
+
+
+@asynccontextmanager
+async def old_process(folder: Path) -> AsyncIterator[tuple[Channel, list[Message], socket.socket]]:
+    """A process that serves, what it hears, and a new process's end of the socket."""
+    heard: list[Message] = []
+    given = socket.socket()
+    given.bind(("127.0.0.1", 0))
+    channel = Channel(str(folder), NAME, RecordingHandler(heard, given))
+    channel.listen()
+    sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+    sock.settimeout(5.0)
+    try:
+        sock.connect(str(folder / "gladelane.sock"))
+        yield channel, heard, sock
+    finally:
+        channel.close()
+        sock.close()
+        given.close()
+
+
+@pytest.mark.parametrize("name", MESSAGES)
+def test_a_line_is_read_as_its_message(name: str) -> None:
+    message, line = MESSAGES[name]
+    assert read_message(line[:-1], NAME) == message
+
+
+def test_a_line_of_another_version_is_unusable() -> None:
+    with pytest.raises(MismatchError, match="version 2; expected 1"):
+        read_message(b'{"kind":"hello","version":2,"name":"n0 127.0.0.1:4100"}', NAME)
+
+
+def test_the_words_of_orders() -> None:
+    orders = sorted({*(word.value for word in AdminAction), MAY_HAVE_RUN, NEVER_RAN})
+    assert orders == ["fail", "healthcheck", "maint", "may_have_run", "never_ran", "ok", "ready", "stats"]
+
+
+def test_the_names_of_the_files_in_the_folder() -> None:
+    assert (SOCKET_NAME, FILE_NAME) == ("gladelane.sock", "gladelane.handover")
+
+
+def test_a_new_process_says_hello_and_takes_the_listening_socket(tmp_path: Path) -> None:
+    said: list[bytes] = []
+
+    async def run(given: socket.socket) -> str:
+        channel = Channel(str(tmp_path), NAME, RecordingHandler())
+        taken = channel.connect()
+        channel.close()
+        assert taken is not None
+        with taken:
+            return str(taken.getsockname())
+
+    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as listener, socket.socket() as given:
+        listener.bind(str(tmp_path / "gladelane.sock"))
+        listener.listen(1)
+        given.bind(("127.0.0.1", 0))
+
+        def answer() -> None:
+            sock, _ = listener.accept()
+            with sock:
+                said.append(sock.recv(4096))
+                socket.send_fds(sock, [MESSAGES["here"][1]], [given.fileno()])
+
+        answering = threading.Thread(target=answer)
+        answering.start()
+        taken = asyncio.run(run(given))
+        answering.join()
+        assert taken == str(given.getsockname())
+    assert said == [MESSAGES["hello"][1]]
+
+
+def test_an_old_process_answers_here_with_the_listening_socket(tmp_path: Path) -> None:
+    async def run() -> tuple[bytes, list[int]]:
+        async with old_process(tmp_path) as (_, _, sock):
+            sock.sendall(MESSAGES["hello"][1])
+            return await asyncio.to_thread(line_of, sock)
+
+    line, fds = asyncio.run(run())
+    assert line == MESSAGES["here"][1]
+    assert len(fds) == 1
+    os.close(fds[0])
+
+
+@pytest.mark.parametrize("name", ORDERS)
+def test_a_message_is_written_so_and_heard(name: str, tmp_path: Path) -> None:
+    message, line = MESSAGES[name]
+
+    async def run() -> bytes:
+        async with old_process(tmp_path) as (channel, heard, sock):
+            sock.sendall(MESSAGES["hello"][1])
+            for fd in (await asyncio.to_thread(line_of, sock))[1]:
+                os.close(fd)
+            sock.sendall(line)
+            await until(lambda: heard)
+            assert heard == [message]
+            channel.broadcast(message)
+            return (await asyncio.to_thread(line_of, sock))[0]
+
+    assert asyncio.run(run()) == line
+
+
+def test_an_older_version_is_not_told_of_keys(tmp_path: Path) -> None:
+    async def run() -> bytes:
+        async with old_process(tmp_path) as (channel, _, sock):
+            sock.sendall(MESSAGES["hello_of_an_older_version"][1])
+            for fd in (await asyncio.to_thread(line_of, sock))[1]:
+                os.close(fd)
+            channel.broadcast(MESSAGES["may_have_run"][0])
+            channel.broadcast(MESSAGES["order_ok"][0])
+            return (await asyncio.to_thread(line_of, sock))[0]
+
+    assert asyncio.run(run()) == MESSAGES["order_ok"][1]
+
+
+@pytest.mark.parametrize("name", HANDOVERS)
+def test_a_handover_is_written_so(name: str) -> None:
+    document, text = HANDOVERS[name]
+    assert encode(document).hex() == text
+
+
+@pytest.mark.parametrize("name", HANDOVERS)
+def test_a_handover_is_read_back(name: str) -> None:
+    document, text = HANDOVERS[name]
+    assert decode(bytes.fromhex(text), NAME) == document
+
+
+def test_the_head_of_a_handover_is_18_bytes() -> None:
+    data = bytes.fromhex(HANDOVERS["default"][1])
+    magic, version, length, _ = struct.unpack_from(">8sHII", data)
+    assert (magic, version, length) == (b"glhandov", 1, len(data) - 18)
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -11,10 +11,10 @@
 
 from test_simhost import WIRE
 
-from gladelane.__main__ import Node
+from gladelane.net.client_protocol import FrameDecoder, decode_fields, encode_fields, encode_frame
 from gladelane.net.config import read_config
-from gladelane.net.frames import FrameDecoder, decode_fields, encode_fields, encode_frame
-from gladelane.net.wheel import TICK_MS
+from gladelane.server import Server
+from gladelane.timer_wheel import TICK_MS
 
 CLASSES = [
     {"name": "film", "effect": "retryable", "aim_ms": 600.0, "deadline_ms": 5000.0, "value": 2.0},
@@ -138,8 +138,8 @@
 
 
 @asynccontextmanager
-async def running(raw: bytes) -> AsyncIterator[tuple[Node, Client]]:
-    node = Node(read_config(raw))
+async def running(raw: bytes) -> AsyncIterator[tuple[Server, Client]]:
+    node = Server(read_config(raw))
     # a test machine that stalls must change no verdict: only the test of lag lets it count
     node.wheel.lag = lambda: 0.0  # type: ignore[method-assign]
     node.wheel.margin = lambda: TICK_MS  # type: ignore[method-assign]
--- a/tests/upgrade/test_keys_across_processes.py
+++ b/tests/hot_restart/test_keys_across_processes.py
@@ -12,15 +12,20 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from pathlib import Path
+from typing import NamedTuple
 
 import pytest
+from channel_handler import RecordingHandler
 from harness import CLASSES, Cache, Client, Command, config, hit, trial, until
 
+from gladelane.hot_restart.channel import MAX_UNSENT_BYTES, Channel, Peer
+from gladelane.hot_restart.messages import MAY_HAVE_RUN, NEVER_RAN, Message
 from gladelane.lab.processes import START_S, Processes
-from gladelane.upgrade.channel import MAY_HAVE_RUN, MOST_UNSENT_BYTES, NEVER_RAN, Channel, Message, Peer
 
 WINDOW_S = CLASSES[1]["window_ms"] / 1000.0
 KEY = "5eed" * 8
+#: a client leaves a connection that had no request for 4 s, by the protocol; the director closes one after 4.2 s
+REST_S = 3.5
 
 
 class Origin(Cache):
@@ -38,27 +43,50 @@
         return (self.write, b"") if self.write else None
 
 
+class Connection(NamedTuple):
+    """used_s: when its latest request was sent, not later."""
+
+    client: Client
+    used_s: float
+
+
 class Upgrade:
     """Two processes, and a connection of a client to each."""
 
     def __init__(self, origin: Origin, director: Processes) -> None:
         self.origin, self.director = origin, director
-        self.clients: list[Client] = []
+        self.clients: dict[int, Connection] = {}  # by process
         self._asked = 0
 
     async def connect(self, number: int) -> None:
         """All accept from one queue: the others stand still until the process of that number has a client."""
-        others = [process for n, process in enumerate(self.director.all) if n != number]
+        others = [
+            process
+            for n, process in enumerate(self.director.all)
+            if n != number and process.returncode is None
+        ]
         for process in others:
             process.send_signal(signal.SIGSTOP)
         try:
-            client = await Client.to(self.director.port)
-            self._ask(client, c="film")
-            await client.next(START_S)
+            client, code = await Client.to(self.director.port), 1
+            while code:  # until it is served: a process that is behind refuses
+                used_s = time.monotonic()
+                self._ask(client, c="film")
+                code = (await client.next(START_S))[2]
         finally:
             for process in others:
                 process.send_signal(signal.SIGCONT)
-        self.clients.append(client)
+        self.clients[number] = Connection(client, used_s)
+
+    async def _connection(self, number: int) -> Client:
+        """To that process, and not rested for so long that a request could meet its close: starts of processes
+        and waits for windows take what the machine needs."""
+        if time.monotonic() - self.clients[number].used_s > REST_S:
+            self.clients[number].client.writer.close()
+            await self.connect(number)
+        client = self.clients[number].client
+        self.clients[number] = Connection(client, time.monotonic())
+        return client
 
     def _ask(self, client: Client, **fields: str) -> None:
         self._asked += 1
@@ -66,7 +94,7 @@
 
     async def write(self, number: int, wait_ms: int = 900) -> int:
         """The answer's code to one write under KEY."""
-        client = self.clients[number]
+        client = await self._connection(number)
         self._ask(client, c="sheet", k=KEY, d=str(wait_ms))
         while (frame := await client.next())[0] != 17:
             pass
@@ -152,13 +180,13 @@
 async def two_channels(heard: list[Message]) -> AsyncIterator[tuple[Channel, Channel]]:
     """An old process's and a new one's; `heard` is what the new one was told."""
     with tempfile.TemporaryDirectory() as folder, socket.create_server(("127.0.0.1", 0)) as given:
-        old = Channel(folder, "n0", lambda _: None, lambda: None, lambda: given)
-        new = Channel(folder, "n0", heard.append, lambda: None, lambda: None)
+        old = Channel(folder, "n0", RecordingHandler(listener=given))
+        new = Channel(folder, "n0", RecordingHandler(heard))
         old.listen()
         loop = asyncio.get_running_loop()
         # it blocks, as a new process may, while the old one answers from this loop
-        add, met = new._add, list[Peer]()
-        new._add = met.append  # type: ignore[method-assign]
+        add, met = new._add_peer, list[Peer]()
+        new._add_peer = met.append  # type: ignore[method-assign]
         listener = await loop.run_in_executor(None, new.connect)
         assert listener is not None
         listener.close()
@@ -178,11 +206,11 @@
 async def test_what_a_peer_has_not_read_yet_waits_for_it_in_order() -> None:
     heard: list[Message] = []
     async with two_channels(heard) as (old, _):
-        told = [keyed(n) for n in range(3000)]  # more than the system holds for a peer
-        for message in told:
+        sent = [keyed(n) for n in range(3000)]  # more than the system holds for a peer
+        for message in sent:
             old.broadcast(message)
-        await until(lambda: len(heard) == len(told))
-        assert heard == told and old.peer_count == 1
+        await until(lambda: len(heard) == len(sent))
+        assert heard == sent and old.peer_count == 1
 
 
 @trial
@@ -190,7 +218,7 @@
     heard: list[Message] = []
     async with two_channels(heard) as (old, new):
         number = 0
-        while old.peer_count and number * 100 < 2 * MOST_UNSENT_BYTES:  # a message has over 100 bytes
+        while old.peer_count and number * 100 < 2 * MAX_UNSENT_BYTES:  # a message has over 100 bytes
             old.broadcast(keyed(number))
             number += 1
         assert old.peer_count == 0
@@ -215,7 +243,7 @@
     heard: list[Message] = []
     async with two_channels(heard) as (old, _):
         for peer in old._peers:
-            peer.takes_keys = False  # as its hello says that has no such word
+            peer.reads_keys = False  # as its hello says that has no such word
         order = Message("order", word="maint", store="c0")
         old.broadcast(keyed(1))
         old.broadcast(order)
--- a/tests/upgrade/test_two_processes.py
+++ b/tests/hot_restart/test_two_processes.py
@@ -12,10 +12,14 @@
 from pathlib import Path
 
 import pytest
+from channel_handler import RecordingHandler
 from harness import Cache, Client, config, hit, trial, until
 
+from gladelane.hot_restart.channel import Channel
+from gladelane.hot_restart.decoding import HandoverError
+from gladelane.hot_restart.messages import PROTOCOL_VERSION, Message, read_message
+from gladelane.hot_restart.rendezvous_socket import SOCKET_NAME
 from gladelane.lab.processes import Load, Processes
-from gladelane.upgrade.channel import NAME, VERSION, Channel, Message, Unusable, read_message
 
 REFUSED = "127.0.0.1:1"
 
@@ -46,7 +50,7 @@
             for _ in range(times):
                 await asyncio.sleep(0.2)
                 if spoil:
-                    (tmp_path / NAME).unlink()
+                    (tmp_path / SOCKET_NAME).unlink()
                 before = load.served
                 await director.start()
                 await director.serving()
@@ -69,7 +73,7 @@
     run_upgrades(tmp_path, 3)
 
 
-def test_without_the_meeting_place_both_listen_by_themselves(tmp_path: Path) -> None:
+def test_without_the_rendezvous_socket_both_listen_by_themselves(tmp_path: Path) -> None:
     run_upgrades(tmp_path, 1, spoil="gone")
 
 
@@ -99,23 +103,23 @@
 
 
 @pytest.mark.parametrize("line", [
-    b"", b"nonsense", b"{}", b'{"kind":1}', json.dumps({"kind": "hello", "version": VERSION + 1, "name": "n0"}).encode(),
-    json.dumps({"kind": "hello", "version": VERSION, "name": "n1"}).encode(),
+    b"", b"nonsense", b"{}", b'{"kind":1}', json.dumps({"kind": "hello", "version": PROTOCOL_VERSION + 1, "name": "n0"}).encode(),
+    json.dumps({"kind": "hello", "version": PROTOCOL_VERSION, "name": "n1"}).encode(),
 ])  # fmt: skip
 def test_who_is_not_this_director_in_this_version_is_given_nothing(line: bytes) -> None:
-    with pytest.raises(Unusable):
+    with pytest.raises(HandoverError):
         read_message(line, "n0")
 
 
 @trial
-async def test_a_foreign_process_at_the_meeting_place_is_passed_over() -> None:
+async def test_a_foreign_process_at_the_rendezvous_socket_is_passed_over() -> None:
     with tempfile.TemporaryDirectory() as folder:
-        made = [Channel(folder, name, lambda _: None, lambda: None, lambda: None) for name in ("n0", "n1")]
+        made = [Channel(folder, name, RecordingHandler()) for name in ("n0", "n1")]
         assert made[0].connect() is None  # nobody
         made[0].listen()
         meeting = asyncio.get_running_loop().run_in_executor(None, made[1].connect)
         assert await meeting is None and made[0].peer_count == made[1].peer_count == 0
-        with pytest.raises(Unusable):
+        with pytest.raises(HandoverError):
             read_message(b'{"kind":"order","version":0}', "n0")
         assert read_message(b'{"kind":"order","word":"maint","store":"x"}', "n0") == Message(
             "order", word="maint", store="x"
--- a/tests/lab/test_deployment_findings.py
+++ b/tests/lab/test_deployment_findings.py
@@ -7,9 +7,9 @@
 import pytest
 from conftest import PLAIN, Driver, only, some
 
-from gladelane.interface import Fetch, ListKind, Member, Members, State, Status
 from gladelane.lab.deployed import DeployedFleet
-from gladelane.lab.deployments import draw_deployment
+from gladelane.lab.deployment_draw import draw_deployment, draw_stepped
+from gladelane.routing.events import Fetch, ListKind, Member, Members, State, Status
 
 
 @pytest.mark.parametrize("group,goes_straight", [("all", True), ("zone", False), ("cell", False)])
@@ -34,3 +34,11 @@
     in an overload more than they can do, and it falls by 1 to 2 % beyond what is put down to chance."""
     outcome = DeployedFleet(draw_deployment(random.Random(seed))).run()
     assert [broken.what for broken in outcome.broken] == []
+
+
+@pytest.mark.parametrize("seed", [138, 359, 498, 630, 711, 1112, 1304, 1412, 1885, 1898, 1930])
+def test_a_cold_server_bears_what_it_is_sent_where_its_own_or_another_s_clock_is_wrong(seed: int) -> None:
+    """Found among 2,000 whose clocks are stepped: a server's clock that is behind made it look older, and one that
+    is ahead made all others look older, so each fell by up to 5 % beyond what is put down to chance."""
+    outcome = DeployedFleet(draw_stepped(random.Random(seed))).run()
+    assert [broken.what for broken in outcome.broken] == []
--- a/tests/lab/test_deployment_parts.py
+++ b/tests/lab/test_deployment_parts.py
@@ -7,24 +7,34 @@
 import pytest
 from conftest import PLAIN, settings
 
+from gladelane.clock import UnixMs
+from gladelane.discovery.events import Instance, ListChange, WatchEvent
 from gladelane.endpoints.plan import Endpoints
-from gladelane.interface import Member, Note, Status
 from gladelane.lab.checks import Broken, Monitor, Place, Reach
 from gladelane.lab.cold_falls import ColdFalls, ColdRule
 from gladelane.lab.model.pipe import Pipe
 from gladelane.lab.model.stores import Build, Cache, Filled, Origin, Parent, Work
 from gladelane.lab.model.timeline import Timeline
 from gladelane.lab.virtual_sender import Sent, VirtualSender, VirtualWheel
-from gladelane.net.config import ConnLimits, Instance, Notice, Pool
+from gladelane.net.attempt_outcomes import AttemptOutcome
+from gladelane.net.config import ConnLimits
 from gladelane.net.director import Director
-from gladelane.net.ends import End
-from gladelane.net.exchange import Ask, Code, Final
+from gladelane.net.exchange import AnswerCode, ClientRequest, FinalAnswer
+from gladelane.routing.events import Member, Note, Status
 
 RULE = ColdRule(cold_from=0.2, warm_ms=10_000.0, multiple=3.0, window_ms=1000.0)
 # a link of 5 at its start: 0.2 * 5 * 3 * 1000 = 3000 ms of work, thirty requests of 100 ms; by chance 43 do no harm
 LINK, WORK_MS, HARMLESS = 5.0, 100.0, 42
 
 
+def test_of_few_requests_chance_has_more_room() -> None:
+    """15 allowed in a window: 15 + 3 root of 15 + 3 are borne, where 2 root of 15 + 2 would make it 24."""
+    for requests, falls in ((29, False), (30, True)):
+        cold = ColdFalls(lambda broken: None)
+        cold.started("c0", 1000.0, LINK / 2.0, RULE)
+        assert any([cold.reached("c0", WORK_MS, True, 1000.0) for _ in range(requests)]) is falls
+
+
 @pytest.mark.parametrize(
     "age_ms,gap_ms,requests,told,falls,breaches",
     [
@@ -137,7 +147,7 @@
     """Two ways of 10 ms, and what one store does next."""
 
     def __init__(self) -> None:
-        self.end: End | None = None
+        self.end: AttemptOutcome | None = None
         self.came: list[Sent] = []
         self.left: list[Sent] = []
         self.told: list[tuple[str, Status]] = []
@@ -148,12 +158,15 @@
     def dial_ms(self, zone: str, store: str) -> float:
         return 20.0
 
-    def dial_end(self, store: str) -> End | None:
+    def dial_end(self, store: str) -> AttemptOutcome | None:
         return self.end
 
     def answer_ms(self, sent: Sent) -> float | None:
         return 10.0
 
+    def copy_date(self, given_out_ms: float) -> UnixMs:
+        return UnixMs(given_out_ms)
+
     def arrived(self, sent: Sent) -> None:
         self.came.append(sent)
 
@@ -174,7 +187,7 @@
     """One director, its sender and a store, in virtual time."""
 
     def __init__(self) -> None:
-        self.line, self.world, self.finals = Timeline(), World(), list[Final]()
+        self.line, self.world, self.finals = Timeline(), World(), list[FinalAnswer]()
         self.line.now = 1_000_000.0
         wheel = VirtualWheel(lambda: self.line.now)
         plain = settings(parent_kind="", max_attempts=1)
@@ -183,16 +196,20 @@
         self.sender = VirtualSender("d0", self.director, self.line, self.world, self.world, limits)
         self.director.sender = self.sender
         self.list("in_service", reset=True)
-        self.director.notice(Notice(2, Pool([Instance("root", "10.0.0.2:1", "hub", "root", "in_service")])))
-        self.director.admit(Ask("0" * 15 + "1", "film", 900.0, "0" * 16, 0, 0, 40.0), self.finals.append)
+        self.director.apply_watch_event(
+            WatchEvent(2, ListChange([Instance("root", "10.0.0.2:1", "hub", "root", "in_service")]))
+        )
+        self.director.admit(
+            ClientRequest("0" * 15 + "1", "film", 900.0, "0" * 16, 0, 0, 40.0), self.finals.append
+        )
         self.turn()
 
     def list(self, lifecycle: str, reset: bool = False) -> None:
         told = [Instance("c0", "10.0.0.1:1", "edge", "box", lifecycle)]
-        self.director.notice(Notice(self.director.rev + 1, Pool(told, reset)))
+        self.director.apply_watch_event(WatchEvent(self.director.rev + 1, ListChange(told, reset)))
 
     def turn(self) -> None:
-        self.director.wheel.turn()
+        self.director.timers.advance()
         self.line.after(5.0, self.turn)
 
     def go_on(self, ms: float) -> None:
@@ -208,23 +225,29 @@
     assert (sent.store, sent.source, sent.hints) == ("c0", "root", frozenset({"coalesce"}))
     sent.answer(Status.OK, Note.HIT, 999_000.5)
     bed.go_on(10.0)
-    assert [final.code for final in bed.finals] == [Code.SERVED] and bed.world.told == [("c0", Status.OK)]
+    assert [final.code for final in bed.finals] == [AnswerCode.SERVED] and bed.world.told == [
+        ("c0", Status.OK)
+    ]
     late = Bed()
     late.go_on(1000.0)
     late.world.came[0].answer(Status.OK, Note.HIT, 999_000.0)
     late.go_on(50.0)
-    assert [final.code for final in late.finals] == [Code.REFUSED] and late.world.left == late.world.came
+    assert [final.code for final in late.finals] == [
+        AnswerCode.REFUSED
+    ] and late.world.left == late.world.came
     assert late.world.told == [("c0", Status.TIMEOUT)]
 
 
-@pytest.mark.parametrize("end,at_ms", [(End.REFUSED, 30.0), (End.DIAL_TIMED_OUT, 110.0)])
-def test_a_dial_that_fails_ends_what_waits_for_it(end: End, at_ms: float) -> None:
+@pytest.mark.parametrize(
+    "end,at_ms", [(AttemptOutcome.REFUSED, 30.0), (AttemptOutcome.DIAL_TIMED_OUT, 110.0)]
+)
+def test_a_dial_that_fails_ends_what_waits_for_it(end: AttemptOutcome, at_ms: float) -> None:
     bed = Bed()
     bed.world.end = end
     bed.go_on(at_ms - 15.0)
     assert not bed.finals
     bed.go_on(15.0)
-    assert [final.code for final in bed.finals] == [Code.REFUSED] and not bed.world.told
+    assert [final.code for final in bed.finals] == [AnswerCode.REFUSED] and not bed.world.told
 
 
 def test_a_connection_ends_under_what_it_carries_and_a_drain_before_the_first_byte_sends_nothing() -> None:
@@ -235,7 +258,7 @@
     drained = Bed()
     drained.list("terminating")
     drained.go_on(100.0)
-    assert not drained.world.came and [final.code for final in drained.finals] == [Code.REFUSED]
+    assert not drained.world.came and [final.code for final in drained.finals] == [AnswerCode.REFUSED]
 
 
 class Bench:
@@ -244,7 +267,7 @@
     def __init__(self) -> None:
         line = self.line = Timeline()
         line.now = 10_000.0
-        build = Build(room=1000.0, capacity=100.0, flow=100.0, cold_from=1.0, warm_ms=1.0)
+        build = Build(storage_kb=1000.0, capacity=100.0, flow=100.0, cold_from=1.0, warm_ms=1.0)
         self.origin = Origin(line, 4, 20.0, 100, Pipe(line, 100.0, 100.0))
         self.parent = Parent(self.origin, line, build)
         self.cache = Cache(Pipe(line, 100.0, 100.0), 8, line, build)
@@ -278,10 +301,10 @@
     bench.serve()
     bench.cache.purge(lambda thing: thing == (1, 0), 9500.0)
     bench.line.run(11_000.0)
-    assert bench.ended[0][2] == 9000.0 and bench.cache.held((1, 0), 0.0) is None
+    assert bench.ended[0][2] == 9000.0 and bench.cache.cached_date((1, 0), 0.0) is None
     bench.serve(oldest=9500.0)
     bench.line.run(12_000.0)
-    assert bench.ended[1][2] > 11_000.0 and bench.cache.held((1, 0), 9500.0) == bench.ended[1][2]
+    assert bench.ended[1][2] > 11_000.0 and bench.cache.cached_date((1, 0), 9500.0) == bench.ended[1][2]
 
 
 def test_who_joins_a_fill_gets_nothing_older_than_its_class_allows() -> None:
@@ -295,4 +318,4 @@
     assert dated[:2] == [9000.0, 9000.0] and dated[2] > 10_000.0
     bench.cache.renew((1, 0), 10.0, 1, lambda came: came(10_900.0, True))
     bench.line.run(12_000.0)
-    assert bench.cache.held((1, 0), 0.0) == 10_900.0
+    assert bench.cache.cached_date((1, 0), 0.0) == 10_900.0
--- a/tests/lab/test_deployments.py
+++ b/tests/lab/test_deployments.py
@@ -17,7 +17,8 @@
 from hypothesis import strategies as st
 
 from gladelane.lab.deployed import DeployedFleet
-from gladelane.lab.deployments import Deployment, FaultKind, draw_deployment
+from gladelane.lab.deployment_draw import draw_deployment
+from gladelane.lab.deployments import Deployment, FaultKind
 from gladelane.lab.planted import PLANTS
 from gladelane.lab.reduction import reduced
 
@@ -87,7 +88,7 @@
 def test_one_deployment_is_one_run_in_any_process() -> None:
     code = (
         "import random; from gladelane.lab.deployed import DeployedFleet as F; "
-        "from gladelane.lab.deployments import draw_deployment as draw; "
+        "from gladelane.lab.deployment_draw import draw_deployment as draw; "
         "print(*(F(draw(random.Random(seed))).run().digest for seed in (3, 11, 12)))"
     )
     said = {
@@ -144,7 +145,7 @@
     assert len(effects) == 9
     assert {fault.kind for one in drawn for fault in one.faults} == set(FaultKind)
     assert {len(one.wire["classes"]) for one in drawn} == {1, 2, 3, 4, 5}
-    assert {bool(one.parents) for one in drawn} == {one.sizes_told for one in drawn} == {True, False}
+    assert {bool(one.parents) for one in drawn} == {one.sizes_listed for one in drawn} == {True, False}
     names = [row["name"] for one in drawn for row in one.wire["classes"]]
     assert len(set(names)) == len(names)
 
@@ -180,4 +181,4 @@
     whole = next(one for one in map(deployment, range(100)) if breaks(one) and len(one.faults) > 2)
     smallest = reduced(whole, breaks)
     assert breaks(smallest) and len(smallest.faults) == kept
-    assert smallest.span_ms < whole.span_ms and smallest.clients.retries == 0
+    assert smallest.duration_ms < whole.duration_ms and smallest.clients.retries == 0
--- a/tests/lab/test_model.py
+++ b/tests/lab/test_model.py
@@ -9,10 +9,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gladelane.interface import Status
 from gladelane.lab.checks import Broken, Monitor
 from gladelane.lab.model.copies import Copies
 from gladelane.lab.model.timeline import Timeline
+from gladelane.routing.events import Status
 
 CLASSES = settings().classes
 STEPS = st.lists(
--- a/tests/lab/test_virtual.py
+++ b/tests/lab/test_virtual.py
@@ -11,9 +11,9 @@
 import pytest
 from conftest import PLAIN
 
-from gladelane.interface import Event, Members, Purge, Settings, Status
-from gladelane.lab import virtual
 from gladelane.lab.virtual import Fleet, Plan
+from gladelane.lab.virtual_director import PendingRequest
+from gladelane.routing.events import Event, Members, Purge, Settings, Status
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -55,7 +55,7 @@
     fleet.run(15_000.0)
     assert fleet.broken == [] and fleet.counts["asked"] > 800
     assert (
-        fleet.worth > 0.8 * fleet.worth_asked
+        fleet.served_weight > 0.8 * fleet.requested_weight
         and 0.2 * fleet.counts["ok"] < fleet.counts["hits"] < fleet.counts["ok"]
     )
 
@@ -67,8 +67,8 @@
     )
     calm.run(8000.0)
     crowded.run(8000.0)
-    assert calm.worth > 0.95 * calm.worth_asked and calm.broken == crowded.broken == []
-    assert crowded.worth < 0.8 * crowded.worth_asked and crowded.counts["full"] > 100
+    assert calm.served_weight > 0.95 * calm.requested_weight and calm.broken == crowded.broken == []
+    assert crowded.served_weight < 0.8 * crowded.requested_weight and crowded.counts["full"] > 100
 
 
 @pytest.mark.parametrize("rule", ["drain", "purge", "repeat", "answer"])
@@ -85,12 +85,12 @@
 
         director.tell = deaf  # type: ignore[method-assign]
         if rule == "repeat":
-            director.router.may_repeat = lambda owed: True  # type: ignore[method-assign]
+            director.router.attempts.rules.may_repeat = lambda pending: True  # type: ignore[method-assign]
         if rule == "answer":
             finish = director._finish
 
             def twice(
-                asked: virtual._Asked, status: Status, *more: Any, finish: Any = finish, **named: Any
+                asked: PendingRequest, status: Status, *more: Any, finish: Any = finish, **named: Any
             ) -> None:
                 finish(asked, status, *more, **named)
                 if asked.number % 50 == 0:
--- a/tests/net/raw_cache.py
+++ b/tests/net/raw_cache.py
@@ -8,9 +8,9 @@
 
 from harness import Client
 
-from gladelane.__main__ import Node
 from gladelane.net.cache_connection import Connection
-from gladelane.net.exchange import Ask
+from gladelane.net.exchange import ClientRequest
+from gladelane.server import Server
 
 OK = b"%s served digest=aa,dated=1,remark=h %d\r\n%s\r\n"
 
@@ -51,11 +51,11 @@
     return sock
 
 
-def only(node: Node, store: str) -> Connection:
+def only(node: Server, store: str) -> Connection:
     (conn,) = node.upstream._pool[store]
     return conn
 
 
-def ask(number: int, **fields: Any) -> Ask:
+def ask(number: int, **fields: Any) -> ClientRequest:
     plain = {"cls": "film", "wait_ms": 2000.0, "object": "7f3a9c21e0b4d655", "part": 3, "group": 17}
-    return Ask(id=f"{number:016x}", **{**plain, **fields})
+    return ClientRequest(id=f"{number:016x}", **{**plain, **fields})
--- a/tests/net/raw_client.py
+++ b/tests/net/raw_client.py
@@ -10,10 +10,10 @@
 
 from harness import until
 
-from gladelane.__main__ import Node
 from gladelane.net.client_connection import ClientConnection
+from gladelane.net.client_protocol import FrameDecoder, encode_fields, encode_frame
 from gladelane.net.exchange import Attempt
-from gladelane.net.frames import FrameDecoder, encode_fields, encode_frame
+from gladelane.server import Server
 
 
 def request(stream: int, **fields: str) -> bytes:
@@ -35,7 +35,7 @@
 class Raw:
     """A client without a loop of its own: it writes at once, and reads only what it is told to."""
 
-    def __init__(self, node: Node, takes: int = 0) -> None:
+    def __init__(self, node: Server, takes: int = 0) -> None:
         self.sock = socket.socket()
         if takes:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, takes)
@@ -58,7 +58,7 @@
         return frames, "end of file"
 
 
-async def connected(node: Node, raw: Raw) -> ClientConnection:
+async def connected(node: Server, raw: Raw) -> ClientConnection:
     """The director's side of it."""
     name = raw.sock.getsockname()
     found: list[ClientConnection] = []
@@ -72,7 +72,7 @@
 
 
 def waits_for_a_dial(
-    node: Node, happens: Callable[[Attempt], Coroutine[Any, Any, None]]
+    node: Server, happens: Callable[[Attempt], Coroutine[Any, Any, None]]
 ) -> list[asyncio.Task[None]]:
     """Holds each dial until `happens` has: the attempt waits meanwhile."""
     tasks: list[asyncio.Task[None]] = []
--- a/tests/net/test_board_crossings.py
+++ b/tests/net/test_board_crossings.py
@@ -5,6 +5,7 @@
 import asyncio
 import json
 import random
+import time
 from collections.abc import Callable, Coroutine
 from contextlib import suppress
 from typing import Any
@@ -12,10 +13,10 @@
 import pytest
 from harness import config, running, trial, until
 
-import gladelane.net.board as board_module
+import gladelane.discovery.client as board_module
 import gladelane.sse as sse_module
-from gladelane.__main__ import Node
-from gladelane.net.board import Board
+from gladelane.discovery.client import DiscoveryClient
+from gladelane.server import Server
 from gladelane.sse import EventStream
 
 REFUSED = "127.0.0.1:1"
@@ -34,6 +35,7 @@
         self.plays = list(plays)
         self.asked: list[int] = []
         self.over = 0
+        self.writers: list[asyncio.StreamWriter] = []
 
     async def start(self) -> tuple[str, int]:
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -43,6 +45,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
         self.asked.append(int(head.split("last-event-id: ")[1].split()[0]))
+        self.writers.append(writer)
         with suppress(OSError):
             await self.plays[min(len(self.asked), len(self.plays)) - 1](writer)
         self.over += 1
@@ -83,8 +86,11 @@
             patch.setattr(board_module, "SILENT_S", 0.3)
             patch.setattr(board_module, "ANSWER_S", 0.3)
             async with running(config({"r0": REFUSED})) as (node, _):
-                board = Board(
-                    *await feed.start(), lambda: node.director.rev, node.director.notice, random.Random(1)
+                board = DiscoveryClient(
+                    *await feed.start(),
+                    lambda: node.director.rev,
+                    node.director.apply_watch_event,
+                    random.Random(1),
                 )
                 task = asyncio.create_task(board.run())
                 await until(lambda: node.director.rev == 2)
@@ -101,9 +107,9 @@
     assert b.SILENT_S + b.DIAL_S + b.DIAL_S + b.ANSWER_S + waits < 7.0
 
 
-async def follow(node: Node, address: tuple[str, int]) -> None:
-    node.config.board = address
-    node._follow()
+async def follow(node: Server, address: tuple[str, int]) -> None:
+    node.config.discovery = address
+    node.follow_discovery()
 
 
 @trial
@@ -159,8 +165,8 @@
     return b"id: %d\ndata: %s\n\n" % (rev, json.dumps(known).encode())
 
 
-def listed(node: Node) -> set[str]:
-    whole = node.director.notices()[-1].pool
+def listed(node: Server) -> set[str]:
+    whole = node.director.watch_events()[-1].pool
     return {instance.instance_id for instance in whole.instances} if whole is not None else set()
 
 
@@ -218,10 +224,55 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # a single line was bounded, many were not: the process grew until the platform killed it
-    monkeypatch.setattr(sse_module, "MAX_EVENT", 1000)
+    monkeypatch.setattr(sse_module, "MAX_EVENT_BYTES", 1000)
     stream = EventStream()
     assert list(stream.feed(b"data: x\n" * 100)) == []
     with pytest.raises(OSError, match="event too long"):
         list(stream.feed(b"data: x\n" * 100))
     whole = EventStream()
     assert [list(whole.feed(b"data: x\n\n")) for _ in range(500)] == [["x"]] * 500
+
+
+@pytest.mark.parametrize("steady_ms", [0.0, 10_000.0])
+def test_what_came_while_the_process_stood_still_is_applied_before_the_watch_is_given_up(
+    steady_ms: float, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Its timers run before its sockets are read. With an audit (`steady` has gone on) the watch is renewed
+    all the same, and what was applied vouches for nothing."""
+    monkeypatch.setattr(board_module, "SILENT_S", 0.2)
+
+    @trial
+    async def scene() -> None:
+        heard: list[int] = []
+        vouched: list[float] = []
+        slept = asyncio.Event()
+
+        async def play(writer: asyncio.StreamWriter) -> None:
+            writer.write(HEADERS + event(2))
+            await writer.drain()
+            await slept.wait()
+            await asyncio.sleep(5.0)
+
+        feed = Feed(play)
+        host, port = await feed.start()
+        board = DiscoveryClient(
+            host, port, lambda: max(heard, default=0), lambda n: heard.append(n.rev), random.Random(1)
+        )
+        clock = [0.0]
+        board.steady, board.heard = lambda: clock[0], vouched.append
+        watch = asyncio.create_task(board.run())
+        await until(lambda: heard == [2])
+        writer = feed.writers[0]
+        writer.write(event(3))
+        time.sleep(0.5)  # the whole process, past the silence that ends a watch
+        clock[0] += steady_ms
+        marks = len(vouched)
+        await asyncio.sleep(0)
+        await asyncio.sleep(board_module.UNREAD_S / 2)
+        assert heard == [2, 3] and feed.asked == [0]
+        if steady_ms:
+            await until(lambda: len(feed.asked) == 2)
+            assert len(vouched) == marks or vouched[-1] >= steady_ms
+        watch.cancel()
+
+    scene()
--- a/tests/net/test_cache_crossings.py
+++ b/tests/net/test_cache_crossings.py
@@ -10,9 +10,9 @@
 from harness import Cache, Client, config, hit, mute, running, trial, until
 from raw_cache import OK, Peer, ask, asked, heard, only
 
-import gladelane.net.cache_connection as connection_module
-from gladelane.net.ends import End
-from gladelane.net.exchange import Attempt, Final
+import gladelane.net.carried_attempts as attempts_module
+from gladelane.net.attempt_outcomes import AttemptOutcome
+from gladelane.net.exchange import Attempt, FinalAnswer
 
 REFUSED = "127.0.0.1:1"
 
@@ -27,14 +27,14 @@
         await heard(first, b"\r\n")
         first.send(OK % (b"%016x" % 1, 2, b"ok"))
         assert (await client.next())[:3] == (17, 1, 0)
-        finals: list[Final] = []
+        finals: list[FinalAnswer] = []
         first.close()
         node.director.admit(ask(2), finals.append)  # in the same turn
         second = await peer.accepted()
         await heard(second, b"\r\n")
         second.send(OK % (b"%016x" % 2, 2, b"ok"))
         await until(lambda: [final.code for final in finals] == [0])
-        assert node.director.figures.backend_calls == 2
+        assert node.director.metrics.backend_calls == 2
         second.close()
 
 
@@ -94,8 +94,8 @@
         conn = only(node, "c0")
         sock.send(b"%016x served - 8\r\nxxxx" % 1)
         await until(lambda: conn.decoder.under_way()[1] == 0.4)
-        conn.begun_ms -= 400.0  # half of it in 0.4 s, and 2 s to go
-        conn.sweep(conn.heard_ms + 1.0, 0.0)
+        conn.attempts.responses.begun_ms -= 400.0  # half of it in 0.4 s, and 2 s to go
+        conn.sweep(conn.attempts.responses.heard_ms + 1.0, 0.0)
         sock.send(b"xxxx\r\n")
         assert (await client.next())[:3] == (17, 1, 0)
         sock.close()
@@ -135,7 +135,7 @@
         attempt = Attempt(exchange, 5, "r0", now, now + 2000.0)
         assert node.director.recheck(attempt) is None
         exchange.ran_ms = now - 2000.0
-        assert node.director.recheck(attempt) is End.EXPIRED
+        assert node.director.recheck(attempt) is AttemptOutcome.EXPIRED
 
 
 @trial
@@ -166,7 +166,7 @@
         assert conn.writer is not None and conn.sock is not None
         conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         conn.writer.write(b"x" * 4_000_000)  # the peer reads no more: what is written from here on waits
-        await until(conn._stuck)
+        await until(conn.attempts.queue.is_stuck)
         client.ask(2)
         fresh = await peer.accepted()  # and is sent elsewhere
         assert f"{2:016x}".encode() in await heard(fresh, b"\r\n")
@@ -207,7 +207,7 @@
 async def test_a_new_key_is_refused_where_no_further_one_can_be_kept() -> None:
     origin = Cache(mute)
     async with running(config({"c0": REFUSED, "r0": await origin.start()})) as (node, _):
-        node.director.keys.most = 1
+        node.director.keys.max_keys = 1
         clients = [await Client.to(node.port) for _ in range(2)]
         clients[0].ask(1, c="sheet", k="aa")
         await until(lambda: origin.seen)
@@ -225,13 +225,13 @@
         sock = await asked(peer, client)
         conn = only(node, "c0")
         answer, second = OK % (b"%016x" % 1, 2, b"ok"), b"%016x served - 0\r\n\r\n" % 1
-        sock.send(answer + second * connection_module.STRAYS_MOST)
+        sock.send(answer + second * attempts_module.MAX_UNEXPECTED_RESPONSES)
         assert (await client.next())[:3] == (17, 1, 0)
-        await until(lambda: conn.strays == connection_module.STRAYS_MOST)
+        await until(lambda: conn.attempts.unexpected_responses == attempts_module.MAX_UNEXPECTED_RESPONSES)
         assert not conn.finished
         sock.send(second)
         await until(lambda: conn.finished)
-        assert conn.end is End.GARBLED
+        assert conn.end is AttemptOutcome.GARBLED
         sock.close()
 
 
@@ -249,4 +249,4 @@
         conn, now = only(node, "c0"), node.clock.now()
         conn.sweep(now + 700.0, now + 600.0)  # past the aims, and a later one was answered elsewhere
         await until(lambda: conn.finished)
-        assert conn.end is End.SILENT
+        assert conn.end is AttemptOutcome.SILENT
--- a/tests/net/test_client_crossings.py
+++ b/tests/net/test_client_crossings.py
@@ -17,19 +17,19 @@
 from harness import Cache, Client, config, hit, mute, raw_frame, running, trial, until
 from raw_client import GONE, Raw, connected, request, waits_for_a_dial
 
-import gladelane.__main__ as main_module
 import gladelane.net.client_connection as client_module
-import gladelane.net.front as front_module
-from gladelane.__main__ import Node
+import gladelane.net.client_listener as front_module
+from gladelane import shutdown
 from gladelane.net.client_connection import ClientConnection
+from gladelane.net.client_protocol import encode_fields
 from gladelane.net.exchange import Attempt
-from gladelane.net.frames import encode_fields
+from gladelane.server import Server
 
 REFUSED = "127.0.0.1:1"
 BIG = 240_000
 
 
-async def narrow(node: Node) -> tuple[Raw, ClientConnection]:
+async def narrow(node: Server) -> tuple[Raw, ClientConnection]:
     """A client that takes nothing, on a connection on which the system holds little: answers wait here."""
     raw = Raw(node, takes=4096)
     conn = await connected(node, raw)
@@ -76,13 +76,17 @@
             raw.send(request(1))
             conn = await connected(node, raw)
             await until(lambda: cache.seen and not node.director.live and not conn.unsent())
-            raw.send(request(2))  # not read by the director
+            raw.send(request(2))  # not read by the director yet: it is refused before the close
             closing = asyncio.create_task(node.front.close())
             await asyncio.sleep(0)
             frames, end = await raw.rest()
             raw.sock.close()
             await closing
-            assert [len(payload) for *_, payload in frames] == [BIG + 2] and end == "end of file"
+            assert [(stream, payload[0], len(payload)) for _, stream, payload in frames] == [
+                (1, 0, BIG + 2),
+                (2, 1, 2),
+            ]
+            assert end == "end of file"
             assert len(cache.seen) == 1
 
 
@@ -92,7 +96,7 @@
     async def scene() -> None:
         cache = Cache(hit)
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(main_module, "LINGER_S", 0.0)
+            patch.setattr(shutdown, "LINGER_S", 0.0)
             async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
                 raw, whole = Raw(node), request(1)
                 conn = await connected(node, raw)
@@ -133,7 +137,7 @@
 async def test_what_comes_once_a_restart_has_answered_all_is_refused_and_not_sent_on() -> None:
     cache = Cache(hit)
     async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
-        node.front.over = True  # as drain() leaves it
+        node.front.is_closing = True  # as drain() leaves it
         client.ask(1)
         assert (await client.next())[:3] == (17, 1, 1) and not cache.seen
 
@@ -347,3 +351,27 @@
             client.ask(1)
             assert (await client.next())[:3] == (17, 1, 0)
             raw.sock.close()
+
+
+@trial
+async def test_a_client_that_was_refused_while_the_loop_was_behind_is_not_closed_as_a_silent_one() -> None:
+    # its connection was closed 2 s after it was made, and made room at the cap before all others
+    async with running(config({"c0": await Cache(hit).start(), "r0": REFUSED})) as (node, client):
+        (conn,) = node.front.connections
+        node.wheel.lag = lambda: 2 * front_module.SHED_MS  # type: ignore[method-assign]
+        client.ask(1)
+        assert (await client.next())[:3] == (17, 1, 1)
+        conn.sweep(conn.active_ms + client_module.IDLE_MS)
+        assert conn.proven and not conn.shut_ms
+        conn.sweep(conn.active_ms + client_module.IDLE_MS + 1.0)
+        assert conn.shut_ms
+
+
+@trial
+async def test_a_client_that_never_sent_a_usable_request_is_closed_as_a_silent_one() -> None:
+    async with running(config({"c0": await Cache(hit).start(), "r0": REFUSED})) as (node, client):
+        (conn,) = node.front.connections
+        client.ask(1, drop="c")
+        assert (await client.next())[:3] == (17, 1, 2)
+        conn.sweep(conn.born_ms + client_module.FIRST_MS + 1.0)
+        assert not conn.proven and conn.shut_ms
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -10,11 +10,13 @@
 from pathlib import Path
 
 import pytest
-from harness import Cache, config, hit, until
+from harness import Cache, config, hit, running, trial, until
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gladelane.lab.board import BoardStandin
+from gladelane.endpoints import connect, dialer, health_check
+from gladelane.endpoints.address import Address
+from gladelane.lab.fake_discovery import FakeDiscovery
 from gladelane.lab.processes import Load, Processes
 from gladelane.net import descriptors
 from gladelane.net.descriptors import Shares, lingering_most, share_descriptors
@@ -44,13 +46,44 @@
     limit: int, inherited: int, feeds: int
 ) -> None:
     shares = share_descriptors(limit, inherited, feeds)
-    own = OWN + inherited + descriptors.FEED * feeds
+    own = OWN + inherited + descriptors.PER_PURGE_SERVER * feeds
     held = shares.clients + lingering_most(shares.clients) + shares.upstream + shares.callers
     # the least of each is given whatever the limit
     assert held + own <= max(limit, own + held if shares.upstream == descriptors.UPSTREAM_LEAST else 0)
 
 
-class ReturningBoard(BoardStandin):
+def test_a_dial_waits_until_the_connection_that_makes_room_for_it_is_really_closed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # a connection that was told to close counted as gone, and was open when the next one was dialled
+    cap, dialled, open_at_dial = 2, [], []
+
+    class Counted(connect.Connect):
+        def __init__(self, address: Address, done: connect.OnDone) -> None:
+            open_at_dial.append(sum(sock.fileno() >= 0 for sock in dialled))
+            super().__init__(address, done)
+            if self.sock is not None:
+                dialled.append(self.sock)
+
+    monkeypatch.setattr(dialer, "Connect", Counted)
+    monkeypatch.setattr(health_check, "Connect", Counted)
+
+    @trial
+    async def scene() -> None:
+        caches = [Cache(hit) for _ in range(8)]
+        listed = {f"c{n}": await cache.start() for n, cache in enumerate(caches)}
+        async with running(config(listed)) as (node, client):
+            node.upstream.cap = cap
+            for number in range(1, 41):
+                client.ask(number, o=f"{number * 7919:016x}", m="1")
+                assert (await client.next())[2] == 0
+        assert len(dialled) > cap  # else none had to make room
+        assert max(open_at_dial) < cap
+
+    scene()
+
+
+class ReturningBoard(FakeDiscovery):
     """Discovery at one port, down and back. The port is its own from the start: a socket that does not listen
     refuses calls, and nobody else is given its port meanwhile."""
 
--- a/tests/net/test_leaves.py
+++ b/tests/net/test_leaves.py
@@ -19,13 +19,13 @@
 from raw_cache import OK, Peer, ask, asked, heard, only
 from raw_client import GONE, Raw, connected, request, waits_for_a_dial
 
-import gladelane.net.cache_connection as connection_module
 import gladelane.net.client_connection as client_module
 import gladelane.net.outgoing as outgoing_module
-from gladelane.__main__ import Node
+import gladelane.net.write_queue as queue_module
 from gladelane.net.client_connection import ClientConnection
+from gladelane.net.client_protocol import FrameDecoder, Type, encode_frame
 from gladelane.net.exchange import Attempt
-from gladelane.net.frames import FrameDecoder, Type, encode_frame
+from gladelane.server import Server
 from gladelane.sockets import unsent_bytes
 
 BODY = 200_000  # more than a narrow cache and the system between take at once
@@ -58,6 +58,11 @@
 )
 
 
+def with_length(frame: bytes) -> bytes:
+    """A frame to whose payload something was added."""
+    return struct.pack(">I", len(frame) - 4) + frame[4:]
+
+
 def unread(conn: ClientConnection) -> None:
     conn.writer.transport.pause_reading()  # type: ignore[attr-defined]
 
@@ -73,10 +78,10 @@
     return came, "end of file"
 
 
-async def none_begins(node: Node, caches: list[Cache], begun: int) -> None:
+async def none_begins(node: Server, caches: list[Cache], begun: int) -> None:
     """The request ends without a further attempt and without an answer."""
     await until(lambda: not node.director.live)
-    assert [node.director.figures.withdrawn, sum(len(cache.seen) for cache in caches)] == [1, begun]
+    assert [node.director.metrics.withdrawn, sum(len(cache.seen) for cache in caches)] == [1, begun]
 
 
 @pytest.mark.parametrize("cancel", [True, False])
@@ -153,14 +158,14 @@
         caches = [Cache(mute) for _ in range(2)]
         listed = {f"c{n}": await cache.start() for n, cache in enumerate(caches)}
         async with running(config({**listed, "r0": REFUSED}, cancel=cancel)) as (node, _):
-            node.director.router.hedges = 5.0
+            node.director.router.budgets.hedges = 5.0
             raw = Raw(node)
             conn = await connected(node, raw)
             raw.send(request(1))
             await until(lambda: any(cache.seen for cache in caches))
             unread(conn)
             leave(raw, "type 18")
-            await until(lambda: node.director.figures.withdrawn == 1)
+            await until(lambda: node.director.metrics.withdrawn == 1)
             await until(lambda: not node.director.live)
             assert sum(len(cache.seen) for cache in caches) == 1
             raw.sock.close()
@@ -219,7 +224,11 @@
         client.ask(2)
         fresh = await peer.accepted()
         line = await heard(fresh, b"\r\n")
-        assert f"{2:016x}".encode() in line and not conn.waiting and list(conn.open) == [f"{1:016x}"]
+        assert (
+            f"{2:016x}".encode() in line
+            and not conn.attempts.queue.waiting
+            and list(conn.open) == [f"{1:016x}"]
+        )
         fresh.close()
         slow.close()
 
@@ -249,7 +258,7 @@
             raw.sock.close()
             slow.close()
 
-    monkeypatch.setattr(connection_module, "STUCK_MS", 10_000.0)  # what waits goes nowhere else meanwhile
+    monkeypatch.setattr(queue_module, "STUCK_MS", 10_000.0)  # what waits goes nowhere else meanwhile
     scene()
 
 
@@ -270,7 +279,7 @@
 
             def looks(sock: socket.socket) -> int:
                 """As if the cache had taken all until the second was written, and no more from then on."""
-                latest = conn.out.latest if conn.out is not None else None
+                latest = conn.attempts.queue.out.latest if conn.attempts.queue.out is not None else None
                 return look(sock) if latest is not None and latest.exchange.ask.id == f"{1:016x}" else 0
 
             monkeypatch.setattr(outgoing_module, "unsent_bytes", looks)
@@ -288,6 +297,36 @@
     scene()
 
 
+@pytest.mark.parametrize("cancel", [True, False])
+@pytest.mark.parametrize("how", ["type 18", "close"])
+def test_a_request_that_has_left_in_part_does_not_become_whole_once_its_client_has_left(
+    how: str, cancel: bool
+) -> None:
+    # its line had left and its body had not: it became whole, and could begin, when the cache read on
+    @trial
+    async def scene() -> None:
+        peer = Peer(takes=4096)
+        async with running(config({"c0": peer.address, "r0": REFUSED}, cancel=cancel)) as (node, _):
+            raw = Raw(node)
+            whole = request(1, d="20000") + b"x" * BODY
+            raw.sock.setblocking(True)
+            sending = asyncio.create_task(asyncio.to_thread(raw.sock.sendall, with_length(whole)))
+            slow = await peer.accepted()
+            conn = only(node, "c0")
+            await until(lambda: conn.sock is not None and unsent_bytes(conn.sock))
+            await sending
+            leave(raw, how)
+            await until(lambda: not node.director.live)
+            await asyncio.sleep(0.2)  # the cache reads on later than a leave allows
+            came, ended = await rest(slow)
+            assert ended == "reset"
+            assert b"fetch" in came and len(came) < BODY
+            raw.sock.close()
+            slow.close()
+
+    scene()
+
+
 @pytest.mark.parametrize("runner", [asyncio.run, uvloop.run])
 def test_an_attempt_leaves_in_the_turn_of_the_loop_in_which_its_client_was_looked_at(
     runner: Callable[[Any], None],
--- a/tests/purges/test_director.py
+++ b/tests/purges/test_director.py
@@ -1,4 +1,4 @@
-"""Directors that follow feeds: enforcement on answers, readiness, cut off and back, what a restart keeps."""
+"""Directors that subscribe to servers: enforcement on responses, readiness, being cut off, and restarts."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 
 import pytest
 from harness import Cache, Client, Command, config, trial, until
-from test_feed import feed, send, tokens
 from test_net_rules import REFUSED, notice_flush, outcomes, told
+from test_purge_log import running_server, send, tokens
 
-from gladelane.__main__ import Node
-from gladelane.interface import Status
+from gladelane.discovery.events import WatchEvent
 from gladelane.lab.simdisk import Lost, SimDisk
-from gladelane.net.config import BadConfig, Notice, read_config
-from gladelane.purges.cutoff import LIFT_MS, CutOff, Link
-from gladelane.purges.holder import Holder
-from gladelane.settings.operator import BadOperatorFile, Operator, read_operator
+from gladelane.net.config import ConfigError, read_config
+from gladelane.purges.cutoff import RETURN_PERIOD_MS, CutOff, Link
+from gladelane.purges.subscription import PurgeSubscription
+from gladelane.routing.events import Status
+from gladelane.server import Server
+from gladelane.settings.operator import Operator, OperatorFileError, read_operator
 
 
 def operator(tmp: Path, *ports: int, **more: Any) -> Operator:
@@ -47,8 +48,8 @@
 
 
 @asynccontextmanager
-async def director(cache: str, op: Operator) -> AsyncIterator[tuple[Node, Client]]:
-    node = Node(read_config(config({"c0": cache, "r0": REFUSED})), op)
+async def director(cache: str, op: Operator) -> AsyncIterator[tuple[Server, Client]]:
+    node = Server(read_config(config({"c0": cache, "r0": REFUSED})), op)
     client = await Client.to(await node.start())
     try:
         yield node, client
@@ -61,7 +62,7 @@
     async def scene() -> None:
         cache = Cache(fresh)
         address = await cache.start()
-        async with feed(tmp_path) as one:
+        async with running_server(tmp_path) as one:
             await send(one.port, "objects:7f* & class:film")
             async with director(address, operator(tmp_path, one.port)) as (node, client):
                 client.ask(1)  # known at the start
@@ -94,11 +95,13 @@
         return f"served digest=aa,dated={int(dated[0])},remark=h", b"\x00bytes"
 
     liar = Cache(dating)
-    node = Node(read_config(config({"c0": await liar.start(), "r0": REFUSED})))
+    node = Server(read_config(config({"c0": await liar.start(), "r0": REFUSED})))
     client = await Client.to(await node.start())
     events = told(node.director)
     now = node.clock.now()
-    node.director.notice(Notice(2, flush=notice_flush(asset="7f3a9c21e0b4d655", ms=now - 1000.0)))
+    node.director.apply_watch_event(
+        WatchEvent(2, flush=notice_flush(asset="7f3a9c21e0b4d655", ms=now - 1000.0))
+    )
     for stream, age, served in ((1, 900.0, True), (2, 1004.0, True), (3, 1200.0, False)):
         dated[0] = now - age
         client.ask(stream, d="3000" if served else "400")
@@ -108,7 +111,7 @@
     await node.close()
 
 
-def test_cut_off_from_all_feeds_strict_classes_take_young_copies_only_within_a_limit_and_come_back(
+def test_cut_off_from_all_servers_strict_classes_use_young_copies_within_a_limit(
     tmp_path: Path,
 ) -> None:
     async def scene() -> None:
@@ -138,7 +141,7 @@
             assert (
                 node.director.router.pending == {}
                 and node.purges is not None
-                and node.purges.renewal.refused >= 5
+                and node.purges.refetch_budget.rejected >= 5
             )
 
     asyncio.run(scene())
@@ -148,65 +151,73 @@
     lines: list[Any] = []
     link = CutOff(2000.0, frozenset({"film"}), lambda *line: lines.append(line[0].split()[0]))
     link.update(100.0, 100.0)
-    assert link.link is Link.FOLLOWS and link.oldest_ms("film") == 0.0  # a start is no return
+    assert link.link is Link.FOLLOWS and link.max_copy_age_ms("film") == 0.0  # a start is no return
     link.update(100.0, 2100.0)
     assert link.link is Link.FOLLOWS
     link.update(100.0, 2101.0)
-    assert link.link is Link.CUT_OFF and link.oldest_ms("film") == 2000.0 and link.oldest_ms("page") == 0.0
+    assert (
+        link.link is Link.CUT_OFF
+        and link.max_copy_age_ms("film") == 2000.0
+        and link.max_copy_age_ms("page") == 0.0
+    )
     link.update(5000.0, 5000.0)
     assert (
-        link.link is Link.RETURNING and link.oldest_ms("film") == 0.0
+        link.link is Link.RETURNING and link.max_copy_age_ms("film") == 0.0
     )  # what is known binds; what is not is none
-    link.update(15_100.0, 5000.0 + LIFT_MS + 1.0)
+    link.update(15_100.0, 5000.0 + RETURN_PERIOD_MS + 1.0)
     assert link.link is Link.FOLLOWS and lines == ["feeds", "cut", "feeds"]
 
 
-def test_what_a_director_stored_binds_again_before_any_feed_answers_and_it_asks_only_for_the_rest(
+def test_stored_purges_bind_after_a_restart_and_only_the_rest_is_requested(
     tmp_path: Path,
 ) -> None:
     async def scene() -> None:
-        disk, feed_disk = SimDisk(), SimDisk()
-        index_of = Node(read_config(config({"r0": REFUSED})))
-        async with feed(tmp_path, disk=feed_disk) as one:
+        disk, server_disk = SimDisk(), SimDisk()
+        index_of = Server(read_config(config({"r0": REFUSED})))
+        async with running_server(tmp_path, disk=server_disk) as one:
             for n in range(300):
                 await send(one.port, f"object:{n:016x}")
             options = operator(tmp_path, one.port).purges
             assert options is not None
-            holder = Holder(options, index_of.director.router.purges, index_of.clock.now, disk)
-            holder.start()
-            await holder.ready()
-            assert len(holder.standing) == 300
-            await until(lambda: holder._records >= 300)  # stored
-            holder._tasks[-1].cancel()  # no chance to store more: the process dies here
+            subscription = PurgeSubscription(
+                options, index_of.director.router.purges, index_of.clock.now, disk
+            )
+            subscription.start()
+            await subscription.ready()
+            assert len(subscription.active) == 300
+            await until(lambda: subscription.store.records >= 300)  # stored
+            subscription._tasks[-1].cancel()  # no chance to store more: the process dies here
             left = disk.after_crash(Lost.ALL, False)
-            again = Holder(options, type(index_of.director.router.purges)(), index_of.clock.now, left)
-            assert len(again.standing) == 300 and again.standing.index.newest(
+            restored = PurgeSubscription(
+                options, type(index_of.director.router.purges)(), index_of.clock.now, left
+            )
+            assert len(restored.active) == 300 and restored.active.index.newest(
                 "film", 0, 7, 0, index_of.clock.now()
             )
-            told_: list[int] = []
-            take = again.take
-            again.followers[0]._on_purges = lambda purges: (told_.append(len(purges)), take(purges))[1]
-            again.start()
-            await again.ready()
-            assert not told_
+            received: list[int] = []
+            take = restored.receive
+            restored.on_purges = lambda purges, source: (received.append(len(purges)), take(purges))[1]
+            restored.start()
+            await restored.ready()
+            assert not received
             await send(one.port, "group:1")
-            await until(lambda: told_ == [1])
-            await holder.close()
-            await again.close()
+            await until(lambda: received == [1])
+            await subscription.close()
+            await restored.close()
 
     asyncio.run(scene())
 
 
-def test_what_the_file_says_wrong_of_purges_is_one_line(tmp_path: Path) -> None:
+def test_an_invalid_purges_section_is_reported_in_one_line(tmp_path: Path) -> None:
     for more, says in (({"feeds": []}, "purges.feeds: expected at least one"), ({"feeds": ["x:1"]}, r"purges.feeds\[0\]: 'x:1'"),
                        ({"delay_ms": 100}, "purges.delay_ms: 100; expected a number from 2000"), ({"dirr": "x"}, "purges.dirr: unknown key")):  # fmt: skip
-        with pytest.raises(BadOperatorFile, match=says):
+        with pytest.raises(OperatorFileError, match=says):
             operator(tmp_path, 1, **more)
     config_ = read_config(config({"r0": REFUSED}))
-    with pytest.raises(BadConfig, match="purges.strict: 'song'; expected classes"):
-        Node(config_, operator(tmp_path, 1, strict=["song"]))
+    with pytest.raises(ConfigError, match="purges.strict: 'song'; expected classes"):
+        Server(config_, operator(tmp_path, 1, strict=["song"]))
     good = operator(tmp_path, 1)
     assert good.purges is not None
     (tmp_path / "tokens").write_text("short x\n")
-    with pytest.raises(BadConfig, match="tokens: line 1"):
-        Node(config_, good)
+    with pytest.raises(ConfigError, match="tokens: line 1"):
+        Server(config_, good)
--- a/tests/purges/test_hard_cases.py
+++ b/tests/purges/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""The hard cases of purges on sockets: joined fills, orders that get lost, feeds dead at every write, TLS."""
+"""The hard cases of purges on sockets: joined fills, lost orders, servers that crash at every write, TLS."""
 
 from __future__ import annotations
 
@@ -16,48 +16,48 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import NameOID
 from harness import Client, config, running, trial, until
-from test_feed import TOKEN, ServedLog, tokens
 from test_net_rules import notice_flush, outcomes, told
+from test_purge_log import TOKEN, ServedLog, tokens, unix_ms
 
-from gladelane.control.http import fetch
+from gladelane.control_plane.http import fetch
+from gladelane.discovery.events import WatchEvent
 from gladelane.endpoints.address import Family
 from gladelane.endpoints.plan import Endpoints
 from gladelane.endpoints.rules import Listing
-from gladelane.interface import Status
-from gladelane.lab.shelf import Shelf, now_ms
+from gladelane.lab.fake_cache_store import FakeCacheStore, now_ms
+from gladelane.lab.fake_server import FakeServer, Fault
 from gladelane.lab.simdisk import Crash, Lost, SimDisk
-from gladelane.lab.standins import Fault, Standin
-from gladelane.net.config import Notice
-from gladelane.purges.deliver import Deliver
 from gladelane.purges.entries import NewPurge
-from gladelane.purges.holder import Holder
 from gladelane.purges.index import Index
 from gladelane.purges.options import Options
-from gladelane.purges.order import Purge
+from gladelane.purges.order_sender import OrderSender
 from gladelane.purges.orders import Orders
+from gladelane.purges.purge import Purge
 from gladelane.purges.purge_log import PurgeLog
+from gladelane.purges.subscription import PurgeSubscription
+from gladelane.routing.events import Status
 
 
 @trial
 async def test_a_fill_under_way_when_a_purge_comes_and_who_joins_it_give_no_client_the_old_copy() -> None:
-    origin = Shelf()
-    hub = Shelf({"r0": origin}, 0.01)
-    cache = Shelf({"p0": hub, "r0": origin}, 0.3)
+    origin = FakeCacheStore()
+    hub = FakeCacheStore({"r0": origin}, 0.01)
+    cache = FakeCacheStore({"p0": hub, "r0": origin}, 0.3)
     cache.eager = (
         True  # the director asks for no joining once it knows of the purge: caches may join all the same
     )
-    thing = "7f3a9c21e0b4d655"
+    object_id = "7f3a9c21e0b4d655"
     shelves = {"c0": cache, "p0": hub, "r0": origin}
-    standins = {name: Standin(name, shelf.answer) for name, shelf in shelves.items()}
+    standins = {name: FakeServer(name, shelf.answer) for name, shelf in shelves.items()}
     addresses = {name: await standin.listen(Family.V4) for name, standin in standins.items()}
     async with running(config(addresses)) as (node, client):
-        hub.copies[thing, 3] = now_ms() - 5000.0  # the old copy
+        hub.copies[object_id, 3] = now_ms() - 5000.0  # the old copy
         events = told(node.director)
         other = await Client.to(node.port)
         client.ask(1, d="3000")
         await until(lambda: cache.filling)  # the fill has taken the old copy, and is on its way
         purged = now_ms()
-        node.director.notice(Notice(2, flush=notice_flush(asset=thing, ms=purged)))
+        node.director.apply_watch_event(WatchEvent(2, flush=notice_flush(asset=object_id, ms=purged)))
         await asyncio.sleep(0.05)
         other.ask(2, d="3000")  # joins that fill
         answers = [await client.next(), await other.next()]
@@ -86,7 +86,7 @@
     def at(self, due_ms: float, call: Any) -> Any:
         return asyncio.get_running_loop().call_later(max(due_ms - self.clock(), 0.0) / 1000.0, call)
 
-    def room(self) -> int:
+    def spare_sockets(self) -> int:
         return 9
 
     def hold(self, sockets: int) -> None:
@@ -94,18 +94,16 @@
 
 
 @trial
-async def test_orders_that_get_lost_are_sent_again_and_a_server_that_came_back_gets_all_before_it_counts() -> (
-    None
-):
-    standin, dropped = Standin("c0"), []
+async def test_lost_orders_are_retried_and_a_restarted_cache_gets_all_before_it_counts() -> None:
+    standin, dropped = FakeServer("c0"), []
     standin.drop = dropped.append
     address = await standin.listen(Family.V4)
     endpoints, budget = Endpoints(random.Random(1)), Plain()
-    endpoints.tell([Listing("c0", address)])
+    endpoints.update([Listing("c0", address)])
     orders = Orders(1000.0, 4, budget.clock())
     orders.servers({"c0": 1.0})
     orders.add([Purge("a", 1, n, 1000.0 + n, f"group:{n}") for n in range(1, 4)])
-    task = asyncio.ensure_future(Deliver(orders, endpoints, budget, 200.0).run())
+    task = asyncio.ensure_future(OrderSender(orders, endpoints, budget, 200.0).run())
     await until(lambda: orders.purged("c0"))
     assert dropped == ["1001.000 group:1", "1002.000 group:2", "1003.000 group:3"]
     await standin.set(address, Fault.REFUSED)
@@ -123,38 +121,40 @@
     await standin.close()
 
 
-def test_a_feed_that_dies_at_any_write_keeps_all_that_it_answered_and_gives_no_number_twice(
+def test_a_server_crash_at_any_write_keeps_acknowledged_purges_and_repeats_no_number(
     tmp_path: Path,
 ) -> None:
     """Every operation on its disk in turn, each with every fate of what was not synced."""
 
-    async def life(disk: SimDisk, answered: dict[str, Purge]) -> None:
-        feed = PurgeLog("a", disk, tokens(tmp_path), clock=lambda: 1e12, first=True)
+    async def run_until_crash(disk: SimDisk, answered: dict[str, Purge]) -> None:
+        server = PurgeLog("a", disk, tokens(tmp_path), clock=lambda: 1e12, is_first_start=True)
         for turn in range(6):
             waiting = [
                 NewPurge(f"group:{turn}", f"k{turn}-{n}", asyncio.get_running_loop().create_future())
                 for n in range(2)
             ]
-            await feed.commit(waiting)
+            await server.committer.commit(waiting)
             for one in waiting:
                 told = one.accepted.result()
                 answered[one.key] = Purge(told.issuer, told.epoch, told.seq, told.at_ms, told.scope, one.key)
             if turn == 3:
-                await asyncio.to_thread(feed.store.log.snapshot, feed.active.snapshot())
+                await asyncio.to_thread(server.store.log.snapshot, server.active.snapshot())
 
-    whole = SimDisk()
-    asyncio.run(life(whole, {}))
+    undisturbed = SimDisk()
+    asyncio.run(run_until_crash(undisturbed, {}))
     points = 0
-    for at in range(1, whole.operations + 1):
+    for at in range(1, undisturbed.operations + 1):
         for lost in Lost:
-            for names_kept in (True, False):
+            for keeps_names in (True, False):
                 disk, answered = SimDisk(at), dict[str, Purge]()
                 with pytest.raises(Crash):
-                    asyncio.run(life(disk, answered))
-                back = PurgeLog("a", disk.after_crash(lost, names_kept), tokens(tmp_path), clock=lambda: 1e12)
-                kept = {purge.key: purge for purge in back.active.beyond({})}
-                assert {key: kept.get(key) for key in answered} == answered, (at, lost, names_kept)
-                assert back._stamps.epoch > max((p.epoch for p in kept.values()), default=0)
+                    asyncio.run(run_until_crash(disk, answered))
+                back = PurgeLog(
+                    "a", disk.after_crash(lost, keeps_names), tokens(tmp_path), clock=lambda: 1e12
+                )
+                recovered = {purge.key: purge for purge in back.active.purges_after({})}
+                assert {key: recovered.get(key) for key in answered} == answered, (at, lost, keeps_names)
+                assert back.epoch > max((p.epoch for p in recovered.values()), default=0)
                 assert not back.active.positions.gaps()
                 points += 1
     assert points > 150
@@ -181,20 +181,20 @@
     return cert, private
 
 
-def test_a_feed_speaks_tls_and_who_does_not_trust_it_sends_no_token(tmp_path: Path) -> None:
+def test_a_server_speaks_tls_and_a_client_that_does_not_trust_it_sends_no_token(tmp_path: Path) -> None:
     async def scene() -> None:
         cert, key = certificate(tmp_path)
         serving = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
         serving.load_cert_chain(cert, key)
-        feed = ServedLog("a", SimDisk(), tokens(tmp_path))
-        await feed.serve(serving)
+        server = ServedLog("a", SimDisk(), tokens(tmp_path), clock=unix_ms)
+        await server.serve(serving)
         trusting = ssl.create_default_context(cafile=str(cert))
-        assert b'"name":"a"' in await fetch("127.0.0.1", feed.port, "GET", "/status", TOKEN, tls=trusting)
+        assert b'"name":"a"' in await fetch("127.0.0.1", server.port, "GET", "/status", TOKEN, tls=trusting)
         with pytest.raises(ssl.SSLError):
-            await fetch("127.0.0.1", feed.port, "GET", "/status", TOKEN, tls=ssl.create_default_context())
+            await fetch("127.0.0.1", server.port, "GET", "/status", TOKEN, tls=ssl.create_default_context())
         with pytest.raises(OSError):
-            await fetch("127.0.0.1", feed.port, "GET", "/status", TOKEN)
-        await feed.end()
+            await fetch("127.0.0.1", server.port, "GET", "/status", TOKEN)
+        await server.end()
 
     asyncio.run(scene())
 
@@ -208,30 +208,30 @@
     )
     tokens(tmp_path)
 
-    async def life(disk: SimDisk, stored: list[int]) -> None:
-        holder = Holder(options, Index(), lambda: 1e12, disk)
+    async def run_until_crash(disk: SimDisk, stored: list[int]) -> None:
+        subscription = PurgeSubscription(options, Index(), lambda: 1e12, disk)
         for turn in range(6):
-            holder.take([Purge("a", 1, 2 * turn + n, 1e12, f"group:{2 * turn + n}") for n in (1, 2)])
-            holder._reached({("a", 1): 2 * turn + 2, ("b", 1): turn + 1})
-            await holder._store()
+            subscription.receive([Purge("a", 1, 2 * turn + n, 1e12, f"group:{2 * turn + n}") for n in (1, 2)])
+            subscription.adopt_position({("a", 1): 2 * turn + 2, ("b", 1): turn + 1})
+            await subscription.store.save()
             stored.append(2 * turn + 2)
             if turn == 3:
-                assert holder._log is not None
-                await asyncio.to_thread(holder._log.snapshot, holder.standing.snapshot())
+                assert subscription.store.log is not None
+                await asyncio.to_thread(subscription.store.log.snapshot, subscription.active.snapshot())
 
-    whole = SimDisk()
-    asyncio.run(life(whole, []))
+    undisturbed = SimDisk()
+    asyncio.run(run_until_crash(undisturbed, []))
     points = 0
-    for at in range(1, whole.operations + 1):
+    for at in range(1, undisturbed.operations + 1):
         for lost in Lost:
-            for names_kept in (True, False):
+            for keeps_names in (True, False):
                 disk, stored = SimDisk(at), list[int]()
                 with pytest.raises(Crash):
-                    asyncio.run(life(disk, stored))
-                back = Holder(options, Index(), lambda: 1e12, disk.after_crash(lost, names_kept))
-                upto = back.standing.positions.vector().get(("a", 1), 0)
-                assert upto >= max(stored, default=0), (at, lost, names_kept)
-                assert {p.seq for p in back.standing.beyond({})} == set(range(1, upto + 1))
-                assert all(back.standing.index.newest("film", n, 5, 0, 1e12) for n in range(1, upto + 1))
+                    asyncio.run(run_until_crash(disk, stored))
+                back = PurgeSubscription(options, Index(), lambda: 1e12, disk.after_crash(lost, keeps_names))
+                upto = back.active.positions.vector().get(("a", 1), 0)
+                assert upto >= max(stored, default=0), (at, lost, keeps_names)
+                assert {p.seq for p in back.active.purges_after({})} == set(range(1, upto + 1))
+                assert all(back.active.index.newest("film", n, 5, 0, 1e12) for n in range(1, upto + 1))
                 points += 1
     assert points > 150
--- a/tests/purges/test_orders.py
+++ b/tests/purges/test_orders.py
@@ -1,12 +1,12 @@
-"""Orders to servers: everything reaches every server, in order, within bounds, and again after its restart."""
+"""Orders to cache servers: everything reaches every server in order, within the budget, and again after a restart."""
 
 from __future__ import annotations
 
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gladelane.purges.order import Purge
 from gladelane.purges.orders import MAX_BATCH, Orders
+from gladelane.purges.purge import Purge
 
 
 def purges(first: int, count: int) -> list[Purge]:
@@ -64,7 +64,7 @@
         assert orders.purged(name) and list(dict.fromkeys(got.get((name, run), []))) == list(
             range(1, total + 1)
         )
-    assert orders.owed() == 0
+    assert orders.pending_count() == 0
 
 
 def test_a_server_that_fails_is_asked_later_and_later_and_holds_up_no_other() -> None:
--- a/tests/purges/test_feed.py
+++ b/tests/purges/test_purge_log.py
@@ -1,4 +1,4 @@
-"""Feeds on loopback: durable answers, resumption, peers, backlogs, and clients that mean harm."""
+"""Purge log servers on loopback: durable responses, resumption, peers, backlogs, and malicious clients."""
 
 from __future__ import annotations
 
@@ -20,23 +20,32 @@
 import pytest
 from harness import until
 
-from gladelane.control import event_stream, server
-from gladelane.control.http import Refused, fetch
-from gladelane.control.server import ControlServer
-from gladelane.control.tokens import BadTokens, Tokens
-from gladelane.durable.files import Folder
+from gladelane.control_plane import event_stream, server
+from gladelane.control_plane.http import HttpStatusError, fetch
+from gladelane.control_plane.positions import Vector
+from gladelane.control_plane.server import ControlServer
+from gladelane.control_plane.tokens import TokenFileError, Tokens
 from gladelane.lab.simdisk import SimDisk
-from gladelane.purges import purge_stream
+from gladelane.purges import purge_stream, subscriber
 from gladelane.purges.active_purges import ActivePurges
+from gladelane.purges.batch import OWN
 from gladelane.purges.control_part import PurgePart
-from gladelane.purges.order import Purge, Stamps
+from gladelane.purges.purge import IssuerSequence, Purge
 from gladelane.purges.purge_log import PurgeLog
-from gladelane.purges.purge_store import OWN, recover
 from gladelane.purges.subscriber import Subscriber
-from gladelane.purges.wire import encode_purge
+from gladelane.purges.wire import Event, encode_purge
+from gladelane.storage.files import Folder
+from gladelane.storage.log import recover
 
 TOKEN = "a-token-of-the-operators"
 ROOT = Path(__file__).parents[2]
+WAIT_S = 30.0  # many times what it takes
+NEVER_S = 3600.0
+AT_ONCE_S = 1.0
+
+
+def unix_ms() -> float:
+    return time.time() * 1000.0
 
 
 def tokens(folder: Path) -> Tokens:
@@ -61,8 +70,11 @@
 
 
 @asynccontextmanager
-async def feed(tmp: Path, name: str = "a", disk: Any = None, **more: Any) -> AsyncIterator[ServedLog]:
-    one = ServedLog(name, SimDisk() if disk is None else disk, tokens(tmp), **{"first": True, **more})
+async def running_server(
+    tmp: Path, name: str = "a", disk: Any = None, **more: Any
+) -> AsyncIterator[ServedLog]:
+    settings = {"is_first_start": True, "clock": unix_ms, **more}
+    one = ServedLog(name, SimDisk() if disk is None else disk, tokens(tmp), **settings)
     await one.serve()
     try:
         yield one
@@ -72,24 +84,32 @@
 
 async def send(port: int, scope: str, key: str = "", token: str = TOKEN, **tags: str) -> dict[str, Any]:
     body = json.dumps({"scope": scope, "tags": tags}).encode()
-    told: dict[str, Any] = json.loads(
+    response: dict[str, Any] = json.loads(
         await fetch("127.0.0.1", port, "POST", "/purges", token, body, {"Idempotency-Key": key})
     )
-    return told
+    return response
 
 
-class Watcher:
-    """A follower with a standing set of its own, as a director has one."""
+class RecordingSubscriber:
+    """Subscribes to servers and applies what they send, as a director does."""
 
     def __init__(self, *ports: int) -> None:
         self.active = ActivePurges()
-        self.subscribers = [Subscriber("127.0.0.1", port, lambda: TOKEN, self.active.positions.vector, self.take,
-                                   self.active.positions.adopt, lambda: time.time() * 1000.0) for port in ports]  # fmt: skip
+        self.subscribers = [Subscriber("127.0.0.1", port, lambda: TOKEN, self, unix_ms) for port in ports]
         self.tasks = [asyncio.ensure_future(one.run()) for one in self.subscribers]
 
-    def take(self, purges: list[Purge]) -> None:
+    def known_vector(self) -> Vector:
+        return self.active.positions.vector()
+
+    def on_purges(self, purges: list[Purge], source: Subscriber) -> None:
         for purge in purges:
-            self.active.take(purge, time.time() * 1000.0)
+            self.active.apply(purge, unix_ms())
+
+    def on_losses(self, event: Event, source: Subscriber) -> None:
+        pass
+
+    def on_position(self, vector: Vector, source: Subscriber) -> None:
+        self.active.positions.advance_to(vector)
 
     async def close(self) -> None:
         for task in self.tasks:
@@ -101,22 +121,43 @@
     asyncio.run(scene)
 
 
-def test_a_purge_is_told_at_once_repeats_cost_nothing_and_keys_are_for_one_scope(tmp_path: Path) -> None:
+def test_a_purge_is_sent_at_once(tmp_path: Path) -> None:
+    """It wakes the stream: without that, it would wait for the next heartbeat, of which there are none here. One of
+    several is on time also on a machine that is busy; a delay would strike each of them."""
+
+    async def scene() -> None:
+        with pytest.MonkeyPatch.context() as patch:
+            patch.setattr(purge_stream, "HEARTBEAT_S", NEVER_S)
+            patch.setattr(subscriber, "HEARTBEAT_TIMEOUT_S", NEVER_S)
+            async with running_server(tmp_path) as one:
+                watcher = RecordingSubscriber(one.port)
+                await until(lambda: watcher.subscribers[0].caught_up.is_set(), WAIT_S)
+                delays_s: list[float] = []
+                for group in range(1, 6):
+                    await send(one.port, f"group:{group}")
+                    began = time.monotonic()
+                    await until(lambda group=group: len(watcher.active) == group, WAIT_S)  # type: ignore[misc]
+                    delays_s.append(time.monotonic() - began)
+                await watcher.close()
+        assert min(delays_s) < AT_ONCE_S, delays_s
+
+    run(scene())
+
+
+def test_repeats_with_a_purges_key_return_the_first_response(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with feed(tmp_path) as one:
-            watcher = Watcher(one.port)
-            await until(lambda: watcher.subscribers[0].caught_up.is_set())
+        async with running_server(tmp_path) as one:
+            watcher = RecordingSubscriber(one.port)
+            await until(lambda: watcher.subscribers[0].caught_up.is_set(), WAIT_S)
             first = await send(one.port, "tag:signs & class:page", "k1", signs="objects:7f* | group:3")
             assert (first["seq"], first["again"]) == (1, False)
             assert set(first["scope"].split(" | ")) == {"class:page & group:3", "class:page & objects:7f*"}
-            began = time.monotonic()
-            await until(lambda: len(watcher.active) == 1)
-            assert time.monotonic() - began < 1.0
-            again = await send(one.port, "class:page & objects:7f* | class:page & group:3", "k1")
-            assert again["again"] and again["seq"] == 1 and len(one.active) == 1
+            await until(lambda: len(watcher.active) == 1, WAIT_S)
+            repeated = await send(one.port, "class:page & objects:7f* | class:page & group:3", "k1")
+            assert repeated["again"] and repeated["seq"] == 1 and len(one.active) == 1
             both = await asyncio.gather(*(send(one.port, "group:9", "k2") for _ in range(8)))
             assert {b["seq"] for b in both} == {2} and sum(not b["again"] for b in both) == 1
-            with pytest.raises(Refused, match="another scope") as refused:
+            with pytest.raises(HttpStatusError, match="another scope") as refused:
                 await send(one.port, "group:4", "k1")
             assert refused.value.status == 409
             status = json.loads(await fetch("127.0.0.1", one.port, "GET", "/status", TOKEN))
@@ -147,14 +188,14 @@
 ]  # fmt: skip
 
 
-def test_what_means_harm_is_refused_each_with_its_status_and_the_feed_goes_on(tmp_path: Path) -> None:
+def test_malicious_requests_are_rejected_with_their_status_and_the_server_goes_on(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with feed(tmp_path) as one:
+        async with running_server(tmp_path) as one:
             for method, target, body, token, status in HARM:
                 try:
                     await fetch("127.0.0.1", one.port, method, target, token or TOKEN, body)
                     got = 200
-                except Refused as error:
+                except HttpStatusError as error:
                     got = error.status
                     assert "\n" not in str(error)
                 assert got == status, (method, target, body[:60], got)
@@ -175,82 +216,82 @@
 
 def test_tokens_rotate_without_a_restart_and_a_bad_file_leaves_the_old_ones(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with feed(tmp_path) as one:
+        async with running_server(tmp_path) as one:
             for content, good, bad in ((f"new {'n' * 20}\nops {TOKEN}\n", ["n" * 20, TOKEN], []), (f"new {'n' * 20}\n", ["n" * 20], [TOKEN]),
                                        ("broken\n", ["n" * 20], ["broken"])):  # fmt: skip
                 (tmp_path / "tokens").write_text(content)
                 for token in good:
                     assert await fetch("127.0.0.1", one.port, "GET", "/status", token)
                 for token in bad:
-                    with pytest.raises(Refused, match="known token"):
+                    with pytest.raises(HttpStatusError, match="known token"):
                         await fetch("127.0.0.1", one.port, "GET", "/status", token)
-            assert "line 1: expected" in one.tokens.problem
+            assert "line 1: expected" in one.tokens.reload_error
 
     run(scene())
-    with pytest.raises(BadTokens, match="line 1"):
+    with pytest.raises(TokenFileError, match="line 1"):
         tokens(tmp_path)
 
 
-def test_a_feed_killed_before_its_followers_heard_tells_them_when_it_is_back(tmp_path: Path) -> None:
+def test_a_server_killed_before_its_subscribers_heard_sends_to_them_after_its_restart(tmp_path: Path) -> None:
     async def scene() -> None:
         disk = SimDisk()
-        async with feed(tmp_path, disk=disk) as one:
-            watcher = Watcher(one.port)
-            await until(lambda: watcher.subscribers[0].caught_up.is_set())
+        async with running_server(tmp_path, disk=disk) as one:
+            watcher = RecordingSubscriber(one.port)
+            await until(lambda: watcher.subscribers[0].caught_up.is_set(), WAIT_S)
             await send(one.port, "group:1")
-            await until(lambda: len(watcher.active) == 1)
+            await until(lambda: len(watcher.active) == 1, WAIT_S)
             await watcher.close()
             await send(one.port, "group:2", "key")
-            epoch, vector = one._stamps.epoch, watcher.active.positions.vector()
-        async with feed(tmp_path, disk=disk) as back:
-            assert back._stamps.epoch > epoch and len(back.active) == 2
+            epoch, vector = one.epoch, watcher.active.positions.vector()
+        async with running_server(tmp_path, disk=disk) as back:
+            assert back.epoch > epoch and len(back.active) == 2
             assert (await send(back.port, "group:2", "key"))["again"]  # keys outlive a restart
             await send(back.port, "group:3")
-            late = Watcher(back.port)
-            late.active.positions.adopt(vector)
-            await until(lambda: late.subscribers[0].caught_up.is_set())
-            assert sorted(p.scope for p in late.active.beyond({})) == ["group:2", "group:3"]
+            late = RecordingSubscriber(back.port)
+            late.active.positions.advance_to(vector)
+            await until(lambda: late.subscribers[0].caught_up.is_set(), WAIT_S)
+            assert sorted(p.scope for p in late.active.purges_after({})) == ["group:2", "group:3"]
             await late.close()
 
     run(scene())
 
 
-def test_two_feeds_repair_each_other_also_one_restored_from_an_older_disk(tmp_path: Path) -> None:
+def test_two_servers_backfill_each_other_also_one_restored_from_an_older_disk(tmp_path: Path) -> None:
     async def scene() -> None:
         old, disk_b = SimDisk(), SimDisk()
-        async with feed(tmp_path, "a", old) as a:
+        async with running_server(tmp_path, "a", old) as a:
             await send(a.port, "group:1")
         restored = SimDisk()  # what a backup held then
         restored._now, restored._stored = dict(old._now), dict(old._stored)
-        async with feed(tmp_path, "b", disk_b) as b:
-            async with feed(tmp_path, "a", old) as a:
+        async with running_server(tmp_path, "b", disk_b) as b:
+            async with running_server(tmp_path, "a", old) as a:
                 b.follow("127.0.0.1", a.port)
                 a.follow("127.0.0.1", b.port)
                 await asyncio.gather(send(a.port, "group:2"), send(b.port, "group:3"))
-                await until(lambda: len(a.active) == len(b.active) == 3)
+                await until(lambda: len(a.active) == len(b.active) == 3, WAIT_S)
             await send(b.port, "group:4")  # while a is down
-            async with feed(tmp_path, "a", restored) as back:
-                assert sorted(p.scope for p in back.active.beyond({})) == ["group:1"]
+            async with running_server(tmp_path, "a", restored) as back:
+                assert sorted(p.scope for p in back.active.purges_after({})) == ["group:1"]
                 back.follow("127.0.0.1", b.port)
                 await send(back.port, "group:5")
                 b.follow("127.0.0.1", back.port)
-                await until(lambda: len(back.active) == len(b.active) == 5)
+                await until(lambda: len(back.active) == len(b.active) == 5, WAIT_S)
                 assert back.active.positions.vector() == b.active.positions.vector()
                 assert not back.active.positions.gaps() and not b.active.positions.gaps()
-                watcher = Watcher(b.port, back.port)  # two feeds, each purge once
-                await until(lambda: all(one.caught_up.is_set() for one in watcher.subscribers))
+                watcher = RecordingSubscriber(b.port, back.port)  # two feeds, each purge once
+                await until(lambda: all(one.caught_up.is_set() for one in watcher.subscribers), WAIT_S)
                 assert len(watcher.active) == 5
                 await watcher.close()
 
     run(scene())
 
 
-def test_a_backlog_of_many_reaches_a_late_follower_and_one_slower_than_the_feed_loses_none(
+def test_a_long_backlog_reaches_a_late_subscriber_and_a_slow_one_loses_nothing(
     tmp_path: Path,
 ) -> None:
     async def scene() -> None:
         disk = SimDisk()
-        stamps = Stamps("a", (), 0.0, time.time() * 1000.0)
+        stamps = IssuerSequence("a", (), 0.0, time.time() * 1000.0)
         log = recover(disk)[0]
         for n in range(50_000):
             log.append(encode_purge(stamps.next(f"object:{n:016x}", time.time() * 1000.0)))
@@ -258,17 +299,17 @@
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(purge_stream, "MAX_RECENT", 20)
             patch.setattr(event_stream, "MAX_UNSENT_BYTES", 1000)
-            async with feed(tmp_path, disk=disk) as one:
+            async with running_server(tmp_path, disk=disk) as one:
                 reader, writer = await asyncio.open_connection("127.0.0.1", one.port, limit=2**12)
                 writer.write(
                     f"GET /follow?from= HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {TOKEN}\r\n\r\n".encode()
                 )
-                await until(lambda: one.stream.subscribers == 1)  # and reads nothing more for now
-                watcher = Watcher(one.port)
+                await until(lambda: one.stream.subscribers == 1, WAIT_S)  # and reads nothing more for now
+                watcher = RecordingSubscriber(one.port)
                 await until(lambda: len(watcher.active) == 50_000, 60.0)
                 for n in range(120):
                     await send(one.port, f"group:{n}")
-                await until(lambda: len(watcher.active) == 50_120)
+                await until(lambda: len(watcher.active) == 50_120, WAIT_S)
                 seen: set[tuple[str, int, int]] = set()
                 while len(seen) < 50_120:
                     line = await asyncio.wait_for(read_event(reader), 10.0)
@@ -282,39 +323,39 @@
 
 async def read_event(reader: asyncio.StreamReader) -> bytes:
     """One event's line, however long."""
-    held = b""
-    while not held.endswith(b"\n\n"):
-        held += await reader.read(1)
-    return held
+    received = b""
+    while not received.endswith(b"\n\n"):
+        received += await reader.read(1)
+    return received
 
 
-def test_a_full_disk_is_told_to_the_sender_and_nothing_that_was_refused_comes_back(tmp_path: Path) -> None:
+def test_a_full_disk_is_reported_to_the_sender_and_no_rejected_purge_comes_back(tmp_path: Path) -> None:
     async def scene() -> None:
-        disk = SimDisk(room=400)
-        async with feed(tmp_path, disk=disk) as one:
+        disk = SimDisk(capacity_bytes=400)
+        async with running_server(tmp_path, disk=disk) as one:
             stored = 0
-            with pytest.raises(Refused, match="not stored") as refused:
+            with pytest.raises(HttpStatusError, match="not stored") as refused:
                 while True:
                     await send(one.port, "group:1")
                     stored += 1
             assert refused.value.status == 507 and stored >= 2
-            disk.room = 10_000
+            disk.capacity_bytes = 10_000
             assert (await send(one.port, "group:2"))["seq"] == stored + 1
-        async with feed(tmp_path, disk=disk) as back:
+        async with running_server(tmp_path, disk=disk) as back:
             assert len(back.active) == stored + 1
 
     run(scene())
 
 
-def test_a_feed_killed_at_any_moment_keeps_all_that_it_answered(tmp_path: Path) -> None:
+def test_a_server_killed_at_any_moment_keeps_all_acknowledged_purges(tmp_path: Path) -> None:
     """SIGKILL of a real process, some 40 ms into a crowd of senders, several times over one folder."""
 
     async def scene() -> None:
-        code = ("import asyncio, sys\nfrom pathlib import Path\nfrom gladelane.durable.files import Folder\n"
-                "from gladelane.control.server import ControlServer\nfrom gladelane.control.tokens import Tokens\n"
+        code = ("import asyncio, sys, time\nfrom pathlib import Path\nfrom gladelane.storage.files import Folder\n"
+                "from gladelane.control_plane.server import ControlServer\nfrom gladelane.control_plane.tokens import Tokens\n"
                 "from gladelane.purges.control_part import PurgePart\nfrom gladelane.purges.purge_log import PurgeLog\n"
                 "async def main():\n known = Tokens(sys.argv[2])\n"
-                " purges = PurgeLog('a', Folder(sys.argv[1]), known, first=True)\n"
+                " purges = PurgeLog('a', Folder(sys.argv[1]), known, clock=lambda: time.time() * 1000.0, is_first_start=True)\n"
                 " server = ControlServer(known, [PurgePart(purges)])\n"
                 " print(await server.start('127.0.0.1', 0), flush=True)\n await asyncio.Event().wait()\nasyncio.run(main())")  # fmt: skip
         tokens(tmp_path)
@@ -326,32 +367,32 @@
             port = int(await asyncio.to_thread(process.stdout.readline))
 
             async def sender(n: int, port: int = port, turn: int = turn) -> None:
-                with contextlib.suppress(OSError, Refused, TimeoutError):
+                with contextlib.suppress(OSError, HttpStatusError, TimeoutError):
                     for k in range(1000):
                         key = f"{turn}-{n}-{k}"
                         answered[key] = (await send(port, f"group:{n}", key))["seq"]
 
             senders = [asyncio.ensure_future(sender(n)) for n in range(8)]
-            await until(lambda turn=turn: sum(key.startswith(f"{turn}-") for key in answered) > 5)  # type: ignore[misc]
+            await until(lambda turn=turn: sum(key.startswith(f"{turn}-") for key in answered) > 5, WAIT_S)  # type: ignore[misc]
             await asyncio.sleep(0.01 * turn)
             process.send_signal(signal.SIGKILL)
             await asyncio.gather(*senders)
             process.wait()
             process.stdout.close()
         folder = Folder(tmp_path / "log")
-        back = PurgeLog("a", folder, tokens(tmp_path))
-        kept = {p.key: p.seq for p in back.active.beyond({})}
-        assert len(answered) > 25 and {key: kept.get(key) for key in answered} == answered
+        back = PurgeLog("a", folder, tokens(tmp_path), clock=unix_ms)
+        recovered = {p.key: p.seq for p in back.active.purges_after({})}
+        assert len(answered) > 25 and {key: recovered.get(key) for key in answered} == answered
         folder.close()
 
     run(scene())
     assert os.listdir(tmp_path / "log")
 
 
-def test_what_a_peer_tells_wrong_is_neither_stored_nor_bound(tmp_path: Path) -> None:
+def test_an_invalid_purge_of_a_peer_is_neither_stored_nor_applied(tmp_path: Path) -> None:
     async def scene() -> None:
         disk = SimDisk()
-        async with feed(tmp_path, disk=disk) as one:
+        async with running_server(tmp_path, disk=disk) as one:
             one.receive(
                 [
                     Purge("x", 1, 1, 1e12, "rubbish"),
@@ -359,7 +400,7 @@
                     Purge("x", 1, 2, 1e12, "group:1"),
                 ]
             )
-            await until(lambda: one.active.positions.taken("x", 1, 2))
+            await until(lambda: one.active.positions.contains("x", 1, 2), WAIT_S)
         records = recover(disk)[1].records
         assert [msgspec.msgpack.decode(r, type=Purge).seq for r in records if not r.startswith(OWN)] == [2]
 
--- a/tests/purges/test_scope_index.py
+++ b/tests/purges/test_scope_index.py
@@ -10,10 +10,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gladelane.purges.bounds import Bound, in_force, join, newest
-from gladelane.purges.index import MAX_MASKS, Index, UnsupportedPattern, dyadic
-from gladelane.purges.scope import MAX_BOXES, BadScope, Box, meet, parse
-from gladelane.structures.stepmap import StepMap
+from gladelane.purges.bounds import Bound, Limit, join, newest, still_binding
+from gladelane.purges.index import MAX_MASKS, Index, UnsupportedPatternError, dyadic
+from gladelane.purges.scope import MAX_BOXES, Box, InvalidScopeError, intersect, parse
+from gladelane.structures.step_map import StepMap
 
 CATALOG = {
     "signs": "object:00000000000000aa | objects:7f3a* & class:page", "all-signs": "tag:signs | group:3",
@@ -49,7 +49,7 @@
     (" | ".join(f"object:{n:016x}" for n in range(MAX_BOXES + 1)), "parts once its tags are put in"),
 ])  # fmt: skip
 def test_what_is_no_scope_says_why_in_one_line(text: str, says: str) -> None:
-    with pytest.raises(BadScope, match=says) as caught:
+    with pytest.raises(InvalidScopeError, match=says) as caught:
         parse(text, CATALOG)
     assert "\n" not in str(caught.value) and len(str(caught.value)) < 400
 
@@ -58,7 +58,7 @@
 def test_any_text_is_a_scope_or_a_clear_error(text: str) -> None:
     try:
         scope = parse(text, CATALOG)
-    except BadScope as error:
+    except InvalidScopeError as error:
         assert "expected" in str(error)
     else:
         assert parse(scope.text()) == scope
@@ -73,7 +73,7 @@
 def boxes(draw: Any) -> Box:
     made: Box | None = Box()
     for term in draw(st.lists(st.sampled_from(TERMS), min_size=1, max_size=4, unique=True)):
-        made = meet(made, parse(term).boxes[0]) if made else None
+        made = intersect(made, parse(term).boxes[0]) if made else None
     return made or Box(group=1)
 
 
@@ -82,7 +82,7 @@
 
 @given(boxes(), boxes())
 def test_a_meeting_covers_what_both_cover(one: Box, other: Box) -> None:
-    met = meet(one, other)
+    met = intersect(one, other)
     for request in REQUESTS:
         assert bool(met and met.covers(*request)) == (one.covers(*request) and other.covers(*request))
 
@@ -93,7 +93,7 @@
 def made(pairs: list[tuple[float, float]]) -> Bound:
     bound: Bound = ()
     for pair in pairs:
-        bound = join(bound, (pair,))
+        bound = join(bound, (Limit(*pair),))
     return bound
 
 
@@ -103,7 +103,7 @@
     assert join(x, y) == join(y, x) and join(x, join(y, z)) == join(join(x, y), z) and join(x, x) == x
     for now in (4.0, 5.0, 6.0, 7.0):
         scan = max((at for at, until in (*a, *b) if until > now), default=0.0)
-        assert newest(join(x, y), now) == scan == newest(in_force(join(x, y), now), now)
+        assert newest(join(x, y), now) == scan == newest(still_binding(join(x, y), now), now)
 
 
 @given(st.lists(st.tuples(st.integers(0, 40), st.integers(0, 12), st.integers(0, 9)), max_size=30))
@@ -115,7 +115,7 @@
             plain[n] = max(plain[n], value)
     assert [steps.at(n) for n in range(60)] == plain
     assert len(steps) == 1 + sum(a != b for a, b in itertools.pairwise(plain))
-    steps.keep(lambda value: value // 5)
+    steps.update_values(lambda value: value // 5)
     assert [steps.at(n) for n in range(60)] == [v // 5 for v in plain]
 
 
@@ -171,7 +171,7 @@
     for n in range(MAX_MASKS):
         places = f"{n:08b}".replace("0", "?").replace("1", "a")
         index.add(parse(f"objects:{places}{'?' * 7}1"), 1.0)
-    with pytest.raises(UnsupportedPattern, match="expected a prefix or a range"):
+    with pytest.raises(UnsupportedPatternError, match="expected a prefix or a range"):
         index.add(parse("objects:*2? | group:7"), 2.0)
     assert index.newest("film", 7, 5, 0, 0.0) == 0.0
     index.add(parse(f"objects:{'?' * 8}{'?' * 7}2"), 2.0)  # a form that stands already
--- a/tests/test_failure.py
+++ b/tests/test_failure.py
@@ -6,8 +6,9 @@
 
 from conftest import Driver, members, only, some
 
-from gladelane.choice import LINGERING, SENT_TABLE, TABLE
-from gladelane.interface import (
+from gladelane.routing.cache_admission import MAX_OBJECTS, MAX_SENT_OBJECTS
+from gladelane.routing.concurrency_limit import LIMIT_LEAST
+from gladelane.routing.events import (
     Fetch,
     ListKind,
     Lookup,
@@ -20,7 +21,7 @@
     Status,
     Timer,
 )
-from gladelane.routes.concurrency import LIMIT_LEAST
+from gladelane.routing.request_state import MAX_LINGERING
 
 
 def late(d: Driver, fetch: Fetch, note: Note = Note.HIT, wait: float = 0.0) -> None:
@@ -63,7 +64,7 @@
     held_only = [f for f in asked if f.source == f.store]
     assert held_only and len(asked) == 12
     # a miss is given one more try for room, then its answer at once
-    assert only(d.answer(held_only[0], Status.MISS, Note.UNTOLD, after=1.0), Refuse)
+    assert only(d.answer(held_only[0], Status.MISS, Note.NOT_REPORTED, after=1.0), Refuse)
 
 
 def test_timely_answers_open_the_limit_again() -> None:
@@ -106,7 +107,7 @@
     for notes, cut in (("hit", False), ("all", True)):
         d = Driver(members(caches=1, parents=1), notes=notes, second_copies=False)
         for fetch in open_fetches(d, 6):
-            d.answer(fetch, Status.FULL, Note.UNTOLD, after=5.0)
+            d.answer(fetch, Status.FULL, Note.NOT_REPORTED, after=5.0)
         assert (d.router.caches[0].concurrency.limit < 64) is cut
         assert (d.router.parents[0].concurrency.limit < 64) is not cut
 
@@ -151,7 +152,7 @@
         d = Driver(members(parents=1), notes=notes, second_copies=False)
         for n in range(2):
             fetch = only(d.ask(object=n), Fetch)
-            d.answer(fetch, Status.TIMEOUT, Note.UNTOLD, after=100.0)
+            d.answer(fetch, Status.TIMEOUT, Note.NOT_REPORTED, after=100.0)
         assert any(p.down_until > 0 for p in d.router.parents) is rests
 
 
@@ -165,7 +166,7 @@
 def test_a_cache_that_cannot_be_reached_rests_then_gets_one_trial() -> None:
     d = Driver(members(caches=2))
     home = only(d.ask(object=5), Fetch)
-    other = only(d.answer(home, Status.CONNECT_FAILED, Note.UNTOLD), Fetch)
+    other = only(d.answer(home, Status.CONNECT_FAILED, Note.NOT_REPORTED), Fetch)
     assert other.store != home.store
     assert {d.serve(object=n).store for n in range(6)} == {other.store}
     d.now += 500.0
@@ -180,7 +181,7 @@
         fetch = only(d.ask(object=5), Fetch)
         d.now += 5000.0
         d.tell(Timer(f"d:{fetch.id}"))
-        d.answer(fetch, Status.TIMEOUT, Note.UNTOLD, after=0.0)
+        d.answer(fetch, Status.TIMEOUT, Note.NOT_REPORTED, after=0.0)
         assert d.ids < 10
     assert all(c.concurrency.out == 0 for c in d.router.caches)
 
@@ -207,7 +208,7 @@
 
 def test_a_keyed_request_is_tried_again_after_a_refusing_origin_and_never_twice_at_once() -> None:
     d = Driver(straight=True, second_copies=False)
-    actions = d.answer(only(d.ask(cls="sale"), Lookup), Status.FULL, Note.UNTOLD)
+    actions = d.answer(only(d.ask(cls="sale"), Lookup), Status.FULL, Note.NOT_REPORTED)
     timer = only(actions, SetTimer)
     assert not some(actions, (Lookup, Refuse))
     d.now = timer.due_ms
@@ -216,7 +217,7 @@
 
 def test_tables_stay_bounded_over_a_long_run() -> None:
     d = Driver()
-    for n in range(3 * TABLE):
+    for n in range(3 * MAX_OBJECTS):
         d.now += 1.0
         d.ask(object=n, part=n % 9)
         d.tell(Purge(n, n % 7, 10.0))
@@ -224,8 +225,8 @@
             d.tell(Timer("sweep"))
         d.tell(Timer(f"d:{d.ids}"))
     r = d.router
-    assert len(r.objects) <= TABLE and len(r.lingering) <= LINGERING and not r.pending
-    assert all(len(c.sent) <= SENT_TABLE for c in r.caches)
+    assert len(r.objects) <= MAX_OBJECTS and len(r.lingering) <= MAX_LINGERING and not r.pending
+    assert all(len(c.sent) <= MAX_SENT_OBJECTS for c in r.caches)
     assert len(r.purges) <= d.settings.purge_done_ms + 1000 + 7
 
 
@@ -263,11 +264,11 @@
     # kscfb-media-later: a quarter of answers was reset, and one reset rested caches that mostly worked
     d = Driver(members(caches=2))
     fetch = only(d.ask(object=5), Fetch)
-    again = only(d.answer(fetch, Status.RESET, Note.UNTOLD), Fetch)
+    again = only(d.answer(fetch, Status.RESET, Note.NOT_REPORTED), Fetch)
     assert again.store == fetch.store
-    again = only(d.answer(again, Status.RESET, Note.UNTOLD), Fetch)
+    again = only(d.answer(again, Status.RESET, Note.NOT_REPORTED), Fetch)
     assert again.store == fetch.store
-    assert only(d.answer(again, Status.RESET, Note.UNTOLD), Fetch).store != fetch.store
+    assert only(d.answer(again, Status.RESET, Note.NOT_REPORTED), Fetch).store != fetch.store
 
 
 def test_what_later_timely_answers_overtook_was_lost_and_cuts_no_limit() -> None:
@@ -281,19 +282,19 @@
         d.now += 5000.0
         before = d.router.caches[0].fills.limit
         for fetch in lost:
-            d.answer(fetch, Status.TIMEOUT, Note.UNTOLD, after=0.0)
+            d.answer(fetch, Status.TIMEOUT, Note.NOT_REPORTED, after=0.0)
         assert (d.router.caches[0].fills.limit == before) is overtaken
 
 
 def test_a_full_inlet_shared_by_many_proxies_is_left_less_than_one_fill_a_proxy() -> None:
     # i393817: 27 proxies with two fills each were six times what the link in of six caches carries
     d = Driver(members(caches=4), second_copies=False, seats_by_zone=[0, 40], proxies=40)
-    d.router.inlet.limit = d.router.inlet.least
+    d.router.ingress_limit.limit = d.router.ingress_limit.least
     first = []
     for n in range(200):
         fetch = only(d.ask(object=n), Fetch)
         first.append(fetch.source != fetch.store)
-        d.router.inlet.out = 0
+        d.router.ingress_limit.out = 0
     assert 5 < sum(first) < 40
 
 
@@ -334,13 +335,13 @@
     d = Driver(members(caches=1), notes="hit", second_copies=False)
     fetch = d.serve()
     asked = open_fetches(d, 8)
-    again = [only(d.answer(f, Status.RESET, Note.UNTOLD, after=0.0), Fetch) for f in asked]
+    again = [only(d.answer(f, Status.RESET, Note.NOT_REPORTED, after=0.0), Fetch) for f in asked]
     assert [(f.store, f.source) for f in again] == [
         (f.store, f.source) for f in asked
     ]  # the source did nothing
     d.now += 1000.0  # the same from one that has not answered for long
     for f in again:
-        d.answer(f, Status.RESET, Note.UNTOLD, after=0.0)
+        d.answer(f, Status.RESET, Note.NOT_REPORTED, after=0.0)
     assert d.router.stores[fetch.store].down_until > d.now
 
 
@@ -351,20 +352,22 @@
         d.serve(object=n)
     for n in range(6):
         first = only(d.ask(object=900 + n), Fetch)
-        second = only(d.answer(first, Status.ERROR, Note.UNTOLD, after=3.0), Fetch)
-        only(d.answer(second, Status.ERROR, Note.UNTOLD, after=3.0), Refuse)
+        second = only(d.answer(first, Status.ERROR, Note.NOT_REPORTED, after=3.0), Fetch)
+        only(d.answer(second, Status.ERROR, Note.NOT_REPORTED, after=3.0), Refuse)
     assert not any(store.resting(d.now) for store in d.router.stores.values())
-    slow = only(d.answer(only(d.ask(object=990), Fetch), Status.ERROR, Note.UNTOLD, after=100.0), Fetch)
-    only(d.answer(slow, Status.ERROR, Note.UNTOLD, after=100.0), Fetch)  # a failed fill is no such error
+    slow = only(d.answer(only(d.ask(object=990), Fetch), Status.ERROR, Note.NOT_REPORTED, after=100.0), Fetch)
+    only(
+        d.answer(slow, Status.ERROR, Note.NOT_REPORTED, after=100.0), Fetch
+    )  # a failed fill is no such error
 
 
 def test_a_size_that_cannot_be_sent_in_time_does_not_spoil_what_is_known_of_a_class() -> None:
     d = Driver(second_copies=False)
     for n in range(20):
         d.serve(object=n)
-    before = d.router.work_of["film"]
+    before = d.router.work.mean_ms["film"]
     d.ask(object=99, size_kb=9e8)
-    assert d.router.work_of["film"] <= before + 0.03 * 5000.0
+    assert d.router.work.mean_ms["film"] <= before + 0.03 * 5000.0
 
 
 def test_a_parent_whose_fills_mostly_end_in_an_error_at_once_rests_and_is_tried_again() -> None:
@@ -377,7 +380,7 @@
         while fetch is not None:
             if fetch.source == bad and n % 5:
                 errors += n >= 60
-                actions = d.answer(fetch, Status.ERROR, Note.UNTOLD, after=9.0)
+                actions = d.answer(fetch, Status.ERROR, Note.NOT_REPORTED, after=9.0)
                 refused += bool(some(actions, Refuse))
                 fetch = next(iter(some(actions, Fetch)), None)
             else:
@@ -388,4 +391,4 @@
     for n in range(400):  # it is mended, and found so
         d.now += 100.0
         d.answer(only(d.ask(object=5000 + n), Fetch), Status.OK, Note.PARENT_HELD, after=9.0)
-    assert not d.router.stores[bad].resting(d.now) and d.router.stores[bad].flaw < 0.6
+    assert not d.router.stores[bad].resting(d.now) and d.router.stores[bad].error_rate < 0.6
--- a/tests/test_interface.py
+++ b/tests/test_interface.py
@@ -1,11 +1,13 @@
-"""Settings that are wrong name their key; unknown names are errors; the module's size stays in bounds."""
+"""Settings that are wrong name their key; unknown names are errors; modules that decide stay short enough to read."""
 
+import ast
+import tomllib
 from pathlib import Path
 
 import pytest
 from conftest import PLAIN, settings
 
-from gladelane.interface import Settings
+from gladelane.routing.events import Settings
 
 ROOT = Path(__file__).parent.parent
 
@@ -42,13 +44,61 @@
         known.known_zone("moon")
 
 
-def test_the_module_stays_small_enough_to_port() -> None:
-    lines = (ROOT / "gladelane" / "choice.py").read_text().splitlines()
-    assert sum(1 for line in lines if line.strip()) <= 740  # the operators run no longer module
-    for path in (ROOT / "gladelane").glob("*.py"):
-        assert all(len(line) <= 110 for line in path.read_text().splitlines()), path
+ROUTING = sorted((ROOT / "gladelane" / "routing").glob("*.py"))
+MAX_MODULE_LINES, MAX_CLASS_LINES, MAX_FUNCTION_LINES, MAX_LINE_LENGTH = 300, 250, 40, 110
+
+
+def too_long(source: str, name: str) -> list[str]:
+    """The module, and its classes and functions, that have more lines than a reader takes in at once."""
+    found = [name] if len(source.splitlines()) > MAX_MODULE_LINES else []
+    for node in ast.walk(ast.parse(source)):
+        if isinstance(node, ast.ClassDef):
+            limit = MAX_CLASS_LINES
+        elif isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
+            limit = MAX_FUNCTION_LINES
+        else:
+            continue
+        assert node.end_lineno is not None
+        if node.end_lineno - node.lineno + 1 > limit:
+            found.append(f"{name}:{node.name}")
+    return found
+
+
+@pytest.mark.parametrize("path", ROUTING, ids=lambda path: path.name)
+def test_modules_that_decide_stay_readable(path: Path) -> None:
+    assert too_long(path.read_text(), path.name) == []
+
+
+@pytest.mark.parametrize(
+    ("source", "found"),
+    [
+        ("x = 1\n" * 300, []),
+        ("x = 1\n" * 301, ["m"]),
+        ("class A:\n" + "    x = 1\n" * 249, []),
+        ("class A:\n" + "    x = 1\n" * 250, ["m:A"]),
+        ("class A:\n    async def f(self):\n" + "        x = 1\n" * 40, ["m:f"]),
+        ("def f():\n" + "    x = 1\n" * 39, []),
+        ("def f():\n" + "    x = 1\n" * 40, ["m:f"]),
+    ],
+)
+def test_what_is_too_long_to_read_is_found(source: str, found: list[str]) -> None:
+    assert too_long(source, "m") == found
+
+
+def test_lines_stay_within_the_limit() -> None:
+    for path in [*(ROOT / "gladelane").glob("*.py"), *ROUTING]:
+        assert all(len(line) <= MAX_LINE_LENGTH for line in path.read_text().splitlines()), path
 
 
 def test_the_interface_is_named_first_in_the_module() -> None:
-    text = (ROOT / "gladelane" / "choice.py").read_text()
-    assert "gladelane/interface.py" in text.split("Map, top to bottom")[0]
+    docstring = ast.get_docstring(ast.parse((ROOT / "gladelane" / "routing" / "router.py").read_text()))
+    assert docstring is not None and "gladelane/routing/events.py" in docstring.split("The parts")[0]
+
+
+def test_the_deploy_file_names_every_module_that_decides() -> None:
+    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    modules = {
+        path.relative_to(ROOT).as_posix() for path in ROUTING if path.stem not in ("__init__", "events")
+    }
+    assert set(deploy["policy"]) == modules and len(deploy["policy"]) == len(modules)
+    assert "gladelane/routing/events.py" in deploy["node"]
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -20,19 +20,21 @@
 
 #: From the bottom up. A package may import those of lower lines only, never its neighbours.
 LAYERS: tuple[tuple[str, ...], ...] = (
-    ("settings_checks",),
+    ("settings_checks", "clock"),
     ("deployment",),
-    ("structures", "sse", "logs", "interface", "process", "sockets"),
-    ("durable", "endpoints", "routes", "operations", "settings_wire"),
-    ("control",),  # the control server, which knows none of its parts
+    ("structures", "sse", "logs", "process", "sockets"),
+    ("storage", "endpoints", "settings_wire"),
+    ("control_plane",),  # the control server, which knows none of its parts
     ("purges",),
-    ("choice", "ownership"),
+    ("routing", "leases", "discovery", "timer_wheel"),
+    ("admin",),
     ("gladelane", "net"),  # `gladelane`: what the package itself gives out
-    ("upgrade",),
+    ("hot_restart",),
     ("recovery",),
-    ("fleet",),
+    ("audit",),
     ("settings",),
-    ("files", "wiring"),
+    ("files", "operator_parts", "shutdown"),
+    ("server",),
     ("__main__", "simhost"),
     ("lab",),
     ("cli",),
@@ -171,37 +173,45 @@
 
 #: The parts of the control server, and the packages of the others.
 PARTS = {
-    "purges.control_part": {"fleet", "ownership"},
-    "fleet.collector": {"purges", "ownership"},
-    "ownership.lease_part": {"purges", "fleet"},
+    "purges.control_part": {"audit", "leases"},
+    "audit.server": {"purges", "leases"},
+    "leases.server": {"purges", "audit"},
 }
 
 
 @pytest.mark.parametrize("part", PARTS)
 def test_no_part_of_the_control_server_needs_another(part: str) -> None:
     modules = reached(part, imports_of(ROOT))
-    assert "control.part" in modules
+    assert "control_plane.part" in modules
     assert not {unit_of(module) for module in modules} & PARTS[part]
 
 
 PLANTED = {
     "from ..net.director import Director": "purges.planted -> net.director (when loaded)",
-    "from .. import choice": "purges.planted -> choice (when loaded)",
+    "from .. import routing": "purges.planted -> routing (when loaded)",
     "import gladelane.net.director": "purges.planted -> net.director (when loaded)",
     "try:\n    from ..net import director\nexcept ImportError:\n    pass":
         "purges.planted -> net.director (when loaded)",
     "def late() -> None:\n    from ..net.director import Director": "purges.planted -> net.director (inside a function)",
     "class Late:\n    async def late(self) -> None:\n        from gladelane.net import director":
         "purges.planted -> net.director (inside a function)",
-    "import typing\nif typing.TYPE_CHECKING:\n    from ..choice import Router": "purges.planted -> choice (for types only)",
+    "import typing\nif typing.TYPE_CHECKING:\n    from ..routing.router import Router": "purges.planted -> routing.router (for types only)",
     "from gladelane import Router": "purges.planted -> gladelane (when loaded)",
-    "from ..durable.log import Log\nimport gladelane_other": "",
+    "from ..storage.log import WriteAheadLog\nimport gladelane_other": "",
 }  # fmt: skip
 
 
 @pytest.mark.parametrize(("code", "caught"), PLANTED.items())
 def test_a_planted_upward_import_is_caught(tmp_path: Path, code: str, caught: str) -> None:
-    for name in ("__init__", "choice", "net/__init__", "net/director", "purges/__init__", "durable/log"):
+    for name in (
+        "__init__",
+        "routing/__init__",
+        "routing/router",
+        "net/__init__",
+        "net/director",
+        "purges/__init__",
+        "storage/log",
+    ):
         path = tmp_path / f"{name}.py"
         path.parent.mkdir(exist_ok=True)
         path.write_text("")
@@ -210,8 +220,11 @@
 
 
 def test_a_planted_circle_is_caught(tmp_path: Path) -> None:
-    for name, code in {"routes": "from ..control import a", "control": "from ..routes import a"}.items():
+    for name, code in {
+        "leases": "from ..control_plane import a",
+        "control_plane": "from ..leases import a",
+    }.items():
         (tmp_path / name).mkdir()
         (tmp_path / name / "__init__.py").write_text("")
         (tmp_path / name / "a.py").write_text(code)
-    assert set(cycle(imports_of(tmp_path))) == {"routes", "control"}
+    assert set(cycle(imports_of(tmp_path))) == {"leases", "control_plane"}
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -3,7 +3,7 @@
 import pytest
 from conftest import PLAIN, Driver, members, only
 
-from gladelane.interface import Fetch, Lookup, Member, Note, SetTimer, State, Status, Timer
+from gladelane.routing.events import Fetch, Lookup, Member, Note, SetTimer, State, Status, Timer
 
 
 def test_a_fill_is_kept_from_the_second_counted_request() -> None:
@@ -70,16 +70,16 @@
 
 def test_weights_of_answers_make_the_utility() -> None:
     gained = {}
-    for note in (Note.HIT, Note.PARENT_HELD, Note.FROM_ORIGIN, Note.UNTOLD):
+    for note in (Note.HIT, Note.PARENT_HELD, Note.FROM_ORIGIN, Note.NOT_REPORTED):
         d = Driver()
         d.answer(only(d.ask(object=5), Fetch), note=note)
         gained[note] = d.router.objects[5].utility
-    base = gained[Note.UNTOLD]
+    base = gained[Note.NOT_REPORTED]
     assert gained == {
         Note.HIT: 100 * base,
         Note.PARENT_HELD: 10 * base,
         Note.FROM_ORIGIN: base,
-        Note.UNTOLD: base,
+        Note.NOT_REPORTED: base,
     }
     assert base == 2.0  # the class's worth times one counted request
 
@@ -89,8 +89,8 @@
     for n in range(1, 10):
         for _ in range(n + 1):
             d.serve(object=n, cls="page")
-    d.router.cut_at = 0.0
-    d.router.sweep()
+    d.router.housekeeping.thresholds_ms = 0.0
+    d.router.housekeeping.sweep()
     ranks = [d.serve(object=n, cls="page").rank for n in range(1, 10)]
     assert ranks == sorted(ranks) and set(ranks) == {1, 2, 3}
 
@@ -100,7 +100,7 @@
     d.serve(object=5)
     before = d.router.objects[5].utility
     d.now += 10_000.0
-    d.router.handle(d.now, __import__("gladelane.interface").interface.Timer("sweep"))
+    d.router.handle(d.now, Timer("sweep"))
     assert d.router.objects[5].utility == before / 2
 
 
@@ -119,7 +119,9 @@
     tries, actions = 1, driver.ask("sale", part=0)
     while lookups := [a for a in actions if isinstance(a, Lookup)]:
         waits = [
-            a for a in driver.answer(lookups[0], Status.FULL, Note.UNTOLD, 5.0) if isinstance(a, SetTimer)
+            a
+            for a in driver.answer(lookups[0], Status.FULL, Note.NOT_REPORTED, 5.0)
+            if isinstance(a, SetTimer)
         ]
         if not waits:
             break
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -11,21 +11,28 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gladelane.interface import NEVER_RAN, Note, Status
-from gladelane.net.config import BadConfig, host_port, read_config
-from gladelane.net.ends import STATUS, End
-from gladelane.net.exchange import Code, Final
-from gladelane.net.frames import (
-    BadRequest,
+from gladelane.net.attempt_outcomes import STATUS, AttemptOutcome
+from gladelane.net.cache_protocol import (
+    MAX_UNREADABLE_LOGGED,
+    WORDS,
+    MalformedReplyError,
+    Reply,
+    ReplyDecoder,
+    encode_fetch,
+)
+from gladelane.net.client_protocol import (
     FrameDecoder,
-    FramingLost,
+    FramingError,
+    InvalidRequestError,
     decode_fields,
     decode_request,
     encode_answer,
     encode_fields,
     encode_frame,
 )
-from gladelane.net.lines import UNREADABLE_LOGGED, WORDS, Garbled, Reply, ReplyDecoder, encode_fetch
+from gladelane.net.config import ConfigError, host_port, read_config
+from gladelane.net.exchange import AnswerCode, FinalAnswer
+from gladelane.routing.events import NEVER_RAN, Note, Status
 from gladelane.settings_wire import settings_from_wire
 from gladelane.sse import EventStream
 
@@ -46,7 +53,7 @@
 
 @pytest.mark.parametrize("length", [0, 4, 262_145, 2**32 - 1])
 def test_a_length_that_cannot_be_right_loses_the_framing(length: int) -> None:
-    with pytest.raises(FramingLost):
+    with pytest.raises(FramingError):
         list(FrameDecoder().feed(raw_frame(length, 16, 1)))
 
 
@@ -55,7 +62,7 @@
     b"\x02\x01c\x00\x01a\x01c\x00\x01b",
 ])  # fmt: skip
 def test_unreadable_fields(payload: bytes) -> None:
-    with pytest.raises(BadRequest):
+    with pytest.raises(InvalidRequestError):
         decode_fields(payload)
 
 
@@ -74,7 +81,7 @@
 ])  # fmt: skip
 def test_a_request_with_a_missing_or_unusable_field_goes_nowhere(change: dict[str, str | None]) -> None:
     fields = {name: value for name, value in {**GOOD, **change}.items() if value is not None}
-    with pytest.raises(BadRequest):
+    with pytest.raises(InvalidRequestError):
         decode_request(encode_fields(fields), SETTINGS)
 
 
@@ -87,28 +94,31 @@
 
 
 @pytest.mark.parametrize(("final", "payload"), [
-    (Final(Code.SERVED, b"abc"), b"\x00\x00abc"),
-    (Final(Code.SERVED, valid=True), b"\x00\x01\x05valid\x00\x011"),
-    (Final(Code.REFUSED, come_back_ms=420.7), b"\x01\x01\x01w\x00\x03420"),
-    (Final(Code.REFUSED, come_back_ms=0.4), b"\x01\x00"),
-    (Final(Code.FAILED), b"\x02\x00"),
+    (FinalAnswer(AnswerCode.SERVED, b"abc"), b"\x00\x00abc"),
+    (FinalAnswer(AnswerCode.SERVED, valid=True), b"\x00\x01\x05valid\x00\x011"),
+    (FinalAnswer(AnswerCode.REFUSED, retry_after_ms=420.7), b"\x01\x01\x01w\x00\x03420"),
+    (FinalAnswer(AnswerCode.REFUSED, retry_after_ms=0.4), b"\x01\x00"),
+    (FinalAnswer(AnswerCode.FAILED), b"\x02\x00"),
 ])  # fmt: skip
-def test_answers_on_the_wire(final: Final, payload: bytes) -> None:
+def test_answers_on_the_wire(final: FinalAnswer, payload: bytes) -> None:
     assert encode_answer(7, final) == encode_frame(17, 7, payload)  # type: ignore[arg-type]
 
 
 LINES = [
     (
         b"a1 served digest=x,dated=5,remark=f,first=12.5,report=inflight:7;util:0.61 3\r\nab\n\r\n",
-        ("a1", End.SERVED, Note.PARENT_HELD, 12.5, b"ab\n", 5.0, {"inflight": 7.0, "util": 0.61}),
+        ("a1", AttemptOutcome.SERVED, Note.PARENT_HELD, 12.5, b"ab\n", 5.0, {"inflight": 7.0, "util": 0.61}),
     ),
     (
         b"a1 still_good digest=x,remark=h 0\r\n\r\n",
-        ("a1", End.STILL_GOOD, Note.HIT, 0.0, b"", 0.0, None),
+        ("a1", AttemptOutcome.STILL_GOOD, Note.HIT, 0.0, b"", 0.0, None),
+    ),
+    (b"a1 not_here - 0\r\n\r\n", ("a1", AttemptOutcome.NOT_HERE, Note.NOT_REPORTED, 0.0, b"", 0.0, None)),
+    (b"a1 not_here remark=j 0\r\n\r\n", ("a1", AttemptOutcome.NOT_HERE, Note.JOINED, 0.0, b"", 0.0, None)),
+    (
+        b"a1 overload remark= 0\r\n\r\n",
+        ("a1", AttemptOutcome.OVERLOAD, Note.NOT_REPORTED, 0.0, b"", 0.0, None),
     ),
-    (b"a1 not_here - 0\r\n\r\n", ("a1", End.NOT_HERE, Note.UNTOLD, 0.0, b"", 0.0, None)),
-    (b"a1 not_here remark=j 0\r\n\r\n", ("a1", End.NOT_HERE, Note.JOINED, 0.0, b"", 0.0, None)),
-    (b"a1 overload remark= 0\r\n\r\n", ("a1", End.OVERLOAD, Note.UNTOLD, 0.0, b"", 0.0, None)),
 ]
 
 
@@ -127,7 +137,7 @@
     b"a1 \xff - 0\r\n\r\n", b"a1 served - \xb2\r\n", b"a1 served  0\r\n\r\n", b"a1 served - - 0\r\n\r\n", b"a1 served remark=h j 0\r\n\r\n",
 ])  # fmt: skip
 def test_garbled_answers(line: bytes) -> None:
-    with pytest.raises(Garbled):
+    with pytest.raises(MalformedReplyError):
         list(ReplyDecoder().feed(line))
 
 
@@ -149,14 +159,14 @@
 @pytest.mark.parametrize("torn", TORN)
 def test_a_field_that_cannot_be_read_is_left_out_and_the_answer_is_used(torn: bytes) -> None:
     whole = b"a1 served digest=x," + torn + b" 2\r\nok\r\n"
-    bare = Reply("a1", End.SERVED, body=b"ok")
+    bare = Reply("a1", AttemptOutcome.SERVED, body=b"ok")
     assert list(ReplyDecoder().feed(whole * 2)) == [bare, bare]
 
 
 def test_what_stands_beside_an_unreadable_field_is_read() -> None:
     line = b"a1 served remark=?,first=7,dated=9,report=util:0.5 0\r\n\r\n"
     assert list(ReplyDecoder().feed(line)) == [
-        Reply("a1", End.SERVED, Note.UNTOLD, 7.0, b"", 9.0, {"util": 0.5})
+        Reply("a1", AttemptOutcome.SERVED, Note.NOT_REPORTED, 7.0, b"", 9.0, {"util": 0.5})
     ]
 
 
@@ -173,7 +183,10 @@
     fields = b"remark=%b,first=%b,report=%b,dated=%b" % (remark, first, report, dated)
     line = b"7f %b %b %d\r\n%b\r\n" % (word.encode(), fields, len(body), body)
     replies = list(ReplyDecoder().feed(line + b"80 not_here - 0\r\n\r\n"))
-    assert [(r.id, r.end, r.body) for r in replies] == [("7f", WORDS[word], body), ("80", End.NOT_HERE, b"")]
+    assert [(r.id, r.outcome, r.body) for r in replies] == [
+        ("7f", WORDS[word], body),
+        ("80", AttemptOutcome.NOT_HERE, b""),
+    ]
     for reply in replies:
         assert 0.0 <= reply.source_wait_ms < 1e9 and 0.0 <= reply.dated_ms < 1e15
         assert all(0.0 <= value < 1e120 for value in (reply.report or {}).values())
@@ -185,7 +198,7 @@
     decoder = ReplyDecoder()
     for _ in range(200):
         list(decoder.feed(b"a1 served remark=?,first=?,report=?,dated=? 0\r\n\r\n"))
-    assert len(caplog.records) == UNREADABLE_LOGGED
+    assert len(caplog.records) == MAX_UNREADABLE_LOGGED
     assert all(record.getMessage().isascii() for record in caplog.records)
 
 
@@ -205,11 +218,14 @@
 
 
 def test_every_end_has_a_status_and_only_what_never_left_is_proved_not_to_have_run() -> None:
-    assert set(STATUS) == set(End)
-    ran = {end for end in End if STATUS[end] not in NEVER_RAN}
-    assert ran == {End.SERVED, End.STILL_GOOD, End.CRASHED, End.RESET, End.CLOSED, End.GARBLED, End.CUT_SHORT, End.SILENT, End.TIMED_OUT,
-                   End.CANCELLED, End.IDLE, End.OUTDATED, End.WITHHELD}  # fmt: skip
-    assert {end for end in End if STATUS[end] is Status.OK} == {End.SERVED, End.STILL_GOOD}
+    assert set(STATUS) == set(AttemptOutcome)
+    ran = {end for end in AttemptOutcome if STATUS[end] not in NEVER_RAN}
+    assert ran == {AttemptOutcome.SERVED, AttemptOutcome.STILL_GOOD, AttemptOutcome.CRASHED, AttemptOutcome.RESET, AttemptOutcome.CLOSED, AttemptOutcome.GARBLED, AttemptOutcome.CUT_SHORT, AttemptOutcome.SILENT, AttemptOutcome.TIMED_OUT,
+                   AttemptOutcome.CANCELLED, AttemptOutcome.IDLE, AttemptOutcome.OUTDATED, AttemptOutcome.WITHHELD}  # fmt: skip
+    assert {end for end in AttemptOutcome if STATUS[end] is Status.OK} == {
+        AttemptOutcome.SERVED,
+        AttemptOutcome.STILL_GOOD,
+    }
 
 
 @pytest.mark.parametrize("change", [
@@ -219,7 +235,7 @@
 def test_a_bad_configuration_is_told_in_one_line(change: dict[str, Any]) -> None:
     raw = json.loads(config({"c0": "127.0.0.1:9"}))
     raw.update(change)
-    with pytest.raises(BadConfig) as caught:
+    with pytest.raises(ConfigError) as caught:
         read_config(json.dumps({k: v for k, v in raw.items() if v is not None}).encode())
     assert len(str(caught.value).splitlines()) == 1
 
