--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -12,20 +12,20 @@
 import sys
 import time
 from math import log
-from pathlib import Path
 from typing import Any
 
 from benchmarks import conclude
+from benchmarks.example_site import example_config
+from gladelane.lab.processes import ROOT
 from gladelane.lab.virtual import Fleet, Plan
 from gladelane.routing.events import Settings
 from gladelane.settings_wire import settings_from_wire
 
-ROOT = Path(__file__).parent.parent
 RATE = 15.0  # requests a second and cache: about what a branch's caches carry
 
 
 def settings(locations: int, directors: int) -> Settings:
-    raw = json.loads((ROOT / "example" / "config.json").read_text())["settings"]
+    raw = example_config()["settings"]
     zones = ["hub", *(f"z{n}" for n in range(locations))]
     family = {
         **raw["family_info"],
--- a/benchmarks/leaves.py
+++ b/benchmarks/leaves.py
@@ -16,7 +16,6 @@
 from __future__ import annotations
 
 import asyncio
-import json
 import os
 import random
 import signal
@@ -34,13 +33,13 @@
 import uvloop
 
 from benchmarks import conclude
+from benchmarks.example_site import example_config, list_entry, request_fields
 from gladelane.endpoints.address import Family
 from gladelane.lab.fake_discovery import FakeDiscovery
 from gladelane.lab.fake_server import FakeServer, Fault, Said, Seen
 from gladelane.lab.processes import Processes
 from gladelane.net.client_protocol import FrameDecoder, Type, encode_fields, encode_frame
 
-ROOT = Path(__file__).parent.parent
 LIMIT_S = 0.1  # the operators': no attempt begins later after its client has left
 CACHES = 6
 CLIENTS = 24
@@ -194,15 +193,7 @@
         self._stream += 1
         id_ = f"{self.rng.getrandbits(64):016x}"
         self._open[self._stream] = id_
-        fields = {
-            "c": self.place.cls,
-            "i": id_,
-            "d": "2500",
-            "o": f"{self.rng.randrange(200):016x}",
-            "chunk": "0",
-            "tag": "1",
-            "m": "1",
-        }
+        fields = request_fields(self.place.cls, id_, 2500, f"{self.rng.randrange(200):016x}")
         if self.place.cls == WRITE:
             fields["k"] = id_ * 2
         return encode_frame(Type.REQUEST, self._stream, encode_fields(fields) + b"x" * self.place.body)
@@ -261,25 +252,13 @@
         self.board = FakeDiscovery()
 
     async def start(self, cancel: bool) -> Processes:
-        raw = json.loads((ROOT / "example" / "config.json").read_text())
+        raw = example_config()
         raw["board"] = await self.board.start()
         raw["settings"]["limits"] |= {"cancel": cancel, "dial_timeout_ms": DIAL_MS}
         instances = []
         for standin in self.standins:
             address = self.addresses[standin.name] = await standin.listen(Family.V4, receive_buffer=NARROW)
-            kind = {"depot": "parent", "bank": "origin"}.get(standin.name, "standard")
-            instances.append(
-                {
-                    "instanceId": standin.name,
-                    "hostPort": address,
-                    "machineType": kind,
-                    "zone": "branch" if kind == "standard" else "hub",
-                    "cell": 0,
-                    "lifecycle": "in_service",
-                    "weight": 5,
-                    "startedAtMs": 0,
-                }
-            )
+            instances.append(list_entry(standin.name, address, 5, cell=0, startedAtMs=0))
         self.board.tell({"pool": {"generation": 1, "reset": True, "instances": instances}})
         raw["known"] = self.board.known()
         processes = Processes(self.folder, raw)
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -9,7 +9,6 @@
 from __future__ import annotations
 
 import asyncio
-import json
 import signal
 import socket
 import statistics
@@ -26,13 +25,13 @@
 import uvloop
 
 from benchmarks import conclude
+from benchmarks.example_site import example_config, list_entry, request_fields
 from gladelane.endpoints.address import Family
 from gladelane.lab.client import Client
 from gladelane.lab.fake_server import FakeServer, Seen
-from gladelane.lab.processes import Load, Processes
+from gladelane.lab.processes import ROOT, Load, Processes
 from gladelane.net.listener import open_listener, steer_away
 
-ROOT = Path(__file__).parent.parent
 MEMORY_MB, SOCKETS = 96, 384  # of the director: both processes together keep within
 SLOW_CALLERS = 60
 
@@ -45,19 +44,10 @@
         self.folder = folder
 
     async def start(self, program: Path = ROOT) -> Processes:
-        raw = json.loads((ROOT / "example" / "config.json").read_text())
+        raw = example_config()
         raw["board"], raw["limits"] = "127.0.0.1:1", {"cores": 1, "memory_mb": MEMORY_MB, "sockets": SOCKETS}
-        kinds = {"depot": "parent", "bank": "origin"}
         raw["known"]["notices"][0]["pool"]["instances"] = [
-            {
-                "instanceId": s.name,
-                "hostPort": await s.listen(Family.V4),
-                "weight": 64,
-                "lifecycle": "in_service",
-                "machineType": kinds.get(s.name, "standard"),
-                "zone": "hub" if s.name in kinds else "branch",
-            }
-            for s in self.standins
+            list_entry(standin.name, await standin.listen(Family.V4), 64) for standin in self.standins
         ]
         self.classes = tuple(row["name"] for row in raw["settings"]["classes"])
         director = Processes(self.folder, raw)
@@ -106,17 +96,7 @@
         while True:
             number += 32
             waves = (
-                client.ask(
-                    {
-                        "c": "video-part",
-                        "i": f"{number + n:016x}",
-                        "d": "1000",
-                        "o": f"{n:016x}",
-                        "chunk": "0",
-                        "tag": "1",
-                        "m": "1",
-                    }
-                )
+                client.ask(request_fields("video-part", f"{number + n:016x}", 1000, f"{n:016x}"))
                 for n in range(32)
             )
             await asyncio.gather(*waves)
@@ -211,18 +191,9 @@
         try:
             for number in range(1, count + 1):
                 cls = world.classes[number % len(world.classes)]
-                answer = await client.ask(
-                    {
-                        "c": cls,
-                        "i": f"{number:016x}",
-                        "d": "2000",
-                        "o": f"{number % 40:016x}",
-                        "chunk": "0",
-                        "tag": "1",
-                        "m": "x" if number % 50 == 0 else "1",
-                        "k": f"{number:032x}",
-                    }
-                )
+                size_kb = "x" if number % 50 == 0 else "1"
+                fields = request_fields(cls, f"{number:016x}", 2000, f"{number % 40:016x}", size_kb=size_kb)
+                answer = await client.ask({**fields, "k": f"{number:032x}"})
                 word = ("success", "busy", "failure")[answer.code] if answer is not None else "none"
                 counted[f"calls.{cls}.{word}"] += 1
             await asyncio.sleep(0.3)
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -21,6 +21,7 @@
 from pathlib import Path
 from typing import Any
 
+from benchmarks.example_site import example_config
 from gladelane.lab.processes import ROOT, free_port
 from gladelane.net.client_protocol import FrameDecoder, FramingError, Type, encode_fields, encode_frame
 
@@ -83,7 +84,7 @@
 
 def write_config(folder: Path, number: int, board: str, port: int) -> tuple[Path, int]:
     """A file with CACHES caches; its port."""
-    raw: dict[str, Any] = json.loads((ROOT / "example" / "config.json").read_text())
+    raw = example_config()
     raw.update(name=f"n{number}", listen=f"127.0.0.1:{port}", board=board)
     pool = raw["known"]["notices"][0]["pool"]
     first, *rest = pool["instances"]
--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -26,11 +26,12 @@
 from typing import Any, NamedTuple
 
 from benchmarks import conclude
+from benchmarks.example_site import example_config, request_fields
 from gladelane.endpoints.address import Family
 from gladelane.lab.client import Client
 from gladelane.lab.fake_discovery import FakeDiscovery
 from gladelane.lab.fake_server import FakeServer
-from gladelane.lab.processes import ROOT, Processes
+from gladelane.lab.processes import Processes
 from gladelane.sse import encode_event
 
 SMALL, LARGE = 200, 3200  # caches
@@ -159,15 +160,9 @@
 
     async def _ask(self, client: Client, object_: int) -> None:
         self.asked += 1
-        fields = {
-            "c": self.rng.choice(["video-part", "question-item"]),
-            "i": f"{self.rng.getrandbits(64):016x}",
-            "d": "3000",
-            "o": f"{object_:016x}",
-            "chunk": "0",
-            "tag": "1",
-            "m": str(SIZE_KB),
-        }
+        class_name = self.rng.choice(["video-part", "question-item"])
+        request_id = f"{self.rng.getrandbits(64):016x}"
+        fields = request_fields(class_name, request_id, 3000, f"{object_:016x}", size_kb=str(SIZE_KB))
         answer = await client.ask(fields)
         self.served += answer is not None and answer.code == 0
 
@@ -195,7 +190,7 @@
 
 
 def director_file(board: str, known: dict[str, Any], me: int) -> dict[str, Any]:
-    raw: dict[str, Any] = json.loads((ROOT / "example" / "config.json").read_text())
+    raw = example_config()
     zones = ["hub", *(f"zone-{place}" for place in range(ZONES))]
     raw["settings"] |= {"areas": zones, "zone": f"zone-{me % 2}", "me": me, "balancers": PROXIES}
     raw["settings"]["family_info"] |= {
