--- /dev/null
+++ b/benchmarks/purges/control_servers.py
@@ -0,0 +1,79 @@
+"""The control servers of the fleet: processes that take purges and tell each other and the directors."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import subprocess
+import sys
+from pathlib import Path
+
+from gladelane.control_plane.http import fetch
+from gladelane.lab.processes import ROOT, START_S, free_port
+
+from .director_files import TOKEN, write_tokens
+
+PROBE_S = 0.05
+DOWN_S = 0.2  # between a kill and the next start
+
+
+class ControlServers:
+    """So many of them, each with a folder of its own, which it has again after a restart."""
+
+    def __init__(self, folder: Path, count: int) -> None:
+        self._folder = folder
+        self.ports = [free_port() for _ in range(count)]
+        self._processes: list[subprocess.Popen[bytes]] = []
+
+    async def start(self) -> None:
+        """Returns once all answer. Raises TimeoutError."""
+        write_tokens(self._folder)
+        self._processes = [self._start(number) for number in range(len(self.ports))]
+        await asyncio.gather(*(self._wait_ready(number) for number in range(len(self.ports))))
+
+    def _start(self, number: int) -> subprocess.Popen[bytes]:
+        peers = [f"127.0.0.1:{port}" for place, port in enumerate(self.ports) if place != number]
+        options = {
+            "--dir": str(self._folder / f"feed-{number}"),
+            "--tokens": str(write_tokens(self._folder)),
+            "--listen": f"127.0.0.1:{self.ports[number]}",
+            "--name": f"feed-{number}",
+        }
+        command = [
+            sys.executable,
+            "-c",
+            "from gladelane.cli import main; main()",
+            "purge",
+            "serve",
+            "--first",
+        ]
+        command += [word for option in options.items() for word in option]
+        command += [word for peer in peers for word in ("--peer", peer)]
+        return subprocess.Popen(command, cwd=ROOT, stderr=subprocess.DEVNULL)
+
+    async def _wait_ready(self, number: int) -> None:
+        async with asyncio.timeout(START_S):
+            while True:
+                with contextlib.suppress(OSError, TimeoutError):
+                    await fetch("127.0.0.1", self.ports[number], "GET", "/status", TOKEN)
+                    return
+                await asyncio.sleep(PROBE_S)
+
+    def kill(self) -> None:
+        """All of them; a restart waits for their end."""
+        for process in self._processes:
+            process.kill()
+
+    async def restart(self, number: int) -> None:
+        """By SIGKILL. Returns once it answers again."""
+        self._processes[number].kill()
+        await asyncio.to_thread(self._processes[number].wait)
+        await asyncio.sleep(DOWN_S)
+        self._processes[number] = self._start(number)
+        await self._wait_ready(number)
+
+    async def close(self) -> None:
+        """Kills all processes and waits for them."""
+        self.kill()
+        for process in self._processes:
+            await asyncio.to_thread(process.wait)
--- /dev/null
+++ b/benchmarks/purges/fleet.py
@@ -0,0 +1,60 @@
+"""The whole fleet: the fake site, control servers and directors, and their restarts."""
+
+from __future__ import annotations
+
+from collections import Counter
+from pathlib import Path
+
+from .control_servers import ControlServers
+from .directors import Directors
+from .fake_site import FakeSite
+
+DIRECTORS, CONTROL_SERVERS = 3, 2
+
+
+class Fleet:
+    """`restarts` counts by the kind of process, as the report names them."""
+
+    def __init__(self, folder: Path, with_control_servers: bool) -> None:
+        self.site = FakeSite()
+        self.control_servers = ControlServers(folder, CONTROL_SERVERS if with_control_servers else 0)
+        self.directors = Directors(folder, self.site.discovery)
+        self.restarts: Counter[str] = Counter()
+
+    async def start(self) -> None:
+        """Returns once all processes answer."""
+        discovery_address = await self.site.start()
+        await self.control_servers.start()
+        await self.directors.start(DIRECTORS, discovery_address, self.control_servers.ports)
+
+    async def restart_director(self, number: int) -> None:
+        """By SIGTERM."""
+        await self.directors.restart(number)
+        self.restarts["director"] += 1
+
+    async def restart_control_server(self, number: int) -> None:
+        """By SIGKILL."""
+        await self.control_servers.restart(number)
+        self.restarts["feed"] += 1
+
+    async def restart_parent(self) -> None:
+        """With copies of some time before."""
+        await self.site.restart_parent()
+        self.restarts["hub"] += 1
+
+    async def restart_in_turn(self, count: int) -> None:
+        """So many restarts: a director, a control server, the parent, the next director."""
+        for turn in range(count):
+            match turn % 3:
+                case 0:
+                    await self.restart_director(turn // 3 % DIRECTORS)
+                case 1:
+                    await self.restart_control_server(turn // 3 % CONTROL_SERVERS)
+                case 2:
+                    await self.restart_parent()
+
+    async def close(self) -> None:
+        """Ends all processes and servers."""
+        await self.directors.close()
+        await self.control_servers.close()
+        await self.site.close()
