--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -15,45 +15,97 @@
 import socket
 import sys
 import tempfile
+from collections.abc import Sequence
 from contextlib import suppress
+from dataclasses import asdict, dataclass
 from enum import Enum
 from itertools import compress
 from pathlib import Path
-from typing import Any
+from typing import NamedTuple
 
 from benchmarks.example_site import example_config
+from benchmarks.process_usage import ProcessUsage
 from gladelane.lab.processes import ROOT, free_port
 from gladelane.net.client_protocol import FrameDecoder, FramingError, Type, encode_fields, encode_frame
 
-READY_S, GIVE_UP_S = 10.0, 60.0  # the operators' bound for nine in ten, and when this bench waits no more
+READY_S, GIVE_UP_S = 10.0, 60.0  # the operators' bound for nine in ten, and how long this benchmark waits
 READY_SHARE = 0.9
 ASK_AGAIN_S = 0.02
 CACHES = 200
 MANY, QUICK = (10, 50, 200), (10, 50)
-TICK_S = 1.0 / os.sysconf("SC_CLK_TCK")
+BACKLOG = 512  # of discovery
+ANSWER_S = 5.0  # for an answer to type 32
+SHOWN_LOG_CHARACTERS, SHOWN_LOGS = 200, 3
 
 
 class Discovery(Enum):
+    """Whether discovery answers, accepts and says nothing, or refuses."""
+
     UP = "up"
     SLOW = "slow"
     DOWN = "down"
 
 
+@dataclass(frozen=True)
+class Scene:
+    """So many starts at once. `killed`: at the addresses of processes that got SIGKILL a moment before."""
+
+    processes: int
+    discovery: Discovery
+    killed: bool
+
+
+@dataclass(frozen=True)
+class ReadyTimes:
+    """Of those that were ready, s; None where none was."""
+
+    p50: float | None
+    p90: float | None
+    max: float | None
+
+
+@dataclass(frozen=True)
+class SceneFigures:
+    """The names are those of the report."""
+
+    processes: int
+    discovery: str
+    killed: bool
+    ended: int
+    why: list[str]
+    in_time: float
+    ready_s: ReadyTimes
+    cpu_s: float
+    memory_mb: float
+
+
+class Configured(NamedTuple):
+    """The configuration of a process, and the port where it will listen."""
+
+    path: Path
+    port: int
+
+    @property
+    def log(self) -> Path:
+        """Of the latest start."""
+        return self.path.with_suffix(".log")
+
+
 class Started:
-    """One process and what its start took."""
+    """One process and what its start took. `has_ended`: before all had been waited for."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
         self.ready_s: float | None = None
+        self.has_ended = False
         self.cpu_s = self.memory_mb = 0.0
 
     def measure(self) -> None:
-        folder = Path(f"/proc/{self.process.pid}")
+        """Reads from the system what it has used so far."""
+        usage = ProcessUsage(self.process.pid)
         with suppress(OSError):
-            fields = (folder / "stat").read_text().rpartition(")")[2].split()
-            self.cpu_s = (int(fields[11]) + int(fields[12])) * TICK_S
-            pages = int((folder / "statm").read_text().split()[1])
-            self.memory_mb = pages * os.sysconf("SC_PAGE_SIZE") / 1e6
+            self.cpu_s = usage.processor_s()
+            self.memory_mb = usage.resident_mb()
 
 
 async def serve_discovery(how: Discovery) -> tuple[asyncio.Server | None, str]:
@@ -69,7 +121,7 @@
             await reader.read()
         writer.close()
 
-    server = await asyncio.start_server(serve, "127.0.0.1", 0, backlog=512)
+    server = await asyncio.start_server(serve, "127.0.0.1", 0, backlog=BACKLOG)
     return server, f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
 
@@ -82,10 +134,10 @@
     return ports
 
 
-def write_config(folder: Path, number: int, board: str, port: int) -> tuple[Path, int]:
-    """A file with CACHES caches; its port."""
+def write_config(folder: Path, number: int, discovery_address: str, port: int) -> Configured:
+    """A configuration with CACHES caches."""
     raw = example_config()
-    raw.update(name=f"n{number}", listen=f"127.0.0.1:{port}", board=board)
+    raw.update(name=f"n{number}", listen=f"127.0.0.1:{port}", board=discovery_address)
     pool = raw["known"]["notices"][0]["pool"]
     first, *rest = pool["instances"]
     pool["instances"] = rest + [
@@ -93,10 +145,11 @@
     ]
     path = folder / f"config{number}.json"
     path.write_text(json.dumps(raw))
-    return path, port
+    return Configured(path, port)
 
 
 async def start(path: Path) -> Started:
+    """A process with this configuration; its log lies beside it."""
     env = {**os.environ, "GW_CONFIG": str(path), "TMPDIR": str(path.parent)}
     env.pop("GW_OPS", None)
     env.pop("GW_OPERATOR", None)
@@ -110,7 +163,7 @@
 async def is_ready(port: int) -> bool:
     """Whether type 32 is answered with code 0."""
     with suppress(OSError, TimeoutError, FramingError):  # the port may be somebody else's by now
-        async with asyncio.timeout(5.0):
+        async with asyncio.timeout(ANSWER_S):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             try:
                 writer.write(encode_frame(Type.ASK_READY, 1, encode_fields({})))
@@ -124,6 +177,7 @@
 
 
 async def wait_ready(started: Started, port: int, began: float) -> None:
+    """Returns once it is ready, has ended, or is given up."""
     loop = asyncio.get_running_loop()
     while started.process.returncode is None and loop.time() - began < GIVE_UP_S:
         if await is_ready(port):
@@ -134,6 +188,7 @@
 
 
 async def end(processes: list[Started]) -> None:
+    """Kills all and waits for them."""
     for one in processes:
         with suppress(ProcessLookupError):
             one.process.send_signal(signal.SIGKILL)
@@ -141,70 +196,98 @@
         await one.process.wait()
 
 
-async def measure(count: int, how: Discovery, killed: bool) -> dict[str, Any]:
-    server, board = await serve_discovery(how)
-    loop = asyncio.get_running_loop()
+async def start_killed(places: Sequence[Configured]) -> list[asyncio.StreamWriter]:
+    """Starts a process at each place, connects to each, and kills them all. The connections stay open at this
+    side."""
+    processes = [await start(place.path) for place in places]
+    writers = []
+    began = asyncio.get_running_loop().time()
+    try:
+        for one, place in zip(processes, places, strict=True):
+            await wait_ready(one, place.port, began)
+            writers.append((await asyncio.open_connection("127.0.0.1", place.port))[1])
+    finally:
+        await end(processes)
+    return writers
+
+
+async def start_all(places: Sequence[Configured]) -> list[Started]:
+    """Starts a process at each place at once, waits until all are ready or given up, and kills them."""
+    began = asyncio.get_running_loop().time()
+    processes: list[Started] = []
+    try:
+        for place in places:
+            processes.append(await start(place.path))
+        await asyncio.gather(
+            *(wait_ready(one, place.port, began) for one, place in zip(processes, places, strict=True))
+        )
+        for one in processes:
+            one.has_ended = one.process.returncode is not None
+    finally:
+        await end(processes)
+    return processes
+
+
+async def measure(scene: Scene) -> SceneFigures:
+    """With a folder and a discovery of its own."""
+    server, discovery_address = await serve_discovery(scene.discovery)
     writers: list[asyncio.StreamWriter] = []
     with tempfile.TemporaryDirectory() as folder:
         places = [
-            write_config(Path(folder), number, board, port)
-            for number, port in enumerate(distinct_ports(count))
+            write_config(Path(folder), number, discovery_address, port)
+            for number, port in enumerate(distinct_ports(scene.processes))
         ]
-        processes: list[Started] = []
         try:
-            if killed:
-                processes = [await start(path) for path, _ in places]
-                began = loop.time()
-                for one, (_, port) in zip(processes, places, strict=True):
-                    await wait_ready(one, port, began)
-                    writers.append((await asyncio.open_connection("127.0.0.1", port))[1])
-                await end(processes)
-            began = loop.time()
-            processes = []
-            for path, _ in places:
-                processes.append(await start(path))
-            waits = (wait_ready(one, port, began) for one, (_, port) in zip(processes, places, strict=True))
-            await asyncio.gather(*waits)
-            ended = [one.process.returncode is not None for one in processes]
-            why = [path.with_suffix(".log").read_text()[-200:] for path, _ in compress(places, ended)]
+            if scene.killed:
+                writers = await start_killed(places)
+            processes = await start_all(places)
+            ended = compress(places, [one.has_ended for one in processes])
+            logs = [place.log.read_text()[-SHOWN_LOG_CHARACTERS:] for place in ended]
         finally:
-            await end(processes)
             for writer in writers:
                 writer.close()
             if server is not None:
                 server.close()
-    took = sorted(one.ready_s for one in processes if one.ready_s is not None)
-    in_time = sum(ready_s <= READY_S for ready_s in took) / count
-    return {
-        "processes": count,
-        "discovery": how.value,
-        "killed": killed,
-        "ended": sum(ended),
-        "why": why[:3],
-        "in_time": round(in_time, 3),
-        "ready_s": {
-            "p50": round(took[len(took) // 2], 2) if took else None,
-            "p90": round(took[int(len(took) * 0.9)], 2) if took else None,
-            "max": round(took[-1], 2) if took else None,
-        },
-        "cpu_s": round(sum(one.cpu_s for one in processes) / count, 3),
-        "memory_mb": round(max(one.memory_mb for one in processes), 1),
-    }
+    return summarise(scene, processes, logs)
+
+
+def summarise(scene: Scene, processes: Sequence[Started], logs: Sequence[str]) -> SceneFigures:
+    """`logs`: the ends of the logs of those that ended."""
+    ready_s = sorted(one.ready_s for one in processes if one.ready_s is not None)
+    in_time = sum(one_s <= READY_S for one_s in ready_s) / scene.processes
+    return SceneFigures(
+        processes=scene.processes,
+        discovery=scene.discovery.value,
+        killed=scene.killed,
+        ended=sum(one.has_ended for one in processes),
+        why=list(logs[:SHOWN_LOGS]),
+        in_time=round(in_time, 3),
+        ready_s=ReadyTimes(
+            p50=round(ready_s[len(ready_s) // 2], 2) if ready_s else None,
+            p90=round(ready_s[int(len(ready_s) * 0.9)], 2) if ready_s else None,
+            max=round(ready_s[-1], 2) if ready_s else None,
+        ),
+        cpu_s=round(sum(one.cpu_s for one in processes) / scene.processes, 3),
+        memory_mb=round(max(one.memory_mb for one in processes), 1),
+    )
 
 
 async def run(quick: bool) -> int:
-    scenes = [(how, False) for how in Discovery] + [(Discovery.UP, True)]
+    """Plays all scenes, one after the other, and reports; the exit code."""
+    kinds = [(how, False) for how in Discovery] + [(Discovery.UP, True)]
     results = []
     for count in QUICK if quick else MANY:
-        for how, killed in scenes:
-            results.append(await measure(count, how, killed))
-            print(json.dumps(results[-1]), flush=True)
-    failed = sum(one["ended"] > 0 or one["in_time"] < READY_SHARE for one in results)
-    print(json.dumps({"cores": os.cpu_count(), "failed": failed, "results": results}))
+        for how, killed in kinds:
+            results.append(await measure(Scene(count, how, killed)))
+            print(json.dumps(asdict(results[-1])), flush=True)
+    failed = sum(one.ended > 0 or one.in_time < READY_SHARE for one in results)
+    rows = [asdict(one) for one in results]
+    print(json.dumps({"cores": os.cpu_count(), "failed": failed, "results": rows}))
     return 1 if failed else 0
 
 
 def main() -> int:
+    """The exit code."""
     return asyncio.run(run("--quick" in sys.argv[1:]))
 
 
