--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -14,7 +14,6 @@
 
 import asyncio
 import json
-import os
 import random
 import sys
 import tempfile
@@ -23,10 +22,12 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 from pathlib import Path
+from statistics import fmean
 from typing import Any, NamedTuple
 
 from benchmarks import conclude
 from benchmarks.example_site import example_config, request_fields
+from benchmarks.process_usage import ProcessUsage
 from gladelane.endpoints.address import Family
 from gladelane.lab.client import Client
 from gladelane.lab.fake_discovery import FakeDiscovery
@@ -46,7 +47,7 @@
 STEPS = 8  # of the replacement of half of the caches
 OBJECTS, ZIPF = 4000, 1.0
 SIZE_KB = 400
-TICK_S = 1.0 / os.sysconf("SC_CLK_TCK")
+METER_S = 0.1
 
 
 class Allowance(NamedTuple):
@@ -85,10 +86,10 @@
 
 
 class FakeFleet:
-    """Caches, parents and an origin: addresses of their own on one stand-in."""
+    """Caches, parents and an origin: addresses of their own on one fake server."""
 
     def __init__(self, caches: int) -> None:
-        self.standin = FakeServer("fleet")
+        self.server = FakeServer("fleet")
         self.caches = caches
         self.weight = CACHE_WEIGHT * SMALL / caches
         self.all_addresses: list[str] = []
@@ -99,7 +100,7 @@
         """With addresses for the caches that come later."""
         hosts = _loopback_hosts()
         for _ in range(self.caches + self.caches // 2 + PARENTS + 1):
-            self.all_addresses.append(await self.standin.listen(Family.V4, next(hosts)))
+            self.all_addresses.append(await self.server.listen(Family.V4, next(hosts)))
         self.addresses = self.all_addresses[::-1]
         for place in range(self.caches):
             self.add_cache(f"cache-{place}", f"zone-{place % ZONES}", 0)
@@ -108,6 +109,7 @@
         self._add("bank", "hub", "origin", 1.0, 0)
 
     def add_cache(self, name: str, zone: str, started_ms: int) -> dict[str, Any]:
+        """Its entry in the endpoint list."""
         return self._add(name, zone, "standard", self.weight, started_ms)
 
     def _add(self, name: str, zone: str, kind: str, weight: float, started_ms: int) -> dict[str, Any]:
@@ -124,7 +126,8 @@
         return self.listed[name]
 
     def accepted(self) -> int:
-        return sum(self.standin.accepted(address) for address in self.all_addresses)
+        """Connections that came to any address."""
+        return sum(self.server.accepted(address) for address in self.all_addresses)
 
 
 def _loopback_hosts() -> Iterator[str]:
@@ -143,6 +146,7 @@
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def run(self, span_s: float) -> None:
+        """Returns once all requests of so many seconds are answered."""
         loop = asyncio.get_running_loop()
         clients = [await Client.to("127.0.0.1", self.port) for _ in range(4)]
         weights = [1.0 / place**ZIPF for place in range(1, OBJECTS + 1)]
@@ -171,25 +175,26 @@
     """Processor time, peak memory and most descriptors of one process, from the system."""
 
     def __init__(self, pid: int) -> None:
-        self._folder = Path(f"/proc/{pid}")
+        self._usage = ProcessUsage(pid)
         self.cpu_s = self.memory_mb = 0.0
         self.descriptors = 0
 
     def read(self) -> None:
+        """Leaves the figures as they are where the process has ended."""
         with suppress(OSError):
-            times = (self._folder / "stat").read_text().rpartition(")")[2].split()
-            self.cpu_s = (int(times[11]) + int(times[12])) * TICK_S
-            status = (self._folder / "status").read_text()
-            self.memory_mb = int(status.partition("VmHWM:")[2].split()[0]) * 1024 / 1e6
-            self.descriptors = max(self.descriptors, len(list((self._folder / "fd").iterdir())))
+            self.cpu_s = self._usage.processor_s()
+            self.memory_mb = self._usage.peak_resident_mb()
+            self.descriptors = max(self.descriptors, self._usage.descriptors())
 
     async def run(self) -> None:
+        """Reads again and again, until cancelled."""
         while True:
             self.read()
-            await asyncio.sleep(0.1)
+            await asyncio.sleep(METER_S)
 
 
-def director_file(board: str, known: dict[str, Any], me: int) -> dict[str, Any]:
+def director_file(discovery_address: str, known: dict[str, Any], me: int) -> dict[str, Any]:
+    """The configuration of the director of this index, with the list as it is known before its start."""
     raw = example_config()
     zones = ["hub", *(f"zone-{place}" for place in range(ZONES))]
     raw["settings"] |= {"areas": zones, "zone": f"zone-{me % 2}", "me": me, "balancers": PROXIES}
@@ -197,10 +202,10 @@
         "hub_of": [0] * len(zones),
         "seats_by_zone": [0] + [PROXIES // ZONES] * ZONES,
     }
-    return {**raw, "name": f"n{me}", "seed": f"{me + 1:x}", "board": board, "known": known}
+    return {**raw, "name": f"n{me}", "seed": f"{me + 1:x}", "board": discovery_address, "known": known}
 
 
-async def replace_half(fleet: FakeFleet, board: FakeDiscovery, span_s: float) -> None:
+async def replace_half(fleet: FakeFleet, discovery: FakeDiscovery, span_s: float) -> None:
     """In steps, each drains some, lists as many new ones, and a moment later tells that the old ones left."""
     old = [
         name for place, name in enumerate(fleet.listed) if name.startswith("cache-") and place // ZONES % 2
@@ -212,69 +217,100 @@
         going = old[step::STEPS]
         zones = {name: fleet.listed[name]["zone"] for name in going}
         drains = [{**fleet.listed[name], "lifecycle": "terminating"} for name in going]
-        await tell(board, drains)
+        await tell(discovery, drains)
         started = start_ms + int((loop.time() - (ends - span_s)) * 1000)
-        await tell(board, [fleet.add_cache(f"{name}-new", zone, started) for name, zone in zones.items()])
+        await tell(discovery, [fleet.add_cache(f"{name}-new", zone, started) for name, zone in zones.items()])
         await asyncio.sleep(max(ends - span_s * (1.0 - (step + 1) / STEPS) - loop.time(), 0.0))
-        await tell(board, [{**fleet.listed.pop(name), "lifecycle": "terminated"} for name in going])
+        await tell(discovery, [{**fleet.listed.pop(name), "lifecycle": "terminated"} for name in going])
 
 
-async def tell(board: FakeDiscovery, instances: Sequence[dict[str, Any]], reset: bool = False) -> None:
+async def tell(discovery: FakeDiscovery, instances: Sequence[dict[str, Any]], reset: bool = False) -> None:
     """A few at once, as a platform tells of a release; a whole list in one."""
     size = len(instances) if reset else 10
     for first in range(0, len(instances), size):
-        board.tell({"pool": {"reset": reset, "instances": list(instances[first : first + size])}})
+        discovery.tell({"pool": {"reset": reset, "instances": list(instances[first : first + size])}})
         await asyncio.sleep(0)
 
 
+class Directors:
+    """So many director processes, each with its traffic and its meter."""
+
+    def __init__(self, folder: Path) -> None:
+        self._folder = folder
+        self._processes: list[Processes] = []
+        self._watching: list[asyncio.Task[None]] = []
+        self.meters: list[Meter] = []
+        self.traffic: list[Traffic] = []
+
+    async def start(self, count: int, discovery_address: str, known: dict[str, Any]) -> None:
+        """One after the other; returns once all serve."""
+        for me in range(count):
+            folder = self._folder / str(me)
+            folder.mkdir()
+            director = Processes(folder, director_file(discovery_address, known, me))
+            self._processes.append(director)
+            self.meters.append(Meter((await director.start()).pid))
+            await director.serving()
+            self._watching.append(asyncio.create_task(self.meters[-1].run()))
+            self.traffic.append(Traffic(director.port, random.Random(me)))
+
+    async def close(self) -> None:
+        """Kills all processes."""
+        for task in self._watching:
+            task.cancel()
+        for director in self._processes:
+            await director.end()
+
+
 async def play_day(caches: int, quick: bool) -> Figures:
-    span_s = DAY_S if quick else DAY_LONG_S
-    count = DIRECTORS if quick else DIRECTORS_LONG
-    fleet, board = FakeFleet(caches), FakeDiscovery()
+    """One fleet of this size, from its start to its end."""
+    fleet, discovery = FakeFleet(caches), FakeDiscovery()
     await fleet.start()
-    address = await board.start()
-    await tell(board, list(fleet.listed.values()), reset=True)
-    known = board.known()
+    address = await discovery.start()
+    await tell(discovery, list(fleet.listed.values()), reset=True)
+    known = discovery.known()
     with tempfile.TemporaryDirectory() as folder:
-        directors: list[Processes] = []
-        meters: list[Meter] = []
-        watching: list[asyncio.Task[None]] = []
+        directors = Directors(Path(folder))
         try:
-            for me in range(count):
-                place = Path(folder) / str(me)
-                place.mkdir()
-                directors.append(Processes(place, director_file(address, known, me)))
-                meters.append(Meter((await directors[-1].start()).pid))
-                await directors[-1].serving()
-                watching.append(asyncio.create_task(meters[-1].run()))
-            traffic = [Traffic(one.port, random.Random(me)) for me, one in enumerate(directors)]
-            asking = [asyncio.create_task(one.run(span_s)) for one in traffic]
-            await asyncio.sleep(SETTLE_S)
-            await replace_half(fleet, board, span_s / 2)
-            await tell(board, list(fleet.listed.values()), reset=True)
-            await asyncio.gather(*asking)
-            for meter in meters:
-                meter.read()
+            await directors.start(DIRECTORS if quick else DIRECTORS_LONG, address, known)
+            await play_changes(fleet, discovery, directors, DAY_S if quick else DAY_LONG_S)
         finally:
-            for task in watching:
-                task.cancel()
-            for director in directors:
-                await director.end()
-            await board.close()
+            await directors.close()
+            await discovery.close()
             connections = fleet.accepted()
-            await fleet.standin.close()
-    told = board.notices[known["rev"] :]
+            await fleet.server.close()
+    list_bytes = sum(len(encode_event(json.dumps(event))) for event in discovery.notices[known["rev"] :])
+    return summarise(directors, connections, list_bytes)
+
+
+async def play_changes(
+    fleet: FakeFleet, discovery: FakeDiscovery, directors: Directors, span_s: float
+) -> None:
+    """Traffic for so long, and meanwhile the changes of the list."""
+    asking = [asyncio.create_task(one.run(span_s)) for one in directors.traffic]
+    await asyncio.sleep(SETTLE_S)
+    await replace_half(fleet, discovery, span_s / 2)
+    await tell(discovery, list(fleet.listed.values()), reset=True)
+    await asyncio.gather(*asking)
+    for meter in directors.meters:
+        meter.read()
+
+
+def summarise(directors: Directors, connections: int, list_bytes: int) -> Figures:
+    """`connections`: of all directors; `list_bytes`: what each has got of the endpoint list."""
+    meters, traffic = directors.meters, directors.traffic
     return Figures(
-        sum(meter.cpu_s for meter in meters) / count,
-        sum(meter.memory_mb for meter in meters) / count,
-        sum(meter.descriptors for meter in meters) / count,
-        connections / count,
-        sum(len(encode_event(json.dumps(notice))) for notice in told),
-        sum(one.served for one in traffic) / max(sum(one.asked for one in traffic), 1),
+        cpu=fmean(meter.cpu_s for meter in meters),
+        memory=fmean(meter.memory_mb for meter in meters),
+        descriptors=fmean(meter.descriptors for meter in meters),
+        connections=connections / len(meters),
+        list_bytes=list_bytes,
+        served=sum(one.served for one in traffic) / max(sum(one.asked for one in traffic), 1),
     )
 
 
 async def run(quick: bool) -> int:
+    """Plays both sizes and reports; the exit code."""
     small = await play_day(SMALL, quick)
     print(SMALL, small, flush=True)
     large = await play_day(LARGE, quick)
@@ -292,6 +328,7 @@
 
 
 def main() -> int:
+    """The exit code."""
     return asyncio.run(run("--quick" in sys.argv[1:]))
 
 
