--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -40,6 +40,7 @@
 
 
 def summary(played: list[tuple[Case, Measured]]) -> dict[str, Any]:
+    """The figures of one size, by the names of the report."""
     fallen = [case for case, measured in played if measured.over > 0.0]
     flooded = [measured.used for case, measured in played if case.name == FLOOD]
     low = [measured.used / case.demand for case, measured in played if case.demand < 1.0]
@@ -103,6 +104,7 @@
 
 
 def main() -> int:
+    """The exit code."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--program", type=Path)
--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -157,9 +157,11 @@
 
     @property
     def start_limit_s(self) -> float:
+        """What the start may take."""
         return START_FACTOR * self.import_s + START_SLACK_S
 
     def is_late(self, full_service_s: float) -> bool:
+        """Whether the start, or what is left until full service after it, took too long."""
         after_s = full_service_s - self.start_s
         return not (self.start_s <= self.start_limit_s and after_s <= AFTER_START_S)
 
@@ -173,6 +175,7 @@
 
 
 async def look_at_restart(fleet: Fleet, _load: Load) -> dict[str, Any]:
+    """The start of a run's first restart, for its metrics."""
     return {"start_s": first_start_s(fleet.directors)}
 
 
@@ -253,10 +256,12 @@
 
     @property
     def is_noticed(self) -> bool:
+        """Whether the figures show the delay and count it as late."""
         return self.full_service_s >= self.delay_s and self.restart.is_late(self.full_service_s)
 
 
 def play_delayed_start(shape: Shape, least_s: float) -> DelayedStart:
+    """`least_s`: a delay below it might pass for a slow start."""
     delay_s = round(max(DELAY_S, least_s), 1)
     line = f"{WARM_AFTER_S} {WARM} for {delay_s}"
     metrics = play_restart(line, shape, 12.0 + delay_s)
@@ -270,6 +275,7 @@
 
 
 def full_service_figures(runs: dict[str, dict[str, Any]], delayed: DelayedStart) -> dict[str, Any]:
+    """By the names of the report."""
     restart: Restart = runs[KILLED]["restart"]
     full = {name: run["full_service_s"] for name, run in runs.items()}
     cold = [runs[KILLED]["full_by_fault"][f"{COLD_AT_S} {COLD}"]]
@@ -288,17 +294,21 @@
 
 
 def full_after_warm_restart(runs: dict[str, dict[str, Any]]) -> float:
+    """Seconds from the fault until full service."""
     seconds: float = runs[KILLED]["full_by_fault"][f"{WARM_AFTER_S} {WARM}"]
     return seconds
 
 
 def is_full_service_late(runs: dict[str, dict[str, Any]]) -> bool:
+    """Whether any run did not get back, or the first restart took too long."""
     restart: Restart = runs[KILLED]["restart"]
     never = any(math.isinf(run["full_service_s"]) for run in runs.values())
     return never or restart.is_late(full_after_warm_restart(runs))
 
 
 def summarise(quick: bool, runs: dict[str, dict[str, Any]], delayed: DelayedStart) -> dict[str, Any]:
+    """The sums of all runs, by the names of the report."""
+
     def total(name: str) -> int:
         return sum(run[name] for run in runs.values())
 
@@ -329,6 +339,7 @@
 
 
 def main() -> int:
+    """The exit code."""
     if "--line" in sys.argv:
         return one_line(sys.argv[1:])
     quick = "--quick" in sys.argv
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -106,6 +106,7 @@
         self._hash = sha256()
 
     def add(self, now_ms: float, event: Event, actions: Sequence[Action]) -> None:
+        """An event at this moment, and the actions that the router gave for it."""
         self.actions += len(actions)
         words = [f"{now_ms:.6f}", str(_EVENTS.get(type(event), -1))]
         for action in actions:
@@ -114,6 +115,7 @@
         self._hash.update(" ".join(words).encode() + b"\n")
 
     def text(self) -> str:
+        """The digest of all that was added."""
         return self._hash.hexdigest()
 
 
@@ -168,17 +170,20 @@
 
 
 def run_site_hints(quick: bool) -> None:
+    """Sizes of objects are listed, and notes tell of hits only."""
     plan = Plan(site_settings(), caches=5, locations=2, directors=2, parents=3, rate=150.0, link=1.8)
     run_fleet(plan, 11, FLEET_MS if quick else FLEET_LONG_MS)
 
 
 def run_site_notes(quick: bool) -> None:
+    """No sizes are listed, and notes tell of everything."""
     settings = site_settings(notes="all", weights="none", straight=False, joins=False, peers_fill="none")
     plan = Plan(settings, caches=4, locations=2, directors=2, parents=3, rate=150.0, link=2.2)
     run_fleet(plan, 12, FLEET_MS if quick else FLEET_LONG_MS)
 
 
 def run_shared_zone(quick: bool) -> None:
+    """Many directors in one location."""
     settings = site_settings(proxies=16, seats_by_zone=[0, 8, 8])
     plan = Plan(
         settings, caches=10, locations=2, directors=8, parents=4, rate=220.0, link=1.3, origin_workers=6
@@ -217,6 +222,7 @@
         self.over: set[int] = set()
 
     def run(self, span_ms: float) -> None:
+        """Plays for so long in virtual time."""
         self.tell(Members(ListKind.COMPLETE, tuple(self.members.values())))
         self.repeat(ASK_MS, self.ask)
         self.repeat(CHANGE_MS, self.change)
@@ -224,6 +230,8 @@
         self.line.run(START_MS + span_ms)
 
     def repeat(self, mean_ms: float, call: Callable[[], None]) -> None:
+        """Calls at random moments of this mean distance."""
+
         def again() -> None:
             call()
             self.line.after(self.rng.expovariate(1.0 / mean_ms), again)
@@ -231,6 +239,7 @@
         self.line.after(self.rng.expovariate(1.0 / mean_ms), again)
 
     def tell(self, event: Event) -> None:
+        """Hands an event to the router and carries out its actions."""
         for action in self.router.handle(self.line.now, event):
             match action:
                 case Fetch() | Lookup():
@@ -245,6 +254,7 @@
                     pass
 
     def ask(self) -> None:
+        """A request, which its client may leave."""
         rng = self.rng
         self.numbers += 1
         spec = self.settings.classes[rng.choice(self.names)]
@@ -257,10 +267,12 @@
         self.tell(Request(self.numbers, spec.name, object_, deadline, size, object_ % 8, part))
 
     def leave(self, number: int) -> None:
+        """The client of this request goes."""
         self.over.add(number)
         self.tell(ClientGone(number))
 
     def send(self, action: Fetch | Lookup) -> None:
+        """An attempt, with an outcome drawn at random."""
         rng, number = self.rng, action.id
         attempt = self.sends.get(number, 0)
         self.sends[number] = attempt + 1
@@ -276,6 +288,7 @@
         self.line.after(took, partial(self.end, number, attempt, status))
 
     def end(self, number: int, attempt: int, status: Status) -> None:
+        """The outcome of an attempt, unless it is over."""
         store = self.open.pop((number, attempt), None)
         if store is None:
             return
@@ -292,6 +305,7 @@
         self.tell(Outcome(number, attempt, store, status, 0.0, note, wait, number in self.over))
 
     def change(self) -> None:
+        """Some members change, or the list cannot be had."""
         rng = self.rng
         if rng.random() < 0.03:
             self.tell(Members(ListKind.FAILED))
@@ -307,6 +321,7 @@
             self.tell(Members(ListKind.CHANGES, tuple(rng.sample(told, min(3, len(told))))))
 
     def changed(self, member: Member) -> Member:
+        """A member after its change."""
         rng = self.rng
         if member.state is not State.READY:
             return replace(member, state=State.READY, came_up_ms=float(int(self.line.now)))
@@ -315,6 +330,7 @@
         return replace(member, state=state, weight=weight)
 
     def purge(self) -> None:
+        """Of an object, or of a whole group."""
         object_ = self.rng.choice([0, self.rng.randint(1, 40)])
         self.tell(Purge(object_, self.rng.randrange(8), self.rng.uniform(0.0, 400.0)))
 
@@ -336,6 +352,7 @@
 
 
 def run_generated(quick: bool) -> None:
+    """One router for each generated deployment."""
     for seed in range(GENERATED if quick else GENERATED_LONG):
         plan = draw_deployment(random.Random(seed))
         specs = (*plan.caches, *plan.joining, *plan.parents, plan.origin)
@@ -349,6 +366,7 @@
 
 
 def run_deployed(quick: bool) -> None:
+    """Generated fleets with the real director."""
     for seed in range(DEPLOYED if quick else DEPLOYED_LONG):
         DeployedFleet(draw_deployment(random.Random(seed))).run()
 
@@ -366,17 +384,20 @@
 
 
 def run_scene(name: str, quick: bool = True) -> ActionDigest:
+    """The digest of this scene."""
     with recorded() as digest:
         SCENES[name](quick)
     return digest
 
 
 def golden() -> dict[str, str]:
+    """The recorded digests, by scene."""
     known: dict[str, str] = json.loads(GOLDEN.read_text())
     return known
 
 
 def main() -> int:
+    """The exit code."""
     words = sys.argv[1:]
     quick = "--quick" in words
     began = time.process_time()
--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -31,6 +31,7 @@
 
 
 def deployment(seed: int) -> Deployment:
+    """The deployment of this number."""
     return draw_deployment(random.Random(seed))
 
 
@@ -40,6 +41,7 @@
 
 
 def breaks(fleet: DeployedFleet, rule: str) -> bool:
+    """Whether the run of this fleet breaks this rule."""
     return any(broken.rule == rule for broken in fleet.run().broken)
 
 
@@ -63,6 +65,7 @@
 
 
 def run_all(count: int, draw: Draw = deployment) -> dict[str, Any]:
+    """The sums of so many deployments, by the names of the report; prints what they break."""
     requests = sends = served = falls = steps = 0
     breaches: Counter[str] = Counter()
     for seed in range(count):
@@ -87,6 +90,7 @@
 
 
 def reduce_seed(seed: int, draw: Draw) -> int:
+    """Prints the smallest deployment that breaks the same rule; the exit code."""
     outcome = DeployedFleet(draw(seed)).run()
     if not outcome.broken:
         print(f"seed {seed} breaks no rule")
@@ -110,6 +114,7 @@
 
 
 def main() -> int:
+    """The exit code."""
     words = sys.argv[1:]
     if "--seed" in words:
         draw = stepped_deployment if "--steps" in words else deployment
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -49,6 +49,7 @@
 
 
 def log_bytes() -> bytes:
+    """A log of eight records, as it lies on disk."""
     disk = SimDisk()
     log, _ = recover(disk)
     for n in range(8):
@@ -61,6 +62,7 @@
 
 
 def mutated(rng: random.Random, data: bytes) -> bytes:
+    """The same bytes with a few changes."""
     made = bytearray(data)
     for _ in range(rng.randrange(1, 6)):
         place = rng.randrange(len(made) + 1)
@@ -79,16 +81,19 @@
 
 
 def try_scope(data: bytes) -> None:
+    """A scope has to be read again from its own text."""
     scope = parse_scope(data.decode("utf-8", "replace"), {"a": "objects:a*", "x": "tag:x"})
     assert parse_scope(scope.text()) == scope
 
 
 def try_vector(data: bytes) -> None:
+    """So has a vector of positions."""
     vector = parse_vector(data.decode("utf-8", "replace"))
     assert parse_vector(format_vector(vector)) == vector
 
 
 def try_event(data: bytes) -> None:
+    """What an event carries can be applied, stored and restored."""
     event = event_decoder.decode(data)
     standing = ActivePurges()
     for purge in event.purges:
@@ -97,12 +102,14 @@
 
 
 def try_stream(data: bytes) -> None:
+    """Events are the same, whatever the pieces in which they come."""
     whole = list(EventStream().feed(data))
     parts = EventStream()
     assert whole == [event for place in range(len(data)) for event in parts.feed(data[place : place + 1])]
 
 
 def try_log(data: bytes) -> None:
+    """What recovery leaves out of a log, it has to report."""
     disk = SimDisk()
     disk.put("0000000000000000.log", data)
     found = recover(disk)[1]
@@ -124,6 +131,7 @@
 
 
 def main() -> int:
+    """The exit code."""
     words = sys.argv[1:]
     seed = int(words[words.index("--seed") + 1]) if "--seed" in words else 1
     rng, tried, faults = random.Random(seed), dict.fromkeys(TRIES, 0), 0
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -25,6 +25,7 @@
 
 
 def settings(locations: int, directors: int) -> Settings:
+    """Settings of a director of the first location."""
     raw = example_config()["settings"]
     zones = ["hub", *(f"z{n}" for n in range(locations))]
     family = {
@@ -45,6 +46,7 @@
 
 
 def fleet(locations: int, caches: int, directors: int, seed: int) -> Fleet:
+    """A fleet whose load grows with its caches."""
     parents = max(2, locations // 2)
     plan = Plan(
         settings(locations, directors),
@@ -62,6 +64,7 @@
 
 
 def digest() -> str:
+    """Of a short run with a crash and a restart."""
     run = fleet(3, 3, 1, 7)
     run.line.at(2000.0, lambda: run.crash("z0c0"))
     run.line.at(5000.0, lambda: run.restart("z0c0"))
@@ -85,6 +88,7 @@
 
 
 def pace(locations: int, caches: int, directors: int, virtual_ms: float) -> dict[str, Any]:
+    """How fast virtual time goes for a fleet of this size."""
     run = fleet(locations, caches, directors, 1)
     began = time.process_time()
     run.run(virtual_ms)
@@ -104,6 +108,7 @@
 
 
 def main() -> int:
+    """The exit code. `--digest` prints the digest alone."""
     if "--digest" in sys.argv[1:]:
         print(digest())
         return 0
--- a/benchmarks/leaves.py
+++ b/benchmarks/leaves.py
@@ -24,7 +24,7 @@
 import sys
 import tempfile
 from bisect import bisect_left
-from collections.abc import AsyncIterator, Awaitable, Callable
+from collections.abc import AsyncIterator, Awaitable, Callable, Iterable
 from contextlib import asynccontextmanager, suppress
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -91,11 +91,21 @@
 class Leaves:
     """What was seen at one place. Times are seconds of the loop."""
 
+    wanted: int = 0
     left: dict[str, float] = field(default_factory=dict)  # by the request's id, when the leave had been sent
     beats: list[float] = field(default_factory=list)
     unanswered: int = 0
+    are_complete: asyncio.Event = field(default_factory=asyncio.Event)  # once as many as wanted have left
+
+    def note(self, ids: Iterable[str], at_s: float) -> None:
+        """These requests have been left by now."""
+        for id_ in ids:
+            self.left.setdefault(id_, at_s)
+        if len(self.left) >= self.wanted:
+            self.are_complete.set()
 
     def count(self, standins: list[FakeServer], since: dict[str, int]) -> dict[str, Any]:
+        """By the names of the report. `since`: how many attempts each server had seen before."""
         late: list[tuple[float, float]] = []  # after the leave: at the earliest, and as seen
         attempts = whole_over = 0
         for standin in standins:
@@ -135,6 +145,7 @@
         self._open: dict[int, str] = {}
 
     async def run(self) -> None:
+        """Until cancelled."""
         try:
             while True:
                 with suppress(OSError):
@@ -213,9 +224,7 @@
 
     def _note(self) -> None:
         """All that is open has been left now."""
-        now = asyncio.get_running_loop().time()
-        for id_ in self._open.values():
-            self.leaves.left.setdefault(id_, now)
+        self.leaves.note(self._open.values(), asyncio.get_running_loop().time())
         self._open.clear()
 
     def _ended(self) -> bool:
@@ -252,6 +261,7 @@
         self.board = FakeDiscovery()
 
     async def start(self, cancel: bool) -> Processes:
+        """The director, once it serves. `cancel`: whether it may cancel attempts."""
         raw = example_config()
         raw["board"] = await self.board.start()
         raw["settings"]["limits"] |= {"cancel": cancel, "dial_timeout_ms": DIAL_MS}
@@ -290,6 +300,7 @@
             await asyncio.sleep(self.rng.uniform(0.1, 0.3))
 
     async def close(self) -> None:
+        """Ends discovery and all servers."""
         await self.board.close()
         for standin in self.standins:
             await standin.close()
@@ -308,6 +319,7 @@
 
 
 async def beat(beats: list[float], standins: list[FakeServer]) -> None:
+    """Looks for arrivals at all servers again and again, and notes when."""
     while True:
         for standin in standins:
             standin.look()
@@ -317,6 +329,7 @@
 
 @asynccontextmanager
 async def going(*tasks: Awaitable[None]) -> AsyncIterator[None]:
+    """These tasks run meanwhile; one that failed raises at the end."""
     running = [asyncio.ensure_future(task) for task in tasks]
     try:
         yield
@@ -332,7 +345,7 @@
     place: Place, fleet: Fleet, director: Processes, most: int, told: Callable[[str], None]
 ) -> dict[str, Any]:
     """One place until it has been left so often."""
-    rng, leaves = fleet.rng, Leaves()
+    rng, leaves = fleet.rng, Leaves(wanted=most)
     fleet.place = place
     since = {standin.name: len(standin.seen) for standin in fleet.standins}
     clients = [Leaver(director.port, place, rng, leaves) for _ in range(CLIENTS)]
@@ -340,8 +353,7 @@
         async with going(
             hold_up(director.all[0], rng), fleet.trouble(), *(client.run() for client in clients)
         ):
-            while len(leaves.left) < most:
-                await asyncio.sleep(0.01)
+            await leaves.are_complete.wait()
         for standin in fleet.standins:
             standin.resume(fleet.addresses[standin.name])
             await standin.set(fleet.addresses[standin.name], Fault.NONE, drop=False)
@@ -352,6 +364,7 @@
 
 
 async def measure(quick: bool) -> dict[str, Any]:
+    """All places, with cancels and without."""
     figures: dict[str, Any] = {}
     rng = random.Random(9)
     for cancel in (True, False):
@@ -369,6 +382,7 @@
 
 
 def main() -> int:
+    """The exit code."""
     places = uvloop.run(measure("--quick" in sys.argv[1:]))
     counted = ("leaves", "attempts", "begun_after", "over", "unclear", "whole_over", "unanswered")
     total = {key: sum(found[key] for found in places.values()) for key in counted}
--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -44,6 +44,7 @@
         self.folder = folder
 
     async def start(self, program: Path = ROOT) -> Processes:
+        """The director, once it serves. `program`: the checkout that is started."""
         raw = example_config()
         raw["board"], raw["limits"] = "127.0.0.1:1", {"cores": 1, "memory_mb": MEMORY_MB, "sockets": SOCKETS}
         raw["known"]["notices"][0]["pool"]["instances"] = [
@@ -56,11 +57,13 @@
         return director
 
     async def close(self) -> None:
+        """Ends the servers."""
         for standin in self.standins:
             await standin.close()
 
 
 def spread(times: list[float]) -> dict[str, float]:
+    """Of times in ms, by the names of the report."""
     ordered = statistics.quantiles(times, n=100, method="inclusive")
     return {"p50_ms": round(ordered[49], 2), "p99_ms": round(ordered[98], 2), "most_ms": round(max(times), 2)}
 
@@ -105,6 +108,7 @@
 
 
 async def door(quick: bool) -> dict[str, Any]:
+    """The admin endpoint at rest, under load, and beside slow callers."""
     wrong: list[str] = []
     count = 60 if quick else 300
     with tempfile.TemporaryDirectory() as folder:
@@ -175,6 +179,7 @@
 
 
 def varied(words: list[str], place: int, seen: Seen) -> tuple[str, bytes]:
+    """An answer that depends on the request and on the server."""
     return words[(int(seen.id, 16) + place) % len(words)], b"x"
 
 
@@ -209,6 +214,7 @@
 
 
 def answer_one(accepted: socket.socket) -> None:
+    """One byte for one byte."""
     with accepted, suppress(OSError):
         accepted.settimeout(0.5)
         if accepted.recv(1):
@@ -216,6 +222,7 @@
 
 
 def accept_until(listener: socket.socket, stop: threading.Event) -> None:
+    """Answers newcomers until stopped."""
     listener.settimeout(0.02)
     while not stop.is_set():
         with suppress(OSError):
@@ -223,6 +230,7 @@
 
 
 def come_until(port: int, stop: threading.Event, lost: list[int]) -> None:
+    """Connects again and again until stopped; `lost` has for each whether it got no answer."""
     while not stop.is_set():
         try:
             with socket.create_connection(("127.0.0.1", port), timeout=1.0) as client:
@@ -268,6 +276,7 @@
 
 
 def main() -> int:
+    """The exit code."""
     quick = "--quick" in sys.argv[1:]
     told: dict[str, Any] = {"quick": quick}
     told |= uvloop.run(door(quick))
--- a/benchmarks/system_calls/__main__.py
+++ b/benchmarks/system_calls/__main__.py
@@ -39,6 +39,7 @@
 
 
 def figures_of(cases: list[Case], tally: Tally, planted: int, missed: int) -> dict[str, Any]:
+    """By the names of the report."""
     return {
         "sites": len({case.site.name for case in cases}),
         "errnos": len({case.error for case in cases}),
--- a/benchmarks/system_calls/cases.py
+++ b/benchmarks/system_calls/cases.py
@@ -19,6 +19,8 @@
 
 @dataclass(frozen=True)
 class Case:
+    """One call site under one error at one moment. `most`: so many calls fail at most; -1: all do."""
+
     site: Site
     error: int
     moment: Moment
@@ -28,14 +30,17 @@
 
     @property
     def name(self) -> str:
+        """As the report names it."""
         bound = f", {self.most} calls" if self.most >= 0 else ""
         return f"{self.site.name}, {error_name(self.error)}, {self.moment.value}{bound}"
 
     @property
     def breaks_clients(self) -> bool:
+        """Whether connections of clients may end by it."""
         return self.site.breaks_clients and self.error not in TRANSIENT
 
     def fault(self, scene: Scene) -> Fault:
+        """What the preload library is to do at this scene."""
         ports = {
             Port.ANY: 0,
             Port.CLIENTS: scene.director.port,
@@ -48,6 +53,7 @@
 
 
 def error_name(error: int) -> str:
+    """The name of an errno, or of a short read or write."""
     return "short" if error == SHORT else errno.errorcode[error]
 
 
--- a/benchmarks/system_calls/lanes.py
+++ b/benchmarks/system_calls/lanes.py
@@ -27,6 +27,7 @@
         self.tally = Tally()
 
     async def run(self, cases: Iterable[Case]) -> None:
+        """Returns once all cases are played."""
         cases = list(cases)
         running = [case for case in cases if case.moment not in FRESH]
         fresh = [case for case in cases if case.moment in FRESH]
--- a/benchmarks/system_calls/tally.py
+++ b/benchmarks/system_calls/tally.py
@@ -28,6 +28,7 @@
     broken: list[str] = field(default_factory=list)
 
     def add(self, name: str, result: CaseResult) -> None:
+        """Takes in the result of the case of this name."""
         verdict = result.verdict
         self.cases += 1
         for key in COUNTED:
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -41,6 +41,7 @@
     broken: list[str] = field(default_factory=list)
 
     def figures(self) -> dict[str, Any]:
+        """By the names of the report."""
         return {
             "rounds": self.rounds,
             "served": self.served,
@@ -94,6 +95,7 @@
 
 
 async def both_ways(other: Path, rounds: int) -> dict[str, Direction]:
+    """So many upgrades from the other version to this one, and as many back."""
     directions = {"other_to_this": (other, ROOT), "this_to_other": (ROOT, other)}
     measured = {name: Direction() for name in directions}
     for name, (first, second) in directions.items():
@@ -108,6 +110,7 @@
 
 
 def main() -> int:
+    """The exit code."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--program", type=Path, required=True)
     parser.add_argument("--quick", action="store_true")
