--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -20,7 +20,7 @@
 import uvloop
 
 from benchmarks import conclude
-from benchmarks.operations import World
+from benchmarks.operations.site import Site
 from gladelane.lab.processes import ROOT, Load, Processes
 
 ROUNDS, QUICK_ROUNDS = 5, 2
@@ -51,10 +51,11 @@
         }
 
 
-async def upgrade_once(world: World, first: Path, second: Path, measured: Direction) -> None:
+async def upgrade_once(folder: Path, first: Path, second: Path, measured: Direction) -> None:
     """A process of `first` serves and is replaced by one of `second`."""
-    director = await world.start(first)
-    load = Load(director.port, classes=world.classes)
+    site = Site()
+    director = await site.start(folder, first)
+    load = Load(director.port, classes=site.class_names)
     try:
         await asyncio.sleep(LOAD_BEFORE_S)
         await director.start(program=second)
@@ -74,6 +75,7 @@
     finally:
         await load.stop()
         await director.end()
+        await site.close()
     measured.rounds += 1
     measured.served += load.served
     measured.refused += load.refused
@@ -101,11 +103,7 @@
     for name, (first, second) in directions.items():
         for _ in range(rounds):
             with tempfile.TemporaryDirectory(prefix="gl") as folder:
-                world = World(Path(folder))
-                try:
-                    await upgrade_once(world, first, second, measured[name])
-                finally:
-                    await world.close()
+                await upgrade_once(Path(folder), first, second, measured[name])
     return measured
 
 
