--- a/tests/fleet/test_audit.py
+++ b/tests/fleet/test_audit.py
@@ -20,7 +20,7 @@
 from harness import Cache, Command, config, running, trial, until
 from test_coming_back import fleet_of, said, struck
 
-from benchmarks.comeback import time_imports
+from benchmarks.comeback.first_restart import time_imports
 from gladelane.audit.activity_log import ActivityLog
 from gladelane.audit.audit_queries import directors
 from gladelane.audit.options import AuditOptions
--- a/tests/fleet/test_comeback_measure.py
+++ b/tests/fleet/test_comeback_measure.py
@@ -9,8 +9,15 @@
 
 import pytest
 
-from benchmarks import comeback
-from benchmarks.comeback import AFTER_START_S, DELAY_S, DelayedStart, Restart, first_start_s, time_imports
+from benchmarks.comeback import first_restart
+from benchmarks.comeback.first_restart import (
+    AFTER_START_S,
+    DELAY_S,
+    DelayedStart,
+    Restart,
+    first_start_s,
+    time_imports,
+)
 
 
 @dataclass
@@ -48,13 +55,13 @@
 ) -> None:
     assert time_imports(1) > 0.0
     put_program(tmp_path, "import time\ntime.sleep(0.5)\n")
-    monkeypatch.setattr(comeback, "ROOT", tmp_path)
+    monkeypatch.setattr(first_restart, "ROOT", tmp_path)
     assert time_imports(1) >= 0.5
 
 
 def test_imports_that_fail_are_no_measure(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     put_program(tmp_path, "raise ImportError('planted')\n")
-    monkeypatch.setattr(comeback, "ROOT", tmp_path)
+    monkeypatch.setattr(first_restart, "ROOT", tmp_path)
     with pytest.raises(RuntimeError, match="cannot be imported"):
         time_imports(1)
 
@@ -69,7 +76,7 @@
     if is_installed:
         put_program(installed, "")
     monkeypatch.setenv("PYTHONPATH", str(installed))
-    monkeypatch.setattr(comeback, "ROOT", checkout)  # the program is not there
+    monkeypatch.setattr(first_restart, "ROOT", checkout)  # the program is not there
     with pytest.raises(RuntimeError, match="cannot be imported"):
         time_imports(1)
 
--- a/tests/fleet/test_coming_back.py
+++ b/tests/fleet/test_coming_back.py
@@ -16,8 +16,8 @@
 
 import pytest
 
-from benchmarks import comeback
-from benchmarks.comeback import AFTER_START_S, time_imports
+from benchmarks.comeback import first_restart
+from benchmarks.comeback.first_restart import AFTER_START_S, time_imports
 from gladelane.lab.client import Answer
 from gladelane.lab.fake_server import Fault
 from gladelane.lab.fleet.day import play
@@ -74,7 +74,7 @@
 
 def extra_s(import_s: float) -> float:
     """For starts on a machine that is busy: what `benchmarks.comeback` allows there beyond what a run of 8 s allows."""
-    limit_s = comeback.Restart(import_s, 0.0).start_limit_s + AFTER_START_S
+    limit_s = first_restart.Restart(import_s, 0.0).start_limit_s + AFTER_START_S
     return max(limit_s - LEFT_S, 0.0)
 
 
