--- /dev/null
+++ b/benchmarks/leaves/fleet.py
@@ -0,0 +1,75 @@
+"""The fake servers, and a director process in front of them."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from pathlib import Path
+
+from benchmarks.example_site import example_config, list_entry
+from gladelane.endpoints.address import Family
+from gladelane.lab.fake_discovery import FakeDiscovery
+from gladelane.lab.fake_server import FakeServer, Fault, Said, Seen
+from gladelane.lab.processes import Processes
+
+from .places import NARROW, PLACES
+
+CACHES = 6
+DIAL_MS = 1500.0  # a dial that is dropped comes up with the system's second SYN, after 1 s
+
+
+class Fleet:
+    """Caches, a parent and the origin, and a director in front of them."""
+
+    def __init__(self, folder: Path, rng: random.Random) -> None:
+        self.folder, self.rng = folder, rng
+        self.place = PLACES[0]
+        names = (*(f"cache-{n}" for n in range(CACHES)), "depot", "bank")
+        self.standins = [FakeServer(name, self._answer) for name in names]
+        self.addresses: dict[str, str] = {}
+        self.board = FakeDiscovery()
+
+    async def start(self, cancel: bool) -> Processes:
+        """The director, once it serves. `cancel`: whether it may cancel attempts."""
+        raw = example_config()
+        raw["board"] = await self.board.start()
+        raw["settings"]["limits"] |= {"cancel": cancel, "dial_timeout_ms": DIAL_MS}
+        instances = []
+        for standin in self.standins:
+            address = self.addresses[standin.name] = await standin.listen(Family.V4, receive_buffer=NARROW)
+            instances.append(list_entry(standin.name, address, 5, cell=0, startedAtMs=0))
+        self.board.tell({"pool": {"generation": 1, "reset": True, "instances": instances}})
+        raw["known"] = self.board.known()
+        processes = Processes(self.folder, raw)
+        await processes.start()
+        await processes.serving()
+        return processes
+
+    async def _answer(self, _seen: Seen) -> Said:
+        await asyncio.sleep(self.rng.uniform(*self.place.answers_s))
+        if self.rng.random() < self.place.refuses:
+            return self.rng.choice(("overload -", "not_here -")), b""
+        return "served digest=d,dated=1,remark=h", b"\x00" + b"k" * self.place.answer_bytes
+
+    async def trouble(self) -> None:
+        """What the place has the servers do, all the while."""
+        origin = self.standins[-1]
+        while self.place.late_dials:
+            await origin.set(self.addresses[origin.name], Fault.BLACK_HOLE)
+            await asyncio.sleep(self.rng.uniform(0.5, 0.9))
+            await origin.set(self.addresses[origin.name], Fault.NONE, drop=False)
+            await asyncio.sleep(self.rng.uniform(0.4, 0.6))
+        while self.place.pauses:
+            halted = self.rng.sample(self.standins, 5)
+            for standin in halted:
+                standin.pause(self.addresses[standin.name])
+            await asyncio.sleep(self.rng.uniform(0.15, 0.4))
+            for standin in halted:
+                standin.resume(self.addresses[standin.name])
+            await asyncio.sleep(self.rng.uniform(0.1, 0.3))
+
+    async def close(self) -> None:
+        """Ends discovery and all servers."""
+        await self.board.close()
+        for standin in self.standins:
+            await standin.close()
