--- a/benchmarks/addresses/dial_costs.py
+++ b/benchmarks/addresses/dial_costs.py
@@ -67,8 +67,8 @@
     first_ms = await run_at_once([dial_anew] * count, FIRST_AT_ONCE)
     endpoints = endpoints_of("s", listed)
     await dial("s", endpoints, sockets)
-    dial_again = partial(dial, "s", endpoints, sockets)
-    learnt_ms = await run_at_once([dial_again] * (count * LEARNT_DIALS), 1)
+    dial_learnt = partial(dial, "s", endpoints, sockets)
+    learnt_ms = await run_at_once([dial_learnt] * (count * LEARNT_DIALS), 1)
     in_turn_ms = await run_at_once([partial(dial_in_turn, listed)] * count, IN_TURN_AT_ONCE)
     await server.close()
     return DialFigures(
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -108,14 +108,14 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--program", type=Path)
-    told = parser.parse_args()
+    options = parser.parse_args()
     figures: dict[str, Any] = {}
-    if told.program is None:
-        figures |= simulate(QUICK_SEEDS if told.quick else SEEDS)
-        figures["routers"] = with_routers(QUICK_ROUTER_SEEDS if told.quick else ROUTER_SEEDS)
-    directors = QUICK_PROCESSES if told.quick else PROCESSES
-    seeds = QUICK_PROCESS_SEEDS if told.quick else PROCESS_SEEDS
-    figures["processes"] = uvloop.run(with_processes(directors, seeds, told.program))
+    if options.program is None:
+        figures |= simulate(QUICK_SEEDS if options.quick else SEEDS)
+        figures["routers"] = with_routers(QUICK_ROUTER_SEEDS if options.quick else ROUTER_SEEDS)
+    directors = QUICK_PROCESSES if options.quick else PROCESSES
+    seeds = QUICK_PROCESS_SEEDS if options.quick else PROCESS_SEEDS
+    figures["processes"] = uvloop.run(with_processes(directors, seeds, options.program))
     simulated = [*figures.get("sizes", {}).values(), *figures.get("routers", {}).values()]
     fallen = sum(size["fallen"] for size in simulated)
     fallen += sum(figures["processes"][server.value]["fallen"] for server in Server)
--- a/benchmarks/comeback/first_restart.py
+++ b/benchmarks/comeback/first_restart.py
@@ -37,7 +37,7 @@
 AFTER_START_S = 1.0  # from when the last of them answers until service is full
 
 
-class Lives(Protocol):
+class ProcessTimes(Protocol):
     """When a process began to answer and when one was ended, Unix s."""
 
     ups: list[float]
@@ -62,7 +62,7 @@
         return not (self.start_s <= self.start_limit_s and after_s <= AFTER_START_S)
 
 
-def first_start_s(directors: Sequence[Lives]) -> float:
+def first_start_s(directors: Sequence[ProcessTimes]) -> float:
     """Infinite: one that was struck never came back."""
     fault_s = min(moment for one in directors for moment in one.downs)
     struck = [one for one in directors if one.downs and one.downs[0] < fault_s + APART_S]
--- a/benchmarks/decisions/__main__.py
+++ b/benchmarks/decisions/__main__.py
@@ -23,8 +23,8 @@
         digests[name], actions = digest.text(), actions + digest.actions
         print(f"{name}: {digest.actions} actions, {digest.text()}", flush=True)
     if "--record" in words and quick:
-        kept = {name: text for name, text in digests.items() if name not in NOT_GOLDEN}
-        GOLDEN.write_text(json.dumps(kept, indent=1) + "\n")
+        recorded = {name: text for name, text in digests.items() if name not in NOT_GOLDEN}
+        GOLDEN.write_text(json.dumps(recorded, indent=1) + "\n")
     changed = [name for name, text in golden().items() if quick and digests[name] != text]
     figures = {
         "quick": quick,
--- a/benchmarks/decisions/fleets.py
+++ b/benchmarks/decisions/fleets.py
@@ -15,12 +15,12 @@
 FLEET_MS, FLEET_LONG_MS = 20_000.0, 120_000.0
 
 
-def run_fleet(plan: Plan, seed: int, span_ms: float) -> None:
+def run_fleet(plan: Plan, seed: int, duration_ms: float) -> None:
     """Crashes, drains, restarts and purges all along."""
     fleet = Fleet(plan, seed)
     line, rng = fleet.line, random.Random(seed)
     at = 1500.0
-    while at < span_ms:
+    while at < duration_ms:
         store = rng.choice([*fleet.caches, *fleet.parents])
         if rng.random() < 0.7:
             line.at(at, partial(fleet.crash, store))
@@ -30,7 +30,7 @@
         line.at(at + rng.uniform(2000.0, 6000.0), partial(fleet.restart, store))
         line.at(at + 300.0, partial(fleet.purge, rng.randrange(8)))
         at += rng.uniform(700.0, 2500.0)
-    fleet.run(span_ms)
+    fleet.run(duration_ms)
 
 
 def run_site_hints(quick: bool) -> None:
--- a/benchmarks/decisions/routers.py
+++ b/benchmarks/decisions/routers.py
@@ -21,9 +21,11 @@
 
 def run_large_list(_quick: bool, caches: int = LARGE_CACHES) -> None:
     """Many caches in the router's own location, and as many elsewhere; weights that differ, or do not."""
-    for seed, (weights, seats) in enumerate((("nominal", 2), ("rough", 60), ("none", 60))):
+    for seed, (weights, directors) in enumerate((("nominal", 2), ("rough", 60), ("none", 60))):
         rng = random.Random(seed)
-        settings = site_settings(weights=weights, seats_by_zone=[0, seats, seats], proxies=seats * 2)
+        settings = site_settings(
+            weights=weights, seats_by_zone=[0, directors, directors], proxies=directors * 2
+        )
         members = [
             Member(f"{zone}-{place}", zone, "box", place % 7, weight=weight)
             for zone in ("z0", "z1")
--- a/benchmarks/decisions/script.py
+++ b/benchmarks/decisions/script.py
@@ -61,22 +61,22 @@
         self.open: dict[tuple[int, int], str] = {}
         self.over: set[int] = set()
 
-    def run(self, span_ms: float) -> None:
+    def run(self, duration_ms: float) -> None:
         """Plays for so long in virtual time."""
         self.tell(Members(ListKind.COMPLETE, tuple(self.members.values())))
         self.repeat(ASK_MS, self.ask)
         self.repeat(CHANGE_MS, self.change)
         self.repeat(PURGE_MS, self.purge)
-        self.line.run(START_MS + span_ms)
+        self.line.run(START_MS + duration_ms)
 
     def repeat(self, mean_ms: float, call: Callable[[], None]) -> None:
         """Calls at random moments of this mean distance."""
 
-        def again() -> None:
+        def call_and_repeat() -> None:
             call()
-            self.line.after(self.rng.expovariate(1.0 / mean_ms), again)
+            self.line.after(self.rng.expovariate(1.0 / mean_ms), call_and_repeat)
 
-        self.line.after(self.rng.expovariate(1.0 / mean_ms), again)
+        self.line.after(self.rng.expovariate(1.0 / mean_ms), call_and_repeat)
 
     def tell(self, event: Event) -> None:
         """Hands an event to the router and carries out its actions."""
@@ -120,12 +120,12 @@
         source = action.source if isinstance(action, Fetch) else action.store
         bad = action.store in self.troubled or source in self.troubled
         status = rng.choices(_OUTCOMES, _BAD_CHANCES if bad else _CHANCES)[0]
-        took = min(rng.lognormvariate(4.0, 1.2), action.timeout_ms)
+        elapsed_ms = min(rng.lognormvariate(4.0, 1.2), action.timeout_ms)
         if status is Status.TIMEOUT:
-            took = action.timeout_ms
+            elapsed_ms = action.timeout_ms
         elif rng.random() < START_CHANCE:
-            self.line.after(took / 2, partial(self.tell, Started(number, attempt)))
-        self.line.after(took, partial(self.end, number, attempt, status))
+            self.line.after(elapsed_ms / 2, partial(self.tell, Started(number, attempt)))
+        self.line.after(elapsed_ms, partial(self.end, number, attempt, status))
 
     def end(self, number: int, attempt: int, status: Status) -> None:
         """The outcome of an attempt, unless it is over."""
@@ -152,13 +152,13 @@
             return
         for name in rng.sample(sorted(self.members), min(rng.randint(1, 3), len(self.members))):
             self.members[name] = self.changed(self.members[name])
-        told = list(self.members.values())
+        listed = list(self.members.values())
         if rng.random() < 0.15:
-            rng.shuffle(told)
-            told = [member for member in told if member.state is not State.GONE]
-            self.tell(Members(ListKind.COMPLETE, tuple(told)))
+            rng.shuffle(listed)
+            listed = [member for member in listed if member.state is not State.GONE]
+            self.tell(Members(ListKind.COMPLETE, tuple(listed)))
         else:
-            self.tell(Members(ListKind.CHANGES, tuple(rng.sample(told, min(3, len(told))))))
+            self.tell(Members(ListKind.CHANGES, tuple(rng.sample(listed, min(3, len(listed))))))
 
     def changed(self, member: Member) -> Member:
         """A member after its change."""
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -58,7 +58,7 @@
     return disk.read(disk.names()[0])
 
 
-WHOLE = log_bytes()
+INTACT_LOG = log_bytes()
 
 
 def mutated(rng: random.Random, data: bytes) -> bytes:
@@ -95,17 +95,17 @@
 def try_event(data: bytes) -> None:
     """What an event carries can be applied, stored and restored."""
     event = event_decoder.decode(data)
-    standing = ActivePurges()
+    active = ActivePurges()
     for purge in event.purges:
-        standing.apply(purge, 1.7e12)
-    ActivePurges().restore(standing.snapshot(), 1.7e12)
+        active.apply(purge, 1.7e12)
+    ActivePurges().restore(active.snapshot(), 1.7e12)
 
 
 def try_stream(data: bytes) -> None:
     """Events are the same, whatever the pieces in which they come."""
-    whole = list(EventStream().feed(data))
+    at_once = list(EventStream().feed(data))
     parts = EventStream()
-    assert whole == [event for place in range(len(data)) for event in parts.feed(data[place : place + 1])]
+    assert at_once == [event for place in range(len(data)) for event in parts.feed(data[place : place + 1])]
 
 
 def try_log(data: bytes) -> None:
@@ -113,9 +113,9 @@
     disk = SimDisk()
     disk.put("0000000000000000.log", data)
     found = recover(disk)[1]
-    if len(found.records) < 8 and data[: len(WHOLE)] != WHOLE:
-        kept = disk.size("0000000000000000.log") if disk.names() else 0
-        assert kept + found.truncated_bytes == len(data), "bytes went without a word"
+    if len(found.records) < 8 and data[: len(INTACT_LOG)] != INTACT_LOG:
+        remaining = disk.size("0000000000000000.log") if disk.names() else 0
+        assert remaining + found.truncated_bytes == len(data), "bytes went without a word"
 
 
 TRIES: dict[str, tuple[Callable[[bytes], Any], tuple[type[Exception], ...]]] = {
@@ -138,7 +138,7 @@
     end = time.monotonic() + (12.0 if "--quick" in words else 300.0)
     while time.monotonic() < end:
         for name, (call, own) in TRIES.items():
-            base = WHOLE if name == "log" else rng.choice(SEEDS[name])
+            base = INTACT_LOG if name == "log" else rng.choice(SEEDS[name])
             data = mutated(rng, base) if rng.random() < 0.9 else rng.randbytes(rng.randrange(60))
             tried[name] += 1
             try:
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -92,7 +92,7 @@
     run = fleet(locations, caches, directors, 1)
     began = time.process_time()
     run.run(virtual_ms)
-    took = time.process_time() - began
+    elapsed_s = time.process_time() - began
     return {
         "servers": len(run.members),
         "directors": len(run.directors),
@@ -101,9 +101,9 @@
         "worth": round(run.served_weight / run.requested_weight, 3),
         "hits": round(run.counts["hits"] / max(run.counts["ok"], 1), 3),
         "broken": len(run.broken),
-        "events_per_s": round(run.line.passed / took),
-        "s_per_virtual_s": round(took / virtual_ms * 1000.0, 3),
-        "us_per_request": round(took / max(run.counts["asked"], 1) * 1e6, 1),
+        "events_per_s": round(run.line.passed / elapsed_s),
+        "s_per_virtual_s": round(elapsed_s / virtual_ms * 1000.0, 3),
+        "us_per_request": round(elapsed_s / max(run.counts["asked"], 1) * 1e6, 1),
     }
 
 
--- a/benchmarks/leaves/counts.py
+++ b/benchmarks/leaves/counts.py
@@ -30,12 +30,12 @@
         if len(self.left) >= self.wanted:
             self.are_complete.set()
 
-    def count(self, standins: list[FakeServer], since: dict[str, int]) -> dict[str, Any]:
+    def count(self, servers: list[FakeServer], since: dict[str, int]) -> dict[str, Any]:
         """By the names of the report. `since`: how many attempts each server had seen before."""
         late: list[tuple[float, float]] = []  # after the leave: at the earliest, and as seen
         attempts = whole_over = 0
-        for standin in standins:
-            for seen in standin.seen[since[standin.name] :]:
+        for server in servers:
+            for seen in server.seen[since[server.name] :]:
                 attempts += 1
                 left = self.left.get(seen.id)
                 if left is None:
--- a/benchmarks/leaves/fleet.py
+++ b/benchmarks/leaves/fleet.py
@@ -25,21 +25,21 @@
         self.folder, self.rng = folder, rng
         self.place = PLACES[0]
         names = (*(f"cache-{n}" for n in range(CACHES)), "depot", "bank")
-        self.standins = [FakeServer(name, self._answer) for name in names]
+        self.servers = [FakeServer(name, self._answer) for name in names]
         self.addresses: dict[str, str] = {}
-        self.board = FakeDiscovery()
+        self.discovery = FakeDiscovery()
 
     async def start(self, cancel: bool) -> Processes:
         """The director, once it serves. `cancel`: whether it may cancel attempts."""
         raw = example_config()
-        raw["board"] = await self.board.start()
+        raw["board"] = await self.discovery.start()
         raw["settings"]["limits"] |= {"cancel": cancel, "dial_timeout_ms": DIAL_MS}
         instances = []
-        for standin in self.standins:
-            address = self.addresses[standin.name] = await standin.listen(Family.V4, receive_buffer=NARROW)
-            instances.append(list_entry(standin.name, address, 5, cell=0, startedAtMs=0))
-        self.board.tell({"pool": {"generation": 1, "reset": True, "instances": instances}})
-        raw["known"] = self.board.known()
+        for server in self.servers:
+            address = self.addresses[server.name] = await server.listen(Family.V4, receive_buffer=NARROW)
+            instances.append(list_entry(server.name, address, 5, cell=0, startedAtMs=0))
+        self.discovery.tell({"pool": {"generation": 1, "reset": True, "instances": instances}})
+        raw["known"] = self.discovery.known()
         processes = Processes(self.folder, raw)
         await processes.start()
         await processes.serving()
@@ -53,23 +53,23 @@
 
     async def trouble(self) -> None:
         """What the place has the servers do, all the while."""
-        origin = self.standins[-1]
+        origin = self.servers[-1]
         while self.place.late_dials:
             await origin.set(self.addresses[origin.name], Fault.BLACK_HOLE)
             await asyncio.sleep(self.rng.uniform(0.5, 0.9))
             await origin.set(self.addresses[origin.name], Fault.NONE, drop=False)
             await asyncio.sleep(self.rng.uniform(0.4, 0.6))
         while self.place.pauses:
-            halted = self.rng.sample(self.standins, 5)
-            for standin in halted:
-                standin.pause(self.addresses[standin.name])
+            halted = self.rng.sample(self.servers, 5)
+            for server in halted:
+                server.pause(self.addresses[server.name])
             await asyncio.sleep(self.rng.uniform(0.15, 0.4))
-            for standin in halted:
-                standin.resume(self.addresses[standin.name])
+            for server in halted:
+                server.resume(self.addresses[server.name])
             await asyncio.sleep(self.rng.uniform(0.1, 0.3))
 
     async def close(self) -> None:
         """Ends discovery and all servers."""
-        await self.board.close()
-        for standin in self.standins:
-            await standin.close()
+        await self.discovery.close()
+        for server in self.servers:
+            await server.close()
--- a/benchmarks/leaves/play.py
+++ b/benchmarks/leaves/play.py
@@ -37,11 +37,11 @@
         os.kill(process.pid, signal.SIGCONT)
 
 
-async def beat(beats: list[float], standins: list[FakeServer]) -> None:
+async def beat(beats: list[float], servers: list[FakeServer]) -> None:
     """Looks for arrivals at all servers again and again, and notes when."""
     while True:
-        for standin in standins:
-            standin.look()
+        for server in servers:
+            server.look()
         beats.append(asyncio.get_running_loop().time())
         await asyncio.sleep(BEAT_S)
 
@@ -61,22 +61,22 @@
 
 
 async def play(
-    place: Place, fleet: Fleet, director: Processes, most: int, told: Callable[[str], None]
+    place: Place, fleet: Fleet, director: Processes, most: int, report: Callable[[str], None]
 ) -> dict[str, Any]:
     """One place until it has been left so often."""
     rng, leaves = fleet.rng, Leaves(wanted=most)
     fleet.place = place
-    since = {standin.name: len(standin.seen) for standin in fleet.standins}
+    since = {server.name: len(server.seen) for server in fleet.servers}
     clients = [Leaver(director.port, place, rng, leaves) for _ in range(CLIENTS)]
-    async with going(beat(leaves.beats, fleet.standins)):
+    async with going(beat(leaves.beats, fleet.servers)):
         async with going(
             hold_up(director.all[0], rng), fleet.trouble(), *(client.run() for client in clients)
         ):
             await leaves.are_complete.wait()
-        for standin in fleet.standins:
-            standin.resume(fleet.addresses[standin.name])
-            await standin.set(fleet.addresses[standin.name], Fault.NONE, drop=False)
+        for server in fleet.servers:
+            server.resume(fleet.addresses[server.name])
+            await server.set(fleet.addresses[server.name], Fault.NONE, drop=False)
         await asyncio.sleep(SETTLE_S)
-    found = leaves.count(fleet.standins, since)
-    told(f"{place.name}: {found}")
+    found = leaves.count(fleet.servers, since)
+    report(f"{place.name}: {found}")
     return found
--- a/benchmarks/purges/load.py
+++ b/benchmarks/purges/load.py
@@ -20,7 +20,7 @@
 PARTS = 2  # that are asked for of each object
 DEADLINE_MS = 1500
 PATIENCE_S = 4.0
-NOBODY_USABLE_S, REJECTED_S, BETWEEN_REQUESTS_S, SUBMIT_AGAIN_S = 0.01, 0.05, 0.002, 0.02
+NOBODY_USABLE_S, REJECTED_S, BETWEEN_REQUESTS_S, RETRY_S = 0.01, 0.05, 0.002, 0.02
 SERVED, REJECTED = 0, 1  # codes of answers
 
 
@@ -87,7 +87,7 @@
                 answer = json.loads(await fetch("127.0.0.1", port, "POST", "/purges", TOKEN, body, headers))
                 return Purged(answer["at_ms"], parse(answer["scope"]))
             except (OSError, HttpStatusError, TimeoutError):
-                await asyncio.sleep(SUBMIT_AGAIN_S)
+                await asyncio.sleep(RETRY_S)
 
     async def note_purges(self, count: int, interval_s: float) -> None:
         """What would have been purged, of which nobody is notified."""
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -30,7 +30,7 @@
 
 READY_S, GIVE_UP_S = 10.0, 60.0  # the operators' bound for nine in ten, and how long this benchmark waits
 READY_SHARE = 0.9
-ASK_AGAIN_S = 0.02
+PROBE_S = 0.02
 CACHES = 200
 MANY, QUICK = (10, 50, 200), (10, 50)
 BACKLOG = 512  # of discovery
@@ -127,9 +127,9 @@
 
 def distinct_ports(count: int) -> list[int]:
     """All are held until the last is known: one asked for after the other may come twice."""
-    held = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
-    ports = [int(one.getsockname()[1]) for one in held]
-    for one in held:
+    listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
+    ports = [int(one.getsockname()[1]) for one in listeners]
+    for one in listeners:
         one.close()
     return ports
 
@@ -184,7 +184,7 @@
             started.ready_s = loop.time() - began
             started.measure()
             return
-        await asyncio.sleep(ASK_AGAIN_S)
+        await asyncio.sleep(PROBE_S)
 
 
 async def end(processes: list[Started]) -> None:
--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -145,13 +145,13 @@
     served: int = 0
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
-    async def run(self, span_s: float) -> None:
+    async def run(self, duration_s: float) -> None:
         """Returns once all requests of so many seconds are answered."""
         loop = asyncio.get_running_loop()
         clients = [await Client.to("127.0.0.1", self.port) for _ in range(4)]
         weights = [1.0 / place**ZIPF for place in range(1, OBJECTS + 1)]
-        objects = self.rng.choices(range(OBJECTS), weights, k=int(span_s * RATE * 2) + 100)
-        due, ends = loop.time(), loop.time() + span_s
+        objects = self.rng.choices(range(OBJECTS), weights, k=int(duration_s * RATE * 2) + 100)
+        due, ends = loop.time(), loop.time() + duration_s
         while due < ends:
             due += self.rng.expovariate(RATE)
             await asyncio.sleep(max(due - loop.time(), 0.0))
@@ -205,22 +205,22 @@
     return {**raw, "name": f"n{me}", "seed": f"{me + 1:x}", "board": discovery_address, "known": known}
 
 
-async def replace_half(fleet: FakeFleet, discovery: FakeDiscovery, span_s: float) -> None:
+async def replace_half(fleet: FakeFleet, discovery: FakeDiscovery, duration_s: float) -> None:
     """In steps, each drains some, lists as many new ones, and a moment later tells that the old ones left."""
     old = [
         name for place, name in enumerate(fleet.listed) if name.startswith("cache-") and place // ZONES % 2
     ]
     loop = asyncio.get_running_loop()
     start_ms = int(time.time() * 1000)
-    ends = loop.time() + span_s
+    ends = loop.time() + duration_s
     for step in range(STEPS):
         going = old[step::STEPS]
         zones = {name: fleet.listed[name]["zone"] for name in going}
         drains = [{**fleet.listed[name], "lifecycle": "terminating"} for name in going]
         await tell(discovery, drains)
-        started = start_ms + int((loop.time() - (ends - span_s)) * 1000)
+        started = start_ms + int((loop.time() - (ends - duration_s)) * 1000)
         await tell(discovery, [fleet.add_cache(f"{name}-new", zone, started) for name, zone in zones.items()])
-        await asyncio.sleep(max(ends - span_s * (1.0 - (step + 1) / STEPS) - loop.time(), 0.0))
+        await asyncio.sleep(max(ends - duration_s * (1.0 - (step + 1) / STEPS) - loop.time(), 0.0))
         await tell(discovery, [{**fleet.listed.pop(name), "lifecycle": "terminated"} for name in going])
 
 
@@ -284,12 +284,12 @@
 
 
 async def play_changes(
-    fleet: FakeFleet, discovery: FakeDiscovery, directors: Directors, span_s: float
+    fleet: FakeFleet, discovery: FakeDiscovery, directors: Directors, duration_s: float
 ) -> None:
     """Traffic for so long, and meanwhile the changes of the list."""
-    asking = [asyncio.create_task(one.run(span_s)) for one in directors.traffic]
+    asking = [asyncio.create_task(one.run(duration_s)) for one in directors.traffic]
     await asyncio.sleep(SETTLE_S)
-    await replace_half(fleet, discovery, span_s / 2)
+    await replace_half(fleet, discovery, duration_s / 2)
     await tell(discovery, list(fleet.listed.values()), reset=True)
     await asyncio.gather(*asking)
     for meter in directors.meters:
