--- a/benchmarks/restarts/process.py
+++ b/benchmarks/restarts/process.py
@@ -6,7 +6,6 @@
 import json
 import os
 import signal
-import socket
 import sys
 from contextlib import suppress
 from pathlib import Path
@@ -14,7 +13,7 @@
 
 from benchmarks.example_site import example_config
 from benchmarks.process_usage import ProcessUsage
-from gladelane.lab.processes import ROOT
+from gladelane.lab.processes import ROOT, free_port
 from gladelane.net.client_protocol import FrameDecoder, FramingError, Type, encode_fields, encode_frame
 
 READY_S, GIVE_UP_S = 10.0, 60.0  # the operators' bound for nine in ten, and how long this benchmark waits
@@ -53,12 +52,11 @@
 
 
 def distinct_ports(count: int) -> list[int]:
-    """All are held until the last is known: one asked for after the other may come twice."""
-    listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
-    ports = [int(one.getsockname()[1]) for one in listeners]
-    for one in listeners:
-        one.close()
-    return ports
+    """Free ones; two calls of `free_port` may give the same."""
+    ports: set[int] = set()
+    while len(ports) < count:
+        ports.add(free_port())
+    return list(ports)
 
 
 def write_config(folder: Path, number: int, discovery_address: str, port: int) -> Configured:
