--- a/gladelane/audit/activity_log_store.py
+++ b/gladelane/audit/activity_log_store.py
@@ -12,6 +12,7 @@
 
 import msgspec
 
+from ..storage.compaction import LogCompaction
 from ..storage.files import Disk, Folder, rename_damaged_folder
 from ..storage.log import CorruptLogError, WriteAheadLog, recover
 from ..storage.outage import Outage
@@ -68,9 +69,10 @@
             aside = rename_damaged_folder(path)
             log.warning("audit: trail set aside as %s: %s", aside, error)
             self._open(Folder(path))
-        self._record_count = 0
         self._outage = Outage(log, "audit: trail")
-        self._snapshot_outage = Outage(log, "audit: snapshot of the trail")
+        # what was recovered need not count: the next snapshot replaces it as well
+        snapshot_outage = Outage(log, "audit: snapshot of the trail")
+        self._compaction = LogCompaction(self._log, snapshot_outage, 0, SNAPSHOT_AFTER)
 
     def _open(self, disk: Disk) -> None:
         self._disk = disk
@@ -89,7 +91,7 @@
     @property
     def needs_snapshot(self) -> bool:
         """Whether there are so many records that the next write should bring a snapshot."""
-        return self._record_count >= SNAPSHOT_AFTER
+        return self._compaction.is_due
 
     def write(self, page: LogPage, snapshot: list[LogPage] | None) -> bool:
         """Writes a page, and then the snapshot, which holds all that must remain. Blocks, so it runs in a
@@ -102,20 +104,11 @@
             self._outage.report_failure(error)
             return False
         self._outage.report_success()
-        self._record_count += 1
+        self._compaction.add(1)
         if snapshot is not None:
-            self._write_snapshot(snapshot)
+            self._compaction.write_blocking(msgspec.msgpack.encode(snapshot))
         return True
 
-    def _write_snapshot(self, pages: list[LogPage]) -> None:
-        try:
-            self._log.snapshot(msgspec.msgpack.encode(pages))
-        except OSError as error:  # the log has everything, and is only longer than necessary
-            self._snapshot_outage.report_failure(error)
-        else:
-            self._snapshot_outage.report_success()
-            self._record_count = 0
-
     def close(self) -> None:
         """Releases the folder for the next process."""
         self._log.close()
--- a/gladelane/audit/report_log.py
+++ b/gladelane/audit/report_log.py
@@ -9,6 +9,7 @@
 import msgspec
 
 from ..storage import without_gc
+from ..storage.compaction import LogCompaction
 from ..storage.files import Disk
 from ..storage.log import recover
 from ..storage.outage import Outage
@@ -57,7 +58,7 @@
                 self.expects = snapshot.expects
             for data in found.records:
                 self._recover_record(_record_decoder.decode(data))
-        self._record_count = len(found.records)
+        self._compaction = LogCompaction(self._log, self.snapshot_outage, len(found.records), SNAPSHOT_AFTER)
 
     def _recover_record(self, record: ReportRecord) -> None:
         self.expects += record.expects
@@ -70,7 +71,7 @@
         for record in records:
             self._log.append(msgspec.msgpack.encode(record))
         await asyncio.to_thread(self._log.commit)
-        self._record_count += len(records)
+        self._compaction.add(len(records))
         self.outage.report_success()
 
     def discard(self, error: Exception) -> None:
@@ -82,18 +83,10 @@
         self._log.discard_uncommitted()
 
     async def shorten(self, expects: list[ExpectedDigests]) -> None:
-        """Replaces the log by a snapshot of the store once there are many records. Failing is harmless: the
-        log is only longer than necessary."""
-        if self._record_count < SNAPSHOT_AFTER:
-            return
-        payload = msgspec.msgpack.encode(ReportSnapshot(self._store.snapshot(), expects))
-        try:
-            await asyncio.to_thread(self._log.snapshot, payload)
-        except OSError as error:
-            self.snapshot_outage.report_failure(error)
-        else:
-            self.snapshot_outage.report_success()
-            self._record_count = 0
+        """Replaces the log by a snapshot of the store once there are many records."""
+        if self._compaction.is_due:
+            snapshot = ReportSnapshot(self._store.snapshot(), expects)
+            await self._compaction.write(msgspec.msgpack.encode(snapshot))
 
     def close(self) -> None:
         """Releases the folder."""
--- a/gladelane/leases/token_store.py
+++ b/gladelane/leases/token_store.py
@@ -13,6 +13,7 @@
 
 import msgspec
 
+from ..storage.compaction import LogCompaction
 from ..storage.files import Disk
 from ..storage.log import RecoveredLog, WriteAheadLog, recover
 from ..storage.outage import Outage
@@ -56,11 +57,12 @@
         self.is_empty = recovery.snapshot is None and not recovery.records
         self.recovered_tokens: dict[str, int] = {}
         self.progress: dict[str, ResourceProgress] = {}
-        self._record_count = len(recovery.records)
         self._staged_tokens: dict[str, StoredRecord] = {}
         self._staged_progress: dict[str, StoredRecord] = {}
         self._outage = Outage(log, "keeper: numbers")
-        self._snapshot_outage = Outage(log, "keeper: snapshot")
+        self._compaction = LogCompaction(
+            self._log, Outage(log, "keeper: snapshot"), len(recovery.records), SNAPSHOT_AFTER_RECORDS
+        )
         for record in _recovered_records(recovery):
             token = max(self.recovered_tokens.get(record.resource, 0), record.fencing_token)
             self.recovered_tokens[record.resource] = token
@@ -107,7 +109,7 @@
             _unstage(self._staged_tokens, batch.tokens)
             return False
         self._outage.report_success()
-        self._record_count += len(batch.records())
+        self._compaction.add(len(batch.records()))
         _unstage(self._staged_tokens, batch.tokens)
         _unstage(self._staged_progress, batch.progress)
         return True
@@ -117,15 +119,8 @@
 
         A snapshot that fails is only logged: the log has all records, and the next call tries again.
         """
-        if self._record_count < SNAPSHOT_AFTER_RECORDS or self._outage.is_ongoing:
-            return
-        try:
-            await asyncio.to_thread(self._log.snapshot, self._encode_snapshot(tokens))
-        except OSError as error:
-            self._snapshot_outage.report_failure(error)
-        else:
-            self._snapshot_outage.report_success()
-            self._record_count = 0
+        if self._compaction.is_due and not self._outage.is_ongoing:
+            await self._compaction.write(self._encode_snapshot(tokens))
 
     def close(self) -> None:
         """Closes the log, once a write that is under way has ended."""
--- a/gladelane/purges/__init__.py
+++ b/gladelane/purges/__init__.py
@@ -10,6 +10,6 @@
 and `snapshot` hold the state, `low_watermark` and `loss_detection` say what may have been lost, `backfill`,
 `cutoff` and `orders` decide for directors. None of these does I/O or reads a clock.
 
-I/O: `purge_store`, `subscription_store`, `checkpoint_file` and `snapshot_writer` for files; `committer`,
+I/O: `purge_store`, `subscription_store`, `checkpoint_file` and `log_compaction` for files; `committer`,
 `peers`, `purge_stream`, `subscriber`, `backfill_sender`, `order_sender` and `control_part` for sockets.
 """
--- a/gladelane/purges/purge_store.py
+++ b/gladelane/purges/purge_store.py
@@ -13,9 +13,9 @@
 from .active_purges import ActivePurges
 from .batch import Batch, OwnRecord, decode_own, encode_own, is_own
 from .checkpoint_file import CheckpointFile
+from .log_compaction import compaction_of
 from .loss_detection import Checkpoint
 from .low_watermark import Loss
-from .snapshot_writer import SnapshotWriter
 from .wire import purge_decoder
 
 log = logging.getLogger(__name__)
@@ -45,7 +45,7 @@
         self._outage = Outage(log, "feed: purges")
         self._checkpoint_outage = Outage(log, "feed: mark")
         records = len(found.records)
-        self._snapshots = SnapshotWriter(self.log, records, Outage(log, "feed: snapshot of purges"))
+        self._compaction = compaction_of(self.log, records, Outage(log, "feed: snapshot of purges"))
         with without_gc():
             if found.snapshot is not None:
                 active.restore(found.snapshot, now_ms)
@@ -137,8 +137,9 @@
 
     async def count(self, stored: int) -> None:
         """Counts purges that were stored and applied, and writes a snapshot if the log is long."""
-        if self._snapshots.add(stored):
-            await self._snapshots.write(await asyncio.to_thread(self._active.snapshot))
+        self._compaction.add(stored)
+        if self._compaction.is_due:
+            await self._compaction.write(await asyncio.to_thread(self._active.snapshot))
 
     def close(self) -> None:
         """Closes the log."""
--- a/gladelane/purges/subscription_store.py
+++ b/gladelane/purges/subscription_store.py
@@ -14,9 +14,9 @@
 from ..storage.log import WriteAheadLog, recover
 from ..storage.outage import Outage
 from .active_purges import ActivePurges
+from .log_compaction import compaction_of
 from .low_watermark import Loss
 from .purge import Purge, PurgeId
-from .snapshot_writer import SnapshotWriter
 from .wire import batches
 
 log = logging.getLogger(__name__)
@@ -85,7 +85,7 @@
             for data in found.records:
                 self._replay(msgspec.msgpack.decode(data, type=Record), now_ms)
         records = len(found.records)
-        self._snapshots = SnapshotWriter(self.log, records, Outage(log, "director: snapshot of purges"))
+        self._compaction = compaction_of(self.log, records, Outage(log, "director: snapshot of purges"))
         log.info(
             "purges recovered standing=%d records=%d cut=%d",
             len(self._active),
@@ -102,7 +102,7 @@
     @property
     def records(self) -> int:
         """The number of records since the latest snapshot."""
-        return self._snapshots.records if self.log is not None else 0
+        return self._compaction.record_count if self.log is not None else 0
 
     def add_purge(self, purge: Purge) -> None:
         """Adds an active purge."""
@@ -136,9 +136,10 @@
             self.pending = saved.followed_by(self.pending)
             return
         self._outage.report_success()
-        if self._snapshots.add(len(saved.purges) or 1):
+        self._compaction.add(len(saved.purges) or 1)
+        if self._compaction.is_due:
             # not in a thread, because purges are applied meanwhile
-            await self._snapshots.write(self._active.snapshot())
+            await self._compaction.write(self._active.snapshot())
 
     async def close(self) -> None:
         """Stores what is pending and closes the log."""
--- a/gladelane/storage/__init__.py
+++ b/gladelane/storage/__init__.py
@@ -1,8 +1,8 @@
 """Storage of state that outlives a process: one write-ahead log with snapshots, used by all services.
 
 `log` opens and recovers a log, `write_ahead_log` appends to it, and `log_format` defines its bytes. `files`
-has the `Disk` protocol and its implementation in a folder, `outage` reports failing disks, and `boot` gives
-moments that survive a step of the wall clock.
+has the `Disk` protocol and its implementation in a folder, `compaction` replaces long logs by snapshots,
+`outage` reports failing disks, and `boot` gives moments that survive a step of the wall clock.
 """
 
 from __future__ import annotations
--- a/tests/purges/test_disk_faults.py
+++ b/tests/purges/test_disk_faults.py
@@ -16,7 +16,7 @@
 
 from gladelane.control_plane.http import HttpStatusError, fetch
 from gladelane.lab.simdisk import EVERY_OPERATION, Crash, Fault, Operation, SimDisk
-from gladelane.purges import checkpoint_file, snapshot_writer
+from gladelane.purges import checkpoint_file, log_compaction
 from gladelane.purges.checkpoint_file import CheckpointFile
 from gladelane.purges.entries import NewPurge
 from gladelane.purges.index import Index
@@ -215,8 +215,8 @@
     async def scene() -> None:
         disk = SimDisk()
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(snapshot_writer, "SNAPSHOT_AFTER", 5)
-            patch.setattr(snapshot_writer, "SNAPSHOT_RETRY_AFTER", 2)
+            patch.setattr(log_compaction, "SNAPSHOT_AFTER", 5)
+            patch.setattr(log_compaction, "SNAPSHOT_RETRY_AFTER", 2)
             async with running_server(tmp_path, disk=disk) as one:
                 for group in range(4):
                     await send(one.port, f"group:{group}")
@@ -329,7 +329,7 @@
             assert len(PurgeSubscription(options(tmp_path, 1), Index(), unix_ms, found).active) == 11
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(snapshot_writer, "SNAPSHOT_AFTER", 5)
-        patch.setattr(snapshot_writer, "SNAPSHOT_RETRY_AFTER", 2)
+        patch.setattr(log_compaction, "SNAPSHOT_AFTER", 5)
+        patch.setattr(log_compaction, "SNAPSHOT_RETRY_AFTER", 2)
         asyncio.run(scene())
     assert said_once(caplog, "director: snapshot of purges")
--- /dev/null
+++ b/tests/storage/test_compaction.py
@@ -0,0 +1,63 @@
+"""Logs that are replaced by snapshots, also where a snapshot cannot be stored."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+import logging
+from collections.abc import Callable
+
+import pytest
+from disk_faults import crashed, fault, said_once
+
+from gladelane.lab.simdisk import Operation, SimDisk
+from gladelane.storage.compaction import LogCompaction
+from gladelane.storage.log import recover
+from gladelane.storage.outage import Outage
+
+Write = Callable[[LogCompaction, bytes], None]
+WAYS: list[Write] = [
+    lambda compaction, payload: asyncio.run(compaction.write(payload)),
+    lambda compaction, payload: compaction.write_blocking(payload),
+]
+
+
+def compaction_on(disk: SimDisk, retry_after_records: int) -> LogCompaction:
+    log, found = recover(disk)
+    outage = Outage(logging.getLogger("test"), "snapshot")
+    return LogCompaction(log, outage, len(found.records), 5, retry_after_records)
+
+
+@pytest.mark.parametrize("write", WAYS)
+def test_a_snapshot_is_due_after_the_stated_records_and_replaces_the_log(write: Write) -> None:
+    disk = SimDisk()
+    compaction = compaction_on(disk, 0)
+    compaction.add(4)
+    assert not compaction.is_due
+    compaction.add(1)
+    assert compaction.is_due
+    write(compaction, b"state")
+    assert not compaction.is_due and compaction.record_count == 0
+    for found in (recover(left)[1] for left in crashed(disk)):
+        assert found.snapshot == b"state" and not found.records
+
+
+@pytest.mark.parametrize("write", WAYS)
+@pytest.mark.parametrize("retry_after_records", [0, 2])
+def test_a_snapshot_that_fails_is_due_again_after_the_stated_records(
+    write: Write, retry_after_records: int, caplog: pytest.LogCaptureFixture
+) -> None:
+    disk = SimDisk()
+    compaction = compaction_on(disk, retry_after_records)
+    compaction.add(6)
+    disk.fault = fault(errno.EIO, Operation.REPLACE)
+    for _ in range(2):
+        write(compaction, b"state")
+        for _ in range(retry_after_records):
+            assert not compaction.is_due
+            compaction.add(1)
+        assert compaction.is_due
+    disk.fault = None
+    write(compaction, b"state")
+    assert not compaction.is_due
+    assert said_once(caplog, "snapshot")
