--- a/benchmarks/audit.py
+++ b/benchmarks/audit.py
@@ -27,8 +27,9 @@
 from gladelane.audit.wire import Report
 from gladelane.lab.fleet.audited import caught, contradictions, p99, planted, play_audited
 from gladelane.lab.fleet.faults import read_line
-from gladelane.lab.fleet.fleet import Fleet, Shape
+from gladelane.lab.fleet.fleet import Fleet
 from gladelane.lab.fleet.load import Load
+from gladelane.lab.fleet.shape import Shape
 from gladelane.lab.fleet.world import CACHES
 from gladelane.lab.view_leases import ESCALATION_PLANTS, LEASE_PLANTS, searched, searched_all
 
--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -29,8 +29,9 @@
 
 from benchmarks import conclude
 from gladelane.lab.fleet.day import APART_S, play
-from gladelane.lab.fleet.fleet import Fleet, Shape
+from gladelane.lab.fleet.fleet import Fleet
 from gladelane.lab.fleet.load import Load
+from gladelane.lab.fleet.shape import Shape
 from gladelane.lab.losses import Plant, World, broken, steps
 from gladelane.lab.modelcheck import InvariantViolationError, search
 from gladelane.lab.processes import ROOT
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -24,9 +24,10 @@
 from gladelane.lab.fleet.audited import p99
 from gladelane.lab.fleet.day import memory
 from gladelane.lab.fleet.faults import read_line
-from gladelane.lab.fleet.fleet import Fleet, Shape
+from gladelane.lab.fleet.fleet import Fleet
 from gladelane.lab.fleet.load import Load
 from gladelane.lab.fleet.owned import Watch, ordered, orders, settled
+from gladelane.lab.fleet.shape import Shape
 from gladelane.lab.fleet.world import World
 from gladelane.lab.leases import InjectedFault, explore
 
--- a/gladelane/lab/fleet/audited.py
+++ b/gladelane/lab/fleet/audited.py
@@ -35,10 +35,11 @@
 from ...control_plane.http import HttpStatusError, fetch
 from ...storage.files import Folder
 from .day import play
-from .fleet import TOKEN, Fleet, Shape
+from .fleet import TOKEN, Fleet
 from .load import Load
 from .relay import Reported
 from .rules import SLACK_MS, Made, Purged, Sent
+from .shape import Shape
 
 ON_TIME_MS = 50.0  # after a lease's end, for what was on its way to the server that saw it
 SEEN_MS = 60.0  # at most between a director's decision and its observation at the server
--- a/gladelane/lab/fleet/cold.py
+++ b/gladelane/lab/fleet/cold.py
@@ -20,7 +20,9 @@
 from ..fake_cache_store import FakeCacheStore, PartKey, now_ms
 from ..fake_server import Seen
 from ..processes import ROOT
-from .fleet import Fleet, Life, Shape
+from .fleet import Fleet
+from .process import Life
+from .shape import Shape
 from .world import HUB_S, World, object_id
 
 COLD_FROM, MULTIPLE, LINK = 0.15, 3.0, 4.0
--- a/gladelane/lab/fleet/day.py
+++ b/gladelane/lab/fleet/day.py
@@ -14,9 +14,10 @@
 from typing import Any, NamedTuple
 
 from .faults import Step, read_line
-from .fleet import Fleet, Shape
+from .fleet import Fleet
 from .load import CLASSES, Load
 from .rules import Service, back_after, busiest, doubles, name_of, of_earlier_starts, stale
+from .shape import Shape
 from .world import CACHES, World
 
 WARM_UP_S, BEFORE_S = 3.0, 2.0
@@ -148,7 +149,7 @@
         "reseeded": sum(told.get("reseeded", 0) for told in directors),
         "standing": [told.get("standing", -1) for told in feeds],
         "horizon_open": [told.get("horizon_ms", -1.0) > 0.0 for told in feeds],
-        "killed": sum(name in fleet.held_up for name in (one.name for one in fleet.directors)),
+        "killed": sum(bool(one.held_up) for one in fleet.directors),
         "kills": fleet.counts["kills"],
         "disk_faults": fleet.counts["disk_faults"],
         "failed_starts": [text for one in (*fleet.directors, *fleet.feeds) for text in one.failed],
--- a/gladelane/lab/fleet/load.py
+++ b/gladelane/lab/fleet/load.py
@@ -16,7 +16,8 @@
 from ..fake_cache_store import now_ms
 from ..fake_server import Seen
 from ..processes import ROOT
-from .fleet import TOKEN, Fleet, Life
+from .fleet import TOKEN, Fleet
+from .process import Life
 from .rules import Made, Purged, Sent, Service
 from .world import OBJECTS, group_of, object_id
 
@@ -142,7 +143,7 @@
             service.ask(due_ms / 1000.0, spec.worth)
         answer = await client.ask(fields, patience_s=PATIENCE_S)
         now = now_ms()
-        killed = self.fleet.held_by(one, sent, now)
+        killed = one.was_held_up(sent, now)
         if answer is None:
             self.monitor.withdrawn(one.name, number)
             self.counts["lost_by_kill" if killed else "lost"] += 1
--- a/tests/fleet/test_audit.py
+++ b/tests/fleet/test_audit.py
@@ -30,9 +30,10 @@
 from gladelane.audit.wire import Report, ReportReply
 from gladelane.control_plane.http import HttpStatusError, fetch
 from gladelane.lab.fleet.audited import asked, play_audited
-from gladelane.lab.fleet.fleet import TOKEN, Fleet, Shape, kept_port
+from gladelane.lab.fleet.fleet import TOKEN, Fleet, kept_port
 from gladelane.lab.fleet.load import Load
 from gladelane.lab.fleet.relay import State
+from gladelane.lab.fleet.shape import Shape
 from gladelane.lab.processes import ROOT
 
 SHORT = {"tenure_ms": 2000.0, "behind_ms": 4000.0}
--- a/tests/fleet/test_coming_back.py
+++ b/tests/fleet/test_coming_back.py
@@ -20,9 +20,13 @@
 from benchmarks.comeback import AFTER_START_S, time_imports
 from gladelane.lab.client import Answer
 from gladelane.lab.fake_server import Fault
+from gladelane.lab.fleet.client_pool import Pool
+from gladelane.lab.fleet.commands import FEED
 from gladelane.lab.fleet.day import play
 from gladelane.lab.fleet.faults import read_line
-from gladelane.lab.fleet.fleet import FEED, TOKEN, Fleet, Life, Pool, Shape
+from gladelane.lab.fleet.fleet import TOKEN, Fleet
+from gladelane.lab.fleet.process import Life
+from gladelane.lab.fleet.shape import Shape
 from gladelane.lab.fleet.world import World
 
 SAVED = "0 store caches:* save; 0 store hub save; "
--- a/tests/fleet/test_owners.py
+++ b/tests/fleet/test_owners.py
@@ -16,9 +16,10 @@
 from harness import until
 from test_coming_back import fleet_of, said, struck
 
-from gladelane.lab.fleet.fleet import Fleet, Life
+from gladelane.lab.fleet.fleet import Fleet
 from gladelane.lab.fleet.load import Load
 from gladelane.lab.fleet.owned import Call, Watch, followed, majority_late_s, ordered, orders, settled
+from gladelane.lab.fleet.process import Life
 
 SHARDS = 8
 WAIT_S = 30.0  # many times what it takes
--- a/tests/fleet/test_rig.py
+++ b/tests/fleet/test_rig.py
@@ -20,8 +20,8 @@
 
 from gladelane.lab.fleet.day import full_service_after, play, spans
 from gladelane.lab.fleet.faults import FaultScheduleError, read_line
-from gladelane.lab.fleet.fleet import Life, Shape
 from gladelane.lab.fleet.ports import release_port, reserve_port
+from gladelane.lab.fleet.process import Life
 from gladelane.lab.fleet.relay import SLOW_S, Relay, State
 from gladelane.lab.fleet.rules import (
     Made,
@@ -35,6 +35,7 @@
     of_earlier_starts,
     stale,
 )
+from gladelane.lab.fleet.shape import Shape
 from gladelane.lab.fleet.stepped import stepped
 from gladelane.lab.processes import ROOT
 from gladelane.purges.scope import parse
