--- a/benchmarks/audit/days.py
+++ b/benchmarks/audit/days.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from benchmarks.fleet_days import Day
-from gladelane.lab.fleet.fleet import Shape
+from gladelane.lab.fleet.shape import Shape
 
 DIRECTORS, QUICK_DIRECTORS = 24, 8
 MOST_ARE_BEHIND = "most are behind"
--- a/benchmarks/comeback/__main__.py
+++ b/benchmarks/comeback/__main__.py
@@ -8,7 +8,7 @@
 
 from benchmarks import conclude
 from gladelane.lab.fleet.day import play
-from gladelane.lab.fleet.fleet import Shape
+from gladelane.lab.fleet.shape import Shape
 from gladelane.lab.losses import Plant
 
 from .days import KILLED, LOST, SEED, days
--- a/benchmarks/comeback/days.py
+++ b/benchmarks/comeback/days.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from benchmarks.fleet_days import Day
-from gladelane.lab.fleet.fleet import Shape
+from gladelane.lab.fleet.shape import Shape
 
 DIRECTORS, QUICK_DIRECTORS = 40, 12
 KILLED = "nine of ten, warm and then cold"
--- a/benchmarks/comeback/first_restart.py
+++ b/benchmarks/comeback/first_restart.py
@@ -19,8 +19,9 @@
 import uvloop
 
 from gladelane.lab.fleet.day import APART_S, play
-from gladelane.lab.fleet.fleet import Fleet, Shape
+from gladelane.lab.fleet.fleet import Fleet
 from gladelane.lab.fleet.load import Load
+from gladelane.lab.fleet.shape import Shape
 from gladelane.lab.processes import ROOT
 
 from .days import RATE, SEED, WARM, WARM_AFTER_S
--- a/benchmarks/comeback/runs.py
+++ b/benchmarks/comeback/runs.py
@@ -11,7 +11,7 @@
 
 from benchmarks import conclude
 from gladelane.lab.fleet.day import play
-from gladelane.lab.fleet.fleet import Shape
+from gladelane.lab.fleet.shape import Shape
 
 from .days import KILLED, RATE, SEED, days
 from .first_restart import play_restart
--- a/benchmarks/fleet_days.py
+++ b/benchmarks/fleet_days.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from gladelane.lab.fleet.fleet import Shape
+from gladelane.lab.fleet.shape import Shape
 
 
 class Day(NamedTuple):
