--- a/gladelane/leases/lease.py
+++ b/gladelane/leases/lease.py
@@ -6,8 +6,9 @@
 majority answers and nobody holds the lease, the client claims the next token at all servers. The lease is
 held once a majority of servers has granted it. It is counted from before the first claim was sent, less the
 clock drift. A claim that fails is released, and the next attempt waits for a random time, so that clients
-which failed together do not collide again. While another client holds the lease, this one waits until it is
-about to end, and clients of a lower rank ask earlier: nobody polls in between.
+which failed together do not collide again. While another client holds the lease, a client of a near rank
+asks again after half a duration at the latest, since the holder may have released the lease. A lease that
+ends sooner than that is awaited to its end, and clients of a lower rank then ask earlier.
 
 The order of query and claim is that of Paxos; see `acceptor` for the source.
 """
@@ -23,6 +24,8 @@
 RENEWAL_FRACTION = 1.0 / 3.0  # of the duration, after which a lease is renewed
 REPLY_TIMEOUT_MS = 400.0
 MIN_RETRY_MS, MAX_RETRY_MS = 50.0, 350.0  # after a failed attempt
+LOOK_FRACTION = 1.0 / 2.0  # of the duration, after which a near rank looks whether a lease was released
+LOOK_JITTER_FRACTION = 1.0 / 6.0  # by which a look comes earlier at most, so that clients get out of step
 NEAR_RANKS = 4  # the ranks up to this one are near: they take over from one another
 NEAR_RANK_DELAY_MS = 150.0  # by which each near rank asks later than the one before it
 FAR_RANK_DELAY_MS = 20.0  # by which each further rank asks later than the one before it
@@ -147,7 +150,11 @@
         return self._claim_request()
 
     def _wait_for_holder(self, remaining_ms: float, now_ms: float) -> None:
-        wait_ms = remaining_ms + rank_delay_ms(self.rank) + self._rng.uniform(MIN_RETRY_MS, MAX_RETRY_MS)
+        look_ms = LOOK_FRACTION * self.duration_ms
+        if self.rank <= NEAR_RANKS and remaining_ms > look_ms:
+            wait_ms = look_ms - self._rng.uniform(0.0, LOOK_JITTER_FRACTION * self.duration_ms)
+        else:
+            wait_ms = remaining_ms + rank_delay_ms(self.rank) + self._rng.uniform(MIN_RETRY_MS, MAX_RETRY_MS)
         if self.rank > NEAR_RANKS:
             wait_ms += FAR_RANK_WAIT_LEASES * self.duration_ms
         self.phase, self._next_action_ms = LeasePhase.IDLE, now_ms + wait_ms
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import itertools
 import random
 
 import pytest
@@ -141,6 +142,41 @@
     assert rank_delay_ms(100) > rank_delay_ms(2)
 
 
+@pytest.mark.parametrize("leaver", range(4))
+def test_a_released_lease_is_taken_over_within_half_a_lease_whenever_the_release_comes(leaver: int) -> None:
+    """The waiting clients had looked at any time before: none of them sleeps until the lease would have ended."""
+    tick_ms, lease_ms = 50.0, 1500.0
+    for seed in range(100):
+        servers, rng = acceptors(), random.Random(seed)
+        leases = [Lease("w", f"c{number}", 3, lease_ms, rng, 4000.0, number) for number in range(4)]
+        now_ms, release_ms = 4000.0, 4000.0 + rng.uniform(3000.0, 6000.0)
+        while not leases[leaver].is_held(now_ms):  # the others start later
+            now_ms += tick_ms
+            drive(leases[leaver], servers, now_ms)
+        offsets_ms = [rng.uniform(0.0, tick_ms) for _ in leases]
+        asked_ms: list[list[float]] = [[] for _ in leases]
+        while now_ms < release_ms:
+            now_ms += tick_ms
+            for number, lease in enumerate(leases):
+                at_ms = now_ms + offsets_ms[number]
+                if lease.phase is LeasePhase.IDLE and lease._next_action_ms <= at_ms:
+                    asked_ms[number].append(at_ms)
+                drive(lease, servers, at_ms)
+        assert leases[leaver].is_held(now_ms + tick_ms)
+        for times in asked_ms:
+            assert all(after - before >= lease_ms / 3.0 for before, after in itertools.pairwise(times))
+        release, release_ms = leases[leaver].stop(), now_ms + tick_ms
+        assert release is not None
+        for server in servers:
+            server.handle_request(release, release_ms)
+        waiting = [lease for lease in leases if lease is not leases[leaver]]
+        while not any(lease.is_held(now_ms + tick_ms) for lease in waiting):
+            now_ms += tick_ms
+            for number, lease in enumerate(leases):
+                drive(lease, servers, now_ms + offsets_ms[number])
+        assert now_ms - release_ms <= lease_ms / 2.0 + tick_ms, seed
+
+
 def test_a_fencing_guard_rejects_lower_tokens_also_of_the_same_holder_and_after_a_restart() -> None:
     guard = FencingGuard({"w": 3})
     admitted = [guard.admit_token("w", token) for token in (2, 3, 5, 3, 5, 4)]
