--- a/gladelane/audit/reporter.py
+++ b/gladelane/audit/reporter.py
@@ -41,7 +41,7 @@
         self.earlier_runs = earlier_runs
         self.has_more = False  # something is left to report at once
         self.granted = asyncio.Event()  # a first lease was granted
-        self._servers = list(purges.options.feeds)
+        self._servers = list(purges.options.servers)
         name_hash = blake2b(recorder.log.director.encode(), digest_size=4).hexdigest()
         self._server_index = int(name_hash, 16) % len(self._servers)
         self._is_stopping = False
--- a/gladelane/deployment.py
+++ b/gladelane/deployment.py
@@ -73,7 +73,7 @@
 _SHARE = Number(0, 1)
 _FACTOR = Number(0, MOST_FACTOR)
 _RATE = Number(0, MOST_KB_PER_S)
-_COUNT, _COUNT_FROM_1 = Number(0, MOST_COUNT, whole=True), Number(1, MOST_COUNT, whole=True)
+_COUNT, _COUNT_FROM_1 = Number(0, MOST_COUNT, integer=True), Number(1, MOST_COUNT, integer=True)
 
 _FIELDS: Mapping[str, Field] = {
     "me": Field(_COUNT),
@@ -199,7 +199,7 @@
         return cls(
             classes=MappingProxyType(_read_classes(raw)),
             zones=zones,
-            hub_of=read_list(raw.get("hub_of"), Number(0, count - 1, whole=True), "hub_of", count, "zone"),
+            hub_of=read_list(raw.get("hub_of"), Number(0, count - 1, integer=True), "hub_of", count, "zone"),
             seats_by_zone=read_list(raw.get("seats_by_zone"), _COUNT, "seats_by_zone", count, "zone"),
             inlet_kb_per_s=read_list(raw.get("inlet_kb_per_s"), _RATE, "inlet_kb_per_s", count, "zone"),
             report_fields=_read_report_fields(raw),
--- a/gladelane/net/config.py
+++ b/gladelane/net/config.py
@@ -104,10 +104,10 @@
 }
 _LIMITS = {
     "memory_mb": Field(Number(0, MOST_MEMORY_MB, above=True)),
-    "sockets": Field(Number(1, MOST_SOCKETS, whole=True)),
+    "sockets": Field(Number(1, MOST_SOCKETS, integer=True)),
 }
 _CONN_LIMITS = {
-    "max_streams": Field(Number(1, MOST_STREAMS, whole=True)),
+    "max_streams": Field(Number(1, MOST_STREAMS, integer=True)),
     "dial_timeout_ms": Field(Number(0, MOST_MS, above=True)),
     "conn_idle_ms": Field(Number(0, MOST_MS, above=True)),
 }
--- a/gladelane/operator_parts.py
+++ b/gladelane/operator_parts.py
@@ -111,7 +111,7 @@
     client = LeaseClient(
         shard_ranks(options.shard_count, settings.me, settings.proxies),
         config.name,
-        list(purges.options.feeds),
+        list(purges.options.servers),
         options.duration_ms,
         purges.own_token,
         steady_ms,
--- a/gladelane/purges/options.py
+++ b/gladelane/purges/options.py
@@ -10,7 +10,7 @@
 class Options(msgspec.Struct, frozen=True):
     """The settings of a director.
 
-    Attributes: feeds, the purge log servers as (host, port); token_file; folder, where purges are stored,
+    Attributes: servers, the purge log servers as (host, port); token_file; folder, where purges are stored,
     empty for nowhere; retention_ms; skew_ms, added to every moment; delay_ms, after which a director without
     a server is cut off; strict, the classes that are then bound; cut_off_per_s, renewals a second at first if
     `origin_per_s` is not set; start_wait_ms, how long a start waits for a server; order_kinds, the kinds of
@@ -18,7 +18,7 @@
     origin can bear from all directors together, 0 if unknown; lost, what strict classes do with copies from
     before a loss."""
 
-    feeds: tuple[tuple[str, int], ...]
+    servers: tuple[tuple[str, int], ...]
     token_file: str
     folder: str
     retention_ms: float
--- a/gladelane/purges/subscription.py
+++ b/gladelane/purges/subscription.py
@@ -67,7 +67,7 @@
         self._tokens = Tokens(options.token_file)
         self.store = SubscriptionStore(disk, self.active, now_ms)
         self.subscribers = [
-            Subscriber(host, port, self._tokens.first_token, self, clock) for host, port in options.feeds
+            Subscriber(host, port, self._tokens.first_token, self, clock) for host, port in options.servers
         ]
         self._limits = CopyLimits(options, self.active, self.refetch_budget, self.subscribers, now_ms)
         self._backfill = BackfillSender(self.active, self.subscribers, self._tokens.first_token, rng)
--- a/gladelane/server.py
+++ b/gladelane/server.py
@@ -58,7 +58,7 @@
         """`inherited` is the number of descriptors open before the start. Raises ConfigError, OSError."""
         self.config = config
         self.clock = Clock()
-        self.wheel = TimerWheel(self.clock.now)
+        self.timers = TimerWheel(self.clock.now)
         # randomness of its own: the routing decisions must not depend on what was dialled
         rng = random.Random(config.seed ^ ENDPOINTS_SEED)
         self.endpoints = Endpoints(rng, log_warning=endpoints_log.warning)
@@ -67,12 +67,12 @@
         descriptors = descriptor_limit(config.limits.sockets)
         self.shares = share_descriptors(descriptors, inherited, _count_purge_servers(operator))
         self.upstream = ConnectionPool(
-            config.conn, self.shares.upstream, self.clock.now, self.wheel, self.endpoints
+            config.conn, self.shares.upstream, self.clock.now, self.timers, self.endpoints
         )
         self.director.sender, self.upstream.owner = self.upstream, self.director
         buffer_bytes = memory_bytes * BUFFER_MEMORY_SHARE
         self.front = ClientListener(
-            self.director, self.clock.now, self.wheel, self.shares.clients, buffer_bytes, descriptors
+            self.director, self.clock.now, self.timers, self.shares.clients, buffer_bytes, descriptors
         )
         self.admin_handler = AdminHandler(
             self.director,
@@ -92,12 +92,12 @@
         self.folder = os.environ.get("TMPDIR", "")
         self.admin_endpoint: AdminEndpoint | None = None
         self.restart_coordinator: RestartCoordinator | None = None
-        self._wheel_task: asyncio.Task[None] | None = None
+        self._timer_task: asyncio.Task[None] | None = None
         self._discovery_task: asyncio.Task[None] | None = None
 
     def _make_director(self, max_keys: int) -> Director:
         config = self.config
-        return Director(config.settings, config.seed, self.clock.now, self.wheel, self.endpoints, max_keys)
+        return Director(config.settings, config.seed, self.clock.now, self.timers, self.endpoints, max_keys)
 
     def _open_operator_parts(self, operator: Operator) -> None:
         from . import operator_parts as parts
@@ -141,7 +141,7 @@
         self._restore_state()
         if self.config.ops is not None:
             self._open_admin_endpoint(*self.config.ops)
-        self._wheel_task = asyncio.create_task(self.wheel.run())
+        self._timer_task = asyncio.create_task(self.timers.run())
         self.follow_discovery()
         if self.purges is not None:
             await self._start_purges(self.purges)
@@ -176,8 +176,8 @@
 
     def _restore_state(self) -> None:
         """Applies what the configuration knows, then what an earlier process has left."""
-        for notice in self.config.known.notices:
-            self.director.apply_watch_event(notice)
+        for event in self.config.known.notices:
+            self.director.apply_watch_event(event)
         self.director.rev = max(self.director.rev, self.config.known.rev)
         if self.restart_coordinator is not None:
             self.restart_coordinator.take_over()
@@ -240,8 +240,8 @@
             self._change_settings(settings)
         has_moved = config.discovery != self.config.discovery
         self.config.discovery = config.discovery
-        for notice in config.known.notices:
-            self.director.apply_watch_event(notice)  # ignored there if it is known already
+        for event in config.known.notices:
+            self.director.apply_watch_event(event)  # ignored there if it is known already
         if has_moved:
             self.follow_discovery()
         config.known, config.seed = self.config.known, self.config.seed  # these are for a start only
@@ -260,7 +260,7 @@
             if self.config.settings is settings:  # no later file has come
                 self.director.retune(settings)
 
-        self.wheel.schedule(self.clock.now() + TRANSITION_MS, complete_transition)
+        self.timers.schedule(self.clock.now() + TRANSITION_MS, complete_transition)
 
     # --- stop
 
@@ -281,13 +281,13 @@
         for part in (self.audit, self.recovery, self.lease_client, self.purges):
             if part is not None:
                 await part.close()
-        for task in (self._wheel_task, self._discovery_task):
+        for task in (self._timer_task, self._discovery_task):
             if task is not None:
                 task.cancel()
 
 
 def _count_purge_servers(operator: Operator | None) -> int:
-    return len(operator.purges.feeds) if operator is not None and operator.purges is not None else 0
+    return len(operator.purges.servers) if operator is not None and operator.purges is not None else 0
 
 
 def _differences(one: Config, other: Config) -> list[str]:
--- a/gladelane/settings_checks.py
+++ b/gladelane/settings_checks.py
@@ -138,13 +138,13 @@
 
     least: float = 0.0
     most: float = UNBOUNDED
-    whole: bool = False
+    integer: bool = False
     above: bool = False
 
     @property
     def expected(self) -> str:
         """See `Kind.expected`."""
-        noun = "a whole number" if self.whole else "a number"
+        noun = "a whole number" if self.integer else "a number"
         if self.above:
             return f"{noun} above {self.least:g}" + (
                 "" if self.most == UNBOUNDED else f", {self.most:.12g} at most"
@@ -159,11 +159,11 @@
             return False
         # of NaN every comparison is false
         within = self.least < value <= self.most if self.above else self.least <= value <= self.most
-        return within and (not self.whole or value == int(value))
+        return within and (not self.integer or value == int(value))
 
     def convert(self, value: Any) -> int | float:
         """See `Kind.convert`."""
-        return int(value) if self.whole else float(value)
+        return int(value) if self.integer else float(value)
 
 
 @dataclass(frozen=True, slots=True)
--- a/gladelane/settings_wire.py
+++ b/gladelane/settings_wire.py
@@ -149,8 +149,8 @@
     if not kinds:
         raise BadSetting("kinds", raw.get("kinds", MISSING), "a list of at least one kind")
     place: dict[str, Kind] = {
-        "store_kind": Number(0, len(kinds) - 1, whole=True),
-        "upper_kind": Number(-1, len(kinds) - 1, whole=True),
+        "store_kind": Number(0, len(kinds) - 1, integer=True),
+        "upper_kind": Number(-1, len(kinds) - 1, integer=True),
     }
     fields = {"store_kind": Field(place["store_kind"]), "upper_kind": Field(place["upper_kind"], -1)}
     places = read_fields(raw["family_info"], fields, "family_info")
--- a/tests/fleet/test_audit.py
+++ b/tests/fleet/test_audit.py
@@ -464,7 +464,7 @@
             )
             self.options = self
             self.strict: frozenset[str] = frozenset()
-            self.feeds = tuple(("127.0.0.1", port) for port in ports)
+            self.servers = tuple(("127.0.0.1", port) for port in ports)
 
         def known_endpoints(self) -> dict[str, Any]:
             return {}
--- a/tests/fleet/test_audit_faults.py
+++ b/tests/fleet/test_audit_faults.py
@@ -194,7 +194,7 @@
         )
         self.options = self
         self.strict: frozenset[str] = frozenset()
-        self.feeds = (("127.0.0.1", 1), ("127.0.0.1", 2))
+        self.servers = (("127.0.0.1", 1), ("127.0.0.1", 2))
 
     def known_endpoints(self) -> dict[str, Any]:
         return {}
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -141,8 +141,8 @@
 async def running(raw: bytes) -> AsyncIterator[tuple[Server, Client]]:
     node = Server(read_config(raw))
     # a test machine that stalls must change no verdict: only the test of lag lets it count
-    node.wheel.lag = lambda: 0.0  # type: ignore[method-assign]
-    node.wheel.margin = lambda: TICK_MS  # type: ignore[method-assign]
+    node.timers.lag = lambda: 0.0  # type: ignore[method-assign]
+    node.timers.margin = lambda: TICK_MS  # type: ignore[method-assign]
     client = await Client.to(await node.start())
     try:
         yield node, client
--- a/tests/net/test_client_crossings.py
+++ b/tests/net/test_client_crossings.py
@@ -358,7 +358,7 @@
     # its connection was closed 2 s after it was made, and made room at the cap before all others
     async with running(config({"c0": await Cache(hit).start(), "r0": REFUSED})) as (node, client):
         (conn,) = node.front.connections
-        node.wheel.lag = lambda: 2 * front_module.SHED_MS  # type: ignore[method-assign]
+        node.timers.lag = lambda: 2 * front_module.SHED_MS  # type: ignore[method-assign]
         client.ask(1)
         assert (await client.next())[:3] == (17, 1, 1)
         conn.sweep(conn.active_ms + client_module.IDLE_MS)
--- a/tests/net/test_deadlines.py
+++ b/tests/net/test_deadlines.py
@@ -98,7 +98,7 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(front_module, "SHED_MS", 1e9)  # else so late a request is refused at sight
         async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
-            del node.wheel.lag, node.wheel.margin  # type: ignore[misc]
+            del node.timers.lag, node.timers.margin  # type: ignore[misc]
             raw = Raw(node)
             await connected(node, raw)
             raw.send(request(1, d=str(WAIT_MS)))
--- a/tests/purges/test_clocks.py
+++ b/tests/purges/test_clocks.py
@@ -530,7 +530,7 @@
 
 def options(tmp: Path, *ports: int) -> Options:
     return Options(
-        feeds=tuple(("127.0.0.1", port) for port in ports),
+        servers=tuple(("127.0.0.1", port) for port in ports),
         token_file=str(tmp / "tokens"),
         folder="",
         retention_ms=24 * HOUR_MS,
--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -791,12 +791,12 @@
     # fleet seed 11: requests read half a second late were answered after their client had gone
     cache = Cache(mute)
     async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
-        del node.wheel.margin
-        node.wheel.lag = lambda: 100.0  # type: ignore[method-assign]
+        del node.timers.margin
+        node.timers.lag = lambda: 100.0  # type: ignore[method-assign]
         client.ask(1, d="2000")
         await until(lambda: cache.seen)
         assert int(cache.seen[0][1]["max"]) <= 1900
-        node.wheel.lag = lambda: 1000.0  # type: ignore[method-assign]
+        node.timers.lag = lambda: 1000.0  # type: ignore[method-assign]
         client.ask(2)
         assert (await client.next())[:3] == (17, 2, 1) and len(cache.seen) == 1
 
