--- a/gladelane/__init__.py
+++ b/gladelane/__init__.py
@@ -1,4 +1,4 @@
-"""gladelane: where objects are served, kept and filled from."""
+"""gladelane: decides which servers answer requests for objects, which cache them, and what fills caches."""
 
 from .routing.events import Settings
 from .routing.router import Router
--- a/gladelane/__main__.py
+++ b/gladelane/__main__.py
@@ -1,7 +1,7 @@
-"""`python -m gladelane`: runs one director, as GW_CONFIG and an operator's file say, until SIGTERM or SIGINT.
+"""`python -m gladelane`: runs one director until SIGTERM or SIGINT, configured by GW_CONFIG and GW_OPERATOR.
 
-SIGHUP reads both files anew. The exit code is 0 after a shutdown, 1 if the director cannot be started; then
-one line on stderr says why.
+SIGHUP reloads both files. The exit code is 0 after a shutdown and 1 if the director cannot be started; in
+that case one line on stderr gives the reason.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
 
 
 async def serve(config: Config, operator: Operator | None, files: ConfigurationFiles, inherited: int) -> None:
-    """Runs a director until it is told to stop, then drains it. `inherited`: descriptors open at the
-    start."""
+    """Runs a director until a signal stops it, then shuts it down gracefully. `inherited` is the number of
+    descriptors that were open at the start."""
     server = Server(config, operator, inherited)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -47,19 +47,19 @@
     log.info("draining")
     await server.drain()
     await server.close()
-    # the loop restores the default handlers: with them one more signal would end the process as if by a fault
+    # The loop restores the default handlers, with which another signal would end the process with a failure.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     log.info("stopped")
 
 
 def reload(server: Server, files: ConfigurationFiles) -> None:
-    """Applies both files anew, or neither if one of them is wrong."""
+    """Reads both files again and applies them, or neither of them if one is invalid."""
     metrics = server.director.metrics
     try:
         config, operator = files.read()
     except (ConfigError, OSError) as error:
         reason = "reload failed, the old configuration stays: %s"
-        log.error(reason, error)  # noqa: TRY400  the error says what is wrong with the file
+        log.error(reason, error)  # noqa: TRY400  the message says what is wrong in the file
         metrics.reconfig_failed += 1
         return
     metrics.reconfig_ok += 1
@@ -68,17 +68,18 @@
 
 
 def set_up_logs(operator: Operator | None) -> None:
-    """Logs as an operator's file says; without one the log stays as it is."""
+    """Configures the log by the operator's file; without one the log stays as it is."""
     if operator is not None:
         logs.set_up(operator.logs.format, operator.logs.level)
 
 
 def main() -> int:
-    """GW_CONFIG names the platform's file; GW_OPERATOR, which may be absent, an operator's own."""
+    """Runs the program and returns its exit code. GW_CONFIG is the path of the platform's file, GW_OPERATOR
+    the optional path of the operator's file, and GW_OPS the address of the admin endpoint."""
     logs.set_up()
     inherited = open_descriptors()
     path, operator_path = os.environ.get("GW_CONFIG", ""), os.environ.get("GW_OPERATOR", "")
-    # a signal that comes while the files are read waits for its handler: by default it would end the process
+    # Signals are blocked until their handlers are installed: their default action would end the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
     files = ConfigurationFiles(path, operator_path)
     try:
--- a/gladelane/clock.py
+++ b/gladelane/clock.py
@@ -1,10 +1,10 @@
-"""The two readings of time and the one place that converts between them.
+"""Monotonic and wall-clock time, and the only conversions between the two.
 
-`Clock.now()` is the process's timeline: Unix milliseconds as the wall clock told them when the process
-started, plus what has passed on the monotonic clock since. Deadlines, timers, windows and all other spans
-are counted on it, so a step of the wall clock changes none of them. `Clock.unix()` is the wall clock as it
-stands now, for dates that people read. Dates from other machines are `UnixMs`: they are never compared with
-either reading as they are, only through `PlatformDates`. The reasons stand in docs/design/time.md.
+`Clock.now()` is the process's timeline: the Unix time in ms that the wall clock showed at the start of the
+process, plus the time that has passed on the monotonic clock since. Deadlines, timers, windows and all other
+intervals are measured on it, so stepping the wall clock changes none of them. `Clock.unix()` reads the wall
+clock, for dates that people read. Dates from other machines are of type `UnixMs`: they are never compared
+directly with either reading, only through `PlatformDates`. docs/design/time.md gives the reasons.
 """
 
 from __future__ import annotations
@@ -17,20 +17,21 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, NamedTuple, NewType
 
-#: Discovery dates its events in their order; one that is earlier by more shows that its clock was set back.
+#: Discovery dates its events in order. A date that is earlier than the previous one by more than this shows
+#: that its clock was set back.
 SET_BACK_MS = 1000.0
-#: The wall clock at the start counts as right unless the platform's dates are behind it by more: a date may
-#: be as old as discovery's longest outages.
+#: The wall clock at the start is taken to be right unless the platform's dates are behind it by more than
+#: this: the latest date may be as old as the longest outage of discovery.
 TRUSTED_MS = 60_000.0
-#: The wall clock is slewed by little all the time; from here on it was stepped.
+#: The wall clock is slewed slightly all the time; a change of at least this much counts as a step.
 STEP_MS = 20.0
-#: Of copies that were made for a request: so many must agree that our clock is off. One answer may be spoilt.
+#: How many copies made for requests must agree that our clock is wrong. A single answer may be corrupt.
 FRESH_COPIES = 8
-#: and none is counted for longer: clocks drift apart.
+#: A copy older than this is not used, because clocks drift apart.
 FRESH_COPY_COUNTS_MS = 60_000.0
-#: The platform's clock and ours differ by less where both are kept by the usual means.
+#: The platform's clock and ours differ by less than this if both are synchronized by the usual means.
 CLOCKS_AGREE_MS = 250.0
-#: Dates are given in whole ms.
+#: Dates on the wire are rounded to integer ms.
 DATES_ROUNDED_MS = 1.0
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
 
@@ -40,8 +41,8 @@
 if TYPE_CHECKING:
 
     class UnixMs:
-        """A date in Unix ms, as a machine dated it. A plain float at run time; to the type checker it is a
-        type of its own, which mixes with no moment of the timeline."""
+        """A date in Unix ms by the wall clock of some machine. It is a plain float at run time; to the type
+        checker it is a separate type that cannot be mixed with moments of the timeline."""
 
         def __init__(self, ms: float) -> None: ...
         def __float__(self) -> float: ...
@@ -58,22 +59,24 @@
 
 
 class SharedClock(NamedTuple):
-    """What two processes of one boot have in common: the monotonic clock. `zero_ms` is the date, as a process
-    writes dates of moments, at which that clock read 0; `boot_id` is empty where it is not known."""
+    """Identifies the monotonic clock that all processes of one boot share. `zero_ms` is the date at which
+    that clock read 0, on the time scale on which the process writes dates of moments; `boot_id` is empty if
+    it is unknown."""
 
     boot_id: str
     zero_ms: float
 
 
 def read_boot_id() -> str:
-    """Of this machine's present boot; empty where the system does not tell."""
+    """The id of this machine's current boot; empty if the system does not provide it."""
     with suppress(OSError, ValueError):
         return BOOT_ID.read_text(encoding="ascii").strip()
     return ""
 
 
 class Clock:
-    """`read_unix` and `read_monotonic` give seconds, as the functions of `time` do."""
+    """The clock of one process. `read_unix` and `read_monotonic` return seconds, like `time.time` and
+    `time.monotonic`, which are the defaults."""
 
     def __init__(
         self,
@@ -81,52 +84,55 @@
         read_monotonic: Callable[[], float] | None = None,
         boot_id: str | None = None,
     ) -> None:
-        # looked up here and not in the signature, so that a test may replace both for a whole process
+        # resolved here rather than in the signature, so that a test can replace both for a complete process
         self._read_unix = read_unix or time.time
         self._read_monotonic = read_monotonic or time.monotonic
-        # the moment at which monotonic time was 0
+        # the moment of the timeline at which the monotonic clock read 0
         self._zero_ms = (self._read_unix() - self._read_monotonic()) * 1000.0
-        self._stepped_ms = 0.0  # by which the wall clock has been stepped since, as far as was seen
+        self._stepped_ms = 0.0  # by how much the wall clock has been stepped since, as far as observed
         self._boot_id = read_boot_id() if boot_id is None else boot_id
 
     def now(self) -> MonotonicMs:
-        """The moment on this process's timeline; it never runs back and no step reaches it."""
-        # read many times a request: at run time the type is a call that would cost a quarter of the reading
+        """The current moment of this process's timeline. It never goes back, and steps of the wall clock do
+        not affect it."""
+        # Called many times per request: constructing MonotonicMs would be a call that adds a quarter to its
+        # cost.
         return self._zero_ms + self._read_monotonic() * 1000.0  # type: ignore[return-value]
 
     def unix(self) -> UnixMs:
-        """The wall clock now, which may be stepped at any time."""
+        """The current reading of the wall clock, which may be stepped at any time."""
         return UnixMs(self._read_unix() * 1000.0)
 
-    # --- moments that another process of this machine is told
+    # --- moments exchanged with another process on this machine
 
     def shared(self) -> SharedClock:
-        """What goes with the dates of moments, so that another process can place them. Between steps of the
-        wall clock it stays the same, and with it the date of a moment."""
+        """Sent with the dates of moments, so that another process can convert them to its own timeline. It
+        changes only when the wall clock is stepped, and so does the date of a moment."""
         stepped_ms = float(self.unix()) - self.now()
         if abs(stepped_ms - self._stepped_ms) > STEP_MS:
             self._stepped_ms = stepped_ms
         return SharedClock(self._boot_id, self._zero_ms + self._stepped_ms)
 
     def dated(self, moment_ms: float, shared: SharedClock) -> UnixMs:
-        """The date of a moment, for another process that is told `shared` too."""
+        """The date of a moment, for another process that also receives `shared`."""
         return UnixMs(moment_ms + (shared.zero_ms - self._zero_ms))
 
     def shift_from(self, other: SharedClock) -> float | None:
-        """What to add to another process's dates of moments to place them on this timeline; None: it did not
-        run under this boot, or did not say."""
+        """The offset to add to another process's dates of moments to convert them to this timeline; None if
+        that process did not run under this boot, or if either boot is unknown."""
         if not self._boot_id or other.boot_id != self._boot_id:
             return None
         return self._zero_ms - other.zero_ms
 
 
 def as_date(moment_ms: float) -> UnixMs:
-    """A moment of the timeline as a date, where the wall clock at the process's start is taken as right."""
+    """A moment of the timeline as a date, assuming that the wall clock was right when the process started."""
     return UnixMs(moment_ms)
 
 
 class _FreshCopy(NamedTuple):
-    """Between what the platform's dates are ahead of the timeline, by one copy. Below 0: they are behind."""
+    """Bounds that one copy gives for how far the platform's dates are ahead of the timeline; negative values
+    mean that they are behind."""
 
     heard_ms: float
     least_ms: float
@@ -134,24 +140,25 @@
 
 
 class FreshCopies:
-    """How far our clock is from the origin's, by copies that it made for requests. Pure.
+    """Estimates the difference between our clock and the origin's from copies made for requests. Pure.
 
-    Such a copy was made after it was asked for and before it was heard, so its date binds the difference from
-    both sides; an old copy binds it from one only. It is known from a cache's word that a copy is such a one,
-    and an answer may be spoilt. So the latest ones must all agree, and the one that proves least counts.
+    The origin made such a copy after the request was sent and before the answer arrived, so its date bounds
+    the difference on both sides; the date of an older copy bounds it on one side only. That a copy is fresh
+    is known only from what a cache reports, and an answer may be corrupt. Therefore all of the latest copies
+    must agree, and the weakest bound among them is used.
     """
 
     def __init__(self) -> None:
         self._latest: deque[_FreshCopy] = deque(maxlen=FRESH_COPIES)
 
     def hear(self, dated: UnixMs, asked_ms: float, now_ms: float) -> None:
-        """`asked_ms`: when the request for it began to leave."""
+        """Records a fresh copy. `asked_ms` is the time at which sending of the request for it began."""
         least_ms = float(dated) - now_ms
         self._latest.append(_FreshCopy(now_ms, least_ms, float(dated) - asked_ms + DATES_ROUNDED_MS))
 
     def shift_ms(self, now_ms: float) -> float:
-        """What to add to a moment of the timeline to have the origin's date. Where our clock is ahead it is
-        never too low, where it is behind never too high; 0 while it is not proven to be off."""
+        """The offset that converts a moment of the timeline to the origin's date. The correction is never
+        larger than proven, in either direction; 0 while our clock is not proven to be wrong."""
         if len(self._latest) < FRESH_COPIES or now_ms - self._latest[0].heard_ms > FRESH_COPY_COUNTS_MS:
             return 0.0
         most_ms = max(copy.most_ms for copy in self._latest)
@@ -162,31 +169,33 @@
 
 
 class PlatformDates:
-    """How far the platform's dates are ahead of the timeline, at least. Pure.
+    """A lower bound for how far the platform's dates are ahead of the timeline. Pure.
 
-    A date that is heard now was made before, so `date - now` never exceeds the true difference: the largest
-    one heard is the closest bound from below, and an age that is counted with it is never too high. It rises
-    only, unless the platform's own clock is seen to have been set back.
+    A date that arrives now was written earlier, so `date - now` never exceeds the true difference. The
+    largest such value is therefore the tightest lower bound, and an age that is computed with it is never too
+    high. The bound only increases, unless the platform's own clock is seen to have been set back.
     """
 
     def __init__(self) -> None:
-        self.offset_ms = -math.inf  # nothing is known yet
+        self.offset_ms = -math.inf  # no date has arrived yet
         self._by_discovery_ms = -math.inf
         self._last_purge = UnixMs(0.0)
-        self._by_purges_ms = -math.inf  # as `offset_ms`, by dates of purges alone
+        self._by_purges_ms = -math.inf  # like `offset_ms`, from the dates of purges alone
 
     @property
     def is_known(self) -> bool:
+        """Whether any date of the platform has arrived."""
         return self.offset_ms > -math.inf
 
     def hear_start(self, dated: UnixMs, now_ms: float) -> None:
-        """Of the start of a server, by discovery."""
+        """Records the date at which a server started, as discovery reports it."""
         self._by_discovery_ms = max(self._by_discovery_ms, float(dated) - now_ms)
         self.offset_ms = max(self.offset_ms, self._by_discovery_ms)
 
     def hear_purge(self, dated: UnixMs, now_ms: float) -> None:
-        """Of a purge, by discovery. Its events are numbered, so a date far before the one of an earlier event
-        shows that its clock was set back, however late either was heard."""
+        """Records the date of a purge, as discovery reports it. Its events are numbered, so a date well
+        before that of an earlier event shows that its clock was set back, however late either of them
+        arrived."""
         if dated + SET_BACK_MS < self._last_purge:
             self.offset_ms = self._by_discovery_ms = self._by_purges_ms = float(dated) - now_ms
         self._last_purge = dated
@@ -194,20 +203,23 @@
         self.hear_start(dated, now_ms)
 
     def hear_copy(self, dated: UnixMs, now_ms: float) -> None:
-        """Of a copy, by a cache. An answer may be spoilt and carry any date: it raises the bound no further
-        than discovery's dates or the wall clock at the process's start have it."""
+        """Records the date of a copy, as a cache reports it. A corrupt answer may carry any date, so it
+        raises the bound no further than discovery's dates or the wall clock at the start of the process
+        support."""
         most_ms = max(self._by_discovery_ms, 0.0)
         self.offset_ms = max(self.offset_ms, min(float(dated) - now_ms, most_ms))
 
     def age_ms(self, dated: UnixMs, now_ms: float) -> float:
-        """How long ago a purge was dated, at least. Only dates of purges count: all of them come from one
-        clock, while a server dates its own start, and one that is ahead would make every purge look old."""
+        """The least age of a purge. Only dates of purges are used for it: they all come from one clock, while
+        each server dates its own start, and one server whose clock is ahead would make every purge look
+        old."""
         return max(now_ms + self._by_purges_ms - float(dated), 0.0)
 
     def latest(self, now_ms: float) -> UnixMs:
-        """The platform's date now, rather too late than too early: for what begins now and is to age no
-        faster than it does. Where discovery's dates are far behind the wall clock at the start, that clock
-        counts as wrong and the dates alone are gone by: else what begins now would stay new for as long."""
+        """An estimate of the platform's current date that errs towards the future, for anything that starts
+        now and must not seem to age faster than it does. If discovery's dates are far behind the wall clock
+        at the start, that clock is taken to be wrong and only the dates are used: otherwise anything that
+        starts now would seem new for as long as the clock is ahead."""
         if self.offset_ms < -TRUSTED_MS and self._by_discovery_ms > -math.inf:
             return UnixMs(now_ms + self.offset_ms)
         return UnixMs(now_ms + max(self._by_discovery_ms, 0.0))
--- a/gladelane/deployment.py
+++ b/gladelane/deployment.py
@@ -1,7 +1,8 @@
-"""The settings of one deployment as the router and both hosts read them: classes, kinds, limits and rules.
+"""The settings of one deployment that the router, the director and the simulator's adapter use: classes,
+kinds of servers, limits and rules.
 
-`Settings.read` checks every value by itself and against the others. Names and words are this program's;
-`settings_wire` has those of the platform's file. Times are milliseconds. Pure.
+`Settings.read` checks each value alone and against the others. The names and enumerated words are those of
+this program; `settings_wire` translates from the platform's file. Times are in milliseconds. Pure.
 """
 
 from __future__ import annotations
@@ -25,16 +26,18 @@
     read_object,
 )
 
-# Upper bounds catch a wrong unit or a slip of the keyboard, not a large deployment.
+# The upper bounds are there to catch wrong units and typing errors, not to limit large deployments.
 MOST_MS = 31_536_000_000.0  # a year
 MOST_COUNT = 1_000_000_000.0  # of directors, attempts, open requests
-MOST_FACTOR = 1_000_000.0  # worths and multiples of a rate
+MOST_FACTOR = 1_000_000.0  # priority weights and multiples of a rate
 MOST_KB_PER_S = 1e12
-REPORT_FIELDS_MOST = 16  # the platform names four at the most; the rest is room for new ones
+REPORT_FIELDS_MOST = 16  # the platform has at most four today; the rest is reserved for new ones
 
 
 class Effect(Enum):
-    """What a repeat of a request does: SAFE nothing, KEYED is dropped by a group for a while, UNSAFE harm."""
+    """The effect of executing a request twice. SAFE requests are idempotent. KEYED requests carry an
+    idempotency key, by which a group of servers drops repeats within a window. UNSAFE requests must not be
+    repeated."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -43,7 +46,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSpec:
-    """What one class of requests is worth, how long it is waited for, and what a repeat of it may do."""
+    """One class of requests: `worth` is its priority weight, `late_worth` the part of that which an answer
+    after the latency objective `aim_ms` still earns; `fresh_ms` and `grace_ms` bound the age of copies."""
 
     name: str
     effect: Effect
@@ -59,11 +63,11 @@
     grace_ms: float
     parts: bool
     cacheable: bool
-    keyless: bool = False  # keyed, but a request may lack its key: while settings change, by either file
+    keyless: bool = False  # KEYED, but requests may lack the key: true while new settings replace old ones
 
     def aim_for(self, size_kb: float, flow_kb_per_s: float) -> float:
-        """Within which an answer earns its full worth, ms. A size made up lengthens it to the deadline at
-        most; one that is not told counts as nothing."""
+        """The latency objective in ms for an answer of `size_kb`. It grows with the transfer time, up to the
+        deadline; an unknown size or rate, given as 0, adds nothing."""
         work = size_kb / flow_kb_per_s * 1000.0 if flow_kb_per_s else 0.0
         return min(self.aim_ms + self.aim_stretch * work, self.deadline_ms)
 
@@ -80,7 +84,7 @@
     "proxies": Field(_COUNT_FROM_1),
     "zone": Field(_NAME),
     "origin_kind": Field(_NAME),
-    "parent_kind": Field(Text(least=0), ""),  # empty: there are none
+    "parent_kind": Field(Text(least=0), ""),  # empty: there are no parents
     "subscribe": Field(_FLAG, False),
     "ask_within_ms": Field(_MS, 10000.0),
     "reports": Field(Choice(("inline", "probe", "none")), "none"),
@@ -134,12 +138,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The facts of one deployment. Build it with `Settings.read`; keys it does not know are passed over.
+    """The facts of one deployment. Create it with `Settings.read`, which ignores unknown keys.
 
-    Told but not read by the router: hub_of, inlet_kb_per_s, report_fields, reports, peers_fill, me,
-    ask_within_ms, probes, messages, max_open, connect_timeout_ms, drain_grace_ms (draining stores get nothing
-    at once), answer_grace_ms, origin_fall_multiple, origin_fall_ms, purge_grace_ms (a purge binds at once);
-    of a class: late_worth, stream, grace_ms, parts."""
+    The router does not use hub_of, inlet_kb_per_s, report_fields, reports, peers_fill, ask_within_ms, probes,
+    messages, max_open, connect_timeout_ms, drain_grace_ms (a draining server gets no requests from
+    the moment it is marked), answer_grace_ms, origin_fall_multiple, origin_fall_ms and purge_grace_ms (a
+    purge applies at once), nor late_worth, stream, grace_ms and parts of a class."""
 
     classes: Mapping[str, ClassSpec]
     zones: tuple[str, ...]
@@ -187,7 +191,7 @@
 
     @classmethod
     def read(cls, raw: Mapping[str, Any]) -> Settings:
-        """Raises BadSetting, whose key is the path in `raw`."""
+        """Checks and converts `raw`. Raises BadSetting, whose key is the path in `raw`."""
         values = read_fields(raw, _FIELDS)
         zones = _read_zones(raw, values["zone"])
         count = len(zones)
@@ -207,13 +211,13 @@
         )
 
     def class_named(self, name: str) -> ClassSpec:
-        """The class of a name. Raises ValueError if there is none."""
+        """The class with this name. Raises ValueError if there is none."""
         if name not in self.classes:
             raise ValueError(f"unknown class {name!r}")
         return self.classes[name]
 
     def known_zone(self, name: str) -> str:
-        """The name, if it is a listed zone's. Raises ValueError otherwise."""
+        """Returns `name` if it is the name of a listed zone. Raises ValueError otherwise."""
         if name not in self.zones:
             raise ValueError(f"unknown zone {name!r}")
         return name
--- a/gladelane/files.py
+++ b/gladelane/files.py
@@ -1,4 +1,4 @@
-"""Reads the files that a director is started with, and again on SIGHUP."""
+"""Reads the configuration files of a director, at the start and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 
 
 class ConfigurationFiles:
-    """The platform's file and an operator's, whose path may be empty.
+    """The platform's file and the operator's file, whose path may be empty.
 
-    Remembers the platform's text in use, against which a changed file is read."""
+    Remembers the text of the platform's file in use, because a changed file is read against it."""
 
     def __init__(self, path: str, operator_path: str) -> None:
         self._path, self._operator_path = path, operator_path
         self._text_in_use: bytes | None = None
 
     def read(self) -> tuple[Config, Operator | None]:
-        """Both files. Raises ConfigError, which names the file, and OSError; then nothing is remembered."""
+        """Reads both files. Raises ConfigError, which names the file, or OSError; the text remembered then
+        stays the same."""
         config, text = _load_after(self._path, self._text_in_use)
         operator = load_operator(self._operator_path)
         self._text_in_use = text
@@ -28,12 +29,13 @@
 
 
 def load(path: str) -> Config:
-    """The platform's file. Raises ConfigError, which names the file, and OSError."""
+    """Reads the platform's file. Raises ConfigError, which names the file, or OSError."""
     return _load_after(path, None)[0]
 
 
 def _load_after(path: str, text_in_use: bytes | None) -> tuple[Config, bytes]:
-    """The platform's file, read against the text in use, and its own text. Raises as `load` does."""
+    """Reads the platform's file against the text in use; returns it with its text. Raises what `load`
+    raises."""
     with open(path, "rb") as file:
         text = file.read()
     try:
@@ -43,7 +45,7 @@
 
 
 def parse_admin_place(text: str) -> tuple[str, int]:
-    """Host and port of GW_OPS, where the admin endpoint listens. Raises ConfigError."""
+    """The host and port in GW_OPS, at which the admin endpoint listens. Raises ConfigError."""
     try:
         return host_port(text)
     except ValueError as error:
@@ -51,9 +53,9 @@
 
 
 def load_operator(path: str) -> Operator | None:
-    """An operator's file; None without a path. Raises ConfigError, which names the file, and OSError.
+    """Reads the operator's file; None without a path. Raises ConfigError, which names the file, or OSError.
 
-    The JSON5 reader is imported only if there is such a file."""
+    The JSON5 parser is imported only if there is such a file."""
     if not path:
         return None
     from .settings.operator import OperatorFileError, read_operator
--- a/gladelane/logs.py
+++ b/gladelane/logs.py
@@ -1,7 +1,7 @@
-"""Sets up the log: plain, key=value or JSON lines, with a limit on floods of one message.
+"""Sets up logging in plain, key=value or JSON lines, with a rate limit per message.
 
-Plain lines need the standard library only. The other forms are made by structlog, which is imported only for
-them: it costs 15 MB and a quarter of a second if rich is installed.
+Plain lines need only the standard library. The other formats use structlog, which is imported only for them,
+because it costs 15 MB and a quarter of a second if rich is installed.
 """
 
 from __future__ import annotations
@@ -11,19 +11,21 @@
 from typing import Any
 
 PLAIN = "%(asctime)s %(levelname)s %(name)s %(message)s"
-MAX_LINES_PER_S = 5  # of one message
+MAX_LINES_PER_S = 5  # per message template
 _PAIR = re.compile(r"(?<!\S)([a-z_]+)=(\S+)")
 
 
 class Flood(logging.Filter):
-    """Limits what bad clients make the log cost: so many lines a second of one message, then a count."""
+    """Limits the cost of log lines that misbehaving clients cause: of each message template it passes a few
+    lines per second, and reports the number of the others."""
 
     def __init__(self) -> None:
         super().__init__()
         self._seen: dict[str, tuple[int, int]] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether a line is written. The first one of a later second has the count of those that were not."""
+        """Whether the line is written. The first line of a later second has the number of suppressed
+        lines."""
         template, now = str(record.msg), int(record.created)
         second, lines = self._seen.get(template, (now, 0))
         if second != now:
@@ -35,7 +37,7 @@
 
 
 def set_up(form: str = "plain", level: str = "info") -> None:
-    """Sets form (plain, keyvalue or json) and least level. May be called again; the last call holds."""
+    """Sets the format (plain, keyvalue or json) and the minimum level. A later call replaces the settings."""
     logging.basicConfig(level=level.upper(), format=PLAIN, force=True)
     for handler in logging.getLogger().handlers:
         handler.addFilter(Flood())
@@ -44,7 +46,7 @@
 
 
 def _split(_: Any, __: str, event: dict[str, Any]) -> dict[str, Any]:
-    """The text of a line as `event`, each `name=value` in it as a key of its own."""
+    """Moves each `name=value` in the text of a line to a key of its own; the rest stays as `event`."""
     text = str(event["event"])
     for name, value in _PAIR.findall(text):
         event.setdefault(name, value)
--- a/gladelane/operator_parts.py
+++ b/gladelane/operator_parts.py
@@ -1,4 +1,5 @@
-"""Builds the parts that only an operator's file switches on. Each is imported, with what it needs, on use."""
+"""Builds the parts that are enabled only by an operator's file. Each is imported, with its dependencies, when
+it is built."""
 
 from __future__ import annotations
 
@@ -27,7 +28,7 @@
 
 
 def open_purges(options: PurgeOptions, director: Director, clock: Clock) -> PurgeSubscription:
-    """The subscription to the fleet's purges. Raises ConfigError for what the files say, and OSError."""
+    """Opens the subscription to the fleet's purges. Raises ConfigError if a file is invalid, or OSError."""
     from pathlib import Path
 
     from .control_plane.tokens import TokenFileError
@@ -55,9 +56,9 @@
     except TokenFileError as error:
         raise ConfigError(str(error)) from None
     except CorruptLogError as error:
-        # the purge servers send all of it again: a director that does not start would help nobody
+        # The purge servers send all of the content again, so this is no reason not to start.
         aside = rename_damaged_folder(Path(options.folder))
-        log.error("purges: folder set aside as %s: %s", aside, error)  # noqa: TRY400  it says where
+        log.error("purges: folder set aside as %s: %s", aside, error)  # noqa: TRY400  it names the place
         return open_subscription()
 
 
@@ -69,7 +70,8 @@
     clock: Clock,
     admin_handler: AdminHandler,
 ) -> Recovery:
-    """State and idempotency keys that outlive the process. Raises OSError if the folder cannot be used."""
+    """Opens the store of learnt state and idempotency keys that outlive the process. Raises OSError if the
+    folder cannot be used."""
     from .recovery.service import Recovery
 
     host, port = config.listen
@@ -86,7 +88,7 @@
     front: ClientListener,
     reconnect_discovery: Callable[[], None],
 ) -> AuditService:
-    """Reports, activity log and view lease. Raises OSError if the folder cannot be used."""
+    """Opens the audit: reports, activity log and view lease. Raises OSError if the folder cannot be used."""
     from .audit.service import AuditService
 
     return AuditService(
@@ -102,7 +104,8 @@
 
 
 def open_leases(options: LeaseOptions, purges: PurgeSubscription, config: Config) -> LeaseClient:
-    """The leases of shards: orders to servers are sent by the one director that holds the shard's lease."""
+    """Creates the client that acquires leases of shards: only the director that holds the lease of a shard
+    sends that shard's orders to servers."""
     from .audit.steady import steady_ms
     from .leases.client import LeaseClient
     from .leases.shards import ShardedOrders, shard_ranks
--- a/gladelane/process.py
+++ b/gladelane/process.py
@@ -1,4 +1,4 @@
-"""What the operating system says of this process, and its garbage collector."""
+"""Resource limits and open descriptors of this process, and its garbage collector."""
 
 from __future__ import annotations
 
@@ -9,35 +9,36 @@
 
 log = logging.getLogger("gladelane")
 
-STANDARD_DESCRIPTORS = 3  # with which a process is started
-LONG_GC_PAUSE_MS = 10.0  # a collection this long is logged
-GC_THRESHOLDS = (50_000, 10, 10)  # nearly all objects are freed by their last reference; cycles are few
+STANDARD_DESCRIPTORS = 3  # that every process starts with
+LONG_GC_PAUSE_MS = 10.0  # longer collections are logged
+GC_THRESHOLDS = (50_000, 10, 10)  # reference counting frees nearly all objects; few are in cycles
 
 
 def descriptor_limit(configured: int) -> int:
-    """How many descriptors may be open: by the configuration, or by the system if that allows fewer."""
-    allowed = os.sysconf("SC_OPEN_MAX")  # RLIMIT_NOFILE as it is now; -1: without bound
+    """The number of descriptors that may be open: the configured one, or the system's limit if that is
+    lower."""
+    allowed = os.sysconf("SC_OPEN_MAX")  # the current RLIMIT_NOFILE; -1: unlimited
     return min(configured, allowed) if allowed > 0 else configured
 
 
 def open_descriptors() -> int:
     """The number of descriptors that are open now."""
     try:
-        return len(os.listdir("/proc/self/fd")) - 1  # less the one that lists them
+        return len(os.listdir("/proc/self/fd")) - 1  # without the one that was opened to list them
     except OSError:
         return STANDARD_DESCRIPTORS
 
 
 def freeze_startup_objects() -> None:
-    """What the start has made stays: full collections need not walk it. Sets the thresholds of
-    collections."""
+    """Excludes the objects created during the start from garbage collection, since they live as long as the
+    process, and sets the collection thresholds."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
 
 
 def watch_gc() -> None:
-    """Logs each long pause of the garbage collector from now on."""
+    """Starts logging of long garbage collection pauses."""
     started_s = 0.0
 
     def on_gc(phase: str, info: dict[str, int]) -> None:
--- a/gladelane/server.py
+++ b/gladelane/server.py
@@ -1,7 +1,7 @@
 """Composition root of a director: builds its parts, connects them, starts and stops them.
 
-Which parts there are follows from the platform's configuration and from an operator's file, which may switch
-on purges, recovery, audit and leases (`operator_parts`).
+The platform's configuration and an optional operator's file determine which parts exist; the latter may
+enable purges, recovery, audit and leases (`operator_parts`).
 """
 
 from __future__ import annotations
@@ -44,13 +44,13 @@
 endpoints_log = logging.getLogger("gladelane.endpoints")
 
 BYTES_PER_MB = 1_000_000
-BUFFER_MEMORY_SHARE = 0.25  # for bodies and answers that clients have not read yet
+BUFFER_MEMORY_SHARE = 0.25  # for request bodies, and for answers that clients have not read yet
 KEY_MEMORY_SHARE = 0.04  # for idempotency keys: 4,500 of them with 80 MB
 ENDPOINTS_SEED = 0x656E6473
 
 
 class Server:
-    """One director with all its parts; `config` has everything that differs between two directors."""
+    """One director with all its parts; `config` contains everything that distinguishes it from others."""
 
     def __init__(
         self, config: Config, operator: Operator | None = None, inherited: int = STANDARD_DESCRIPTORS
@@ -59,7 +59,8 @@
         self.config = config
         self.clock = Clock()
         self.timers = TimerWheel(self.clock.now)
-        # randomness of its own: the routing decisions must not depend on what was dialled
+        # A separate random generator, so that routing decisions do not depend on which addresses were
+        # dialled.
         rng = random.Random(config.seed ^ ENDPOINTS_SEED)
         self.endpoints = Endpoints(rng, log_warning=endpoints_log.warning)
         memory_bytes = config.limits.memory_mb * BYTES_PER_MB
@@ -127,7 +128,7 @@
             self.lease_client = parts.open_leases(operator.owners, self.purges, self.config)
 
     def _operator_metrics(self) -> list[tuple[str, int]]:
-        """Metrics of the parts that an operator's file has switched on."""
+        """Metrics of the parts that the operator's file enables."""
         metrics = self.recovery.lines() if self.recovery is not None else []
         return metrics + (self.audit.lines() if self.audit is not None else [])
 
@@ -136,7 +137,7 @@
     async def start(self) -> int:
         """Starts all parts and returns the port for clients. Raises OSError.
 
-        Clients are accepted only once all that is known has been applied: readiness promises that."""
+        Clients are accepted only after all known state has been applied, which readiness guarantees."""
         listening_socket = self._connect_to_predecessor()
         self._restore_state()
         if self.config.ops is not None:
@@ -156,8 +157,8 @@
         return self.port
 
     def _connect_to_predecessor(self) -> socket.socket | None:
-        """The listening socket of the process that this one is started beside, if there is one. Without an
-        admin endpoint nobody starts a new version beside the old one."""
+        """The listening socket of the process that this one replaces in a hot restart, if there is one.
+        Without an admin endpoint there are no hot restarts."""
         if self.config.ops is None or not self.folder:
             return None
         from .hot_restart.coordinator import RestartCoordinator
@@ -175,7 +176,7 @@
         return self.restart_coordinator.connect()
 
     def _restore_state(self) -> None:
-        """Applies what the configuration knows, then what an earlier process has left."""
+        """Applies the state in the configuration, then the state left by an earlier process."""
         for event in self.config.known.notices:
             self.director.apply_watch_event(event)
         self.director.rev = max(self.director.rev, self.config.known.rev)
@@ -186,14 +187,14 @@
             self.recovery.start()
 
     def _open_admin_endpoint(self, host: str, port: int) -> None:
-        from .admin.endpoint import AdminEndpoint  # imported only where there is one: it starts a thread
+        from .admin.endpoint import AdminEndpoint  # imported on demand: it starts a thread
 
         loop = asyncio.get_running_loop()
         self.admin_endpoint = AdminEndpoint(self.admin_handler, loop, self.shares.callers)
         self.admin_endpoint.open(host, port)
 
     async def _start_purges(self, purges: PurgeSubscription) -> None:
-        """Returns once the purges known to the purge servers have been applied."""
+        """Starts the subscription, and waits until it has applied the purges that the servers know."""
         from .purges.order_sender import OrderSender
 
         timeout_ms = self.config.conn.dial_timeout_ms
@@ -203,8 +204,8 @@
         await purges.ready()
 
     def follow_discovery(self) -> None:
-        """Follows the discovery server anew from the revision reached, and at once: neither the stream nor
-        the backoff of an earlier one goes on."""
+        """Connects to the discovery server immediately and watches it from the last applied revision. An
+        earlier watch, or its backoff, is cancelled."""
         if self._discovery_task is not None:
             self._discovery_task.cancel()
         rng = random.Random(f"{self.config.name} {self.config.seed}")
@@ -216,8 +217,8 @@
         self._discovery_task = asyncio.create_task(client.run())
 
     def _share_admin_request(self, request: AdminRequest) -> Future[None] | None:
-        """An admin request to this process was put into force: the other process gets it too. Returns what is
-        done once the request is stored; None where nothing stores it."""
+        """Passes an admin request that this process has applied to the other process of a hot restart.
+        Returns a future that completes once the request is stored; None if nothing stores it."""
         if self.restart_coordinator is None:
             return None
         return self.restart_coordinator.share_admin_request(request)
@@ -225,14 +226,15 @@
     # --- new configuration
 
     def configure(self, operator: Operator) -> None:
-        """Applies an operator's file under load, as one change; dials to addresses that are gone end."""
+        """Applies an operator's file under load as one change, and cancels dials to removed addresses."""
         self.director.configure(operator.options, operator.rules)
         if self.audit is not None and operator.fleet is not None:
             self.audit.reconfigure(operator.fleet.digest)
 
     def reload(self, config: Config, operator: Operator | None = None) -> None:
-        """Applies what may change under load: discovery, classes, attempts and the operator's file. All else
-        is bound to sockets and limits in use; it is logged and takes a restart."""
+        """Applies the settings that may change under load: discovery, classes, attempts and the operator's
+        file. All others are tied to sockets and limits in use: changes of them need a restart and are
+        logged."""
         if operator is not None:
             self.configure(operator)
         settings, after_restart = apply_live(self.config.settings, config.settings)
@@ -241,10 +243,10 @@
         has_moved = config.discovery != self.config.discovery
         self.config.discovery = config.discovery
         for event in config.known.notices:
-            self.director.apply_watch_event(event)  # ignored there if it is known already
+            self.director.apply_watch_event(event)  # which ignores events that were applied before
         if has_moved:
             self.follow_discovery()
-        config.known, config.seed = self.config.known, self.config.seed  # these are for a start only
+        config.known, config.seed = self.config.known, self.config.seed  # used at the start only
         config.ops, config.settings = self.config.ops, self.config.settings
         after_restart += _differences(config, self.config)
         log.info("reloaded board=%s:%d moved=%d rev=%d", *config.discovery, has_moved, self.director.rev)
@@ -252,12 +254,13 @@
             log.warning("reloaded: a change of %s takes a restart", ", ".join(after_restart))
 
     def _change_settings(self, settings: Settings) -> None:
-        """Clients use the new file a little later than this: until then requests by either are accepted."""
+        """Applies new settings. Clients follow them a little later; until then requests that conform to
+        either file are accepted."""
         self.config.settings = settings
         self.director.retune(transition_settings(self.director.settings, settings))
 
         def complete_transition() -> None:
-            if self.config.settings is settings:  # no later file has come
+            if self.config.settings is settings:  # no later change has replaced them
                 self.director.retune(settings)
 
         self.timers.schedule(self.clock.now() + TRANSITION_MS, complete_transition)
@@ -265,13 +268,13 @@
     # --- stop
 
     async def drain(self) -> None:
-        """Lets clients leave and answers what is pending; see `shutdown.drain`."""
+        """Shuts down gracefully: lets clients leave and answers pending requests; see `shutdown.drain`."""
         self.admin_handler.takes_clients = False
         has_peer = self.restart_coordinator is not None and self.restart_coordinator.has_peers
         await shutdown.drain(self.director, self.front, has_peer)
 
     async def close(self) -> None:
-        """Closes all parts, whether or not they were drained."""
+        """Closes all parts, whether or not `drain` was called."""
         if self.admin_endpoint is not None:
             self.admin_endpoint.close()
         if self.restart_coordinator is not None:
@@ -291,5 +294,5 @@
 
 
 def _differences(one: Config, other: Config) -> list[str]:
-    """Names of the keys in which two configurations differ."""
+    """The names of the keys in which two configurations differ."""
     return [name for name in one.__struct_fields__ if getattr(one, name) != getattr(other, name)]
--- a/gladelane/settings_checks.py
+++ b/gladelane/settings_checks.py
@@ -1,8 +1,8 @@
-"""Kinds of values that a setting may have, and the one error for all settings that cannot be used. Pure.
+"""Kinds of values that a setting may have, and the single error type for invalid settings. Pure.
 
-A kind of value says what it accepts, into what it is converted, and how to describe it to whoever has to
-correct the file. Which setting is of which kind stands with its reader (`deployment`, `settings_wire`,
-`net/config`).
+A kind of value defines what it accepts, how it converts an accepted value, and how it is described to the
+person who has to correct the file. The modules that read settings (`deployment`, `settings_wire`,
+`net/config`) assign a kind to each setting.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from sys import float_info
 from typing import Any, Final, Protocol
 
-UNBOUNDED = float_info.max  # infinities, and whole numbers that no float holds, lie beyond it
-SHOWN = 60  # characters of a wrong value that a message repeats
+UNBOUNDED = float_info.max  # infinities and integers that no float can represent are greater
+SHOWN = 60  # how many characters of an invalid value a message repeats
 
 
 class _Mark(Enum):
@@ -22,19 +22,19 @@
     REQUIRED = "required"
 
 
-#: in place of a value: there is none
+#: stands for the value of a setting that is absent
 MISSING: Final = _Mark.MISSING
-#: in place of a default: the setting may not be left out
+#: stands for the default of a setting that must be given
 REQUIRED: Final = _Mark.REQUIRED
 
 
-class BadSetting(ValueError):  # noqa: N818  the simulator is told an error by its name
+class BadSetting(ValueError):  # noqa: N818  the simulator's wire carries the name
     """A setting that cannot be used.
 
-    key: its path as the file has it, such as `rules.fall_ms` or `classes[0].effect`; empty: all of the file.
-    found: the value there, MISSING where there is none.
-    expected: what would do, in words.
-    file: the path of the file; empty where the settings did not come from one.
+    key: its path in the file, such as `rules.fall_ms` or `classes[0].effect`; empty for the complete file.
+    found: the value there, or MISSING.
+    expected: a description of the values that are accepted.
+    file: the path of the file; empty if the settings did not come from a file.
     """
 
     def __init__(self, key: str, found: object, expected: str, file: str = "") -> None:
@@ -45,7 +45,7 @@
         self.file = file
 
     def __str__(self) -> str:
-        """One line, whatever the value holds."""
+        """The message, which is a single line whatever the value contains."""
         place = f"{self.file}: " if self.file else ""
         key = self.key or "the whole file"
         if self.found is MISSING:
@@ -53,7 +53,7 @@
         return f"{place}{key} is {_shown(self.found)}; expected {self.expected}"
 
     def within(self, parent: str) -> BadSetting:
-        """The same of an object that is itself the value of a key."""
+        """The same error with its key prefixed by `parent`, the key of the object that it was found in."""
         key = f"{parent}.{self.key}" if self.key else parent
         return BadSetting(key, self.found, self.expected, self.file)
 
@@ -68,13 +68,13 @@
 
     @property
     def expected(self) -> str:
-        """In words, after 'expected'."""
+        """The accepted values in words, as they follow 'expected' in a message."""
 
     def accepts(self, value: Any) -> bool:
-        """Whether a value can be used."""
+        """Whether the value can be used."""
 
     def convert(self, value: Any) -> Any:
-        """An accepted value in the form in which it is kept."""
+        """Converts an accepted value to the form that the program stores."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,9 +94,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Text:
-    """A text of at least `least` characters, 0 or 1."""
+    """A string of at least `least` characters, which is 0 or 1."""
 
-    least: int = 1  # characters
+    least: int = 1
 
     @property
     def expected(self) -> str:
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """One of several words."""
+    """One of a fixed set of words."""
 
     words: tuple[str, ...]
 
@@ -134,7 +134,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Number:
-    """From `least` to `most`, both included; with `above`, `least` itself will not do."""
+    """A number from `least` to `most`, both included; `above` excludes `least` itself. With `integer` it must
+    have no fractional part."""
 
     least: float = 0.0
     most: float = UNBOUNDED
@@ -157,7 +158,7 @@
         """See `Kind.accepts`."""
         if not isinstance(value, (int, float)) or isinstance(value, bool):
             return False
-        # of NaN every comparison is false
+        # NaN is rejected, because every comparison with it is false
         within = self.least < value <= self.most if self.above else self.least <= value <= self.most
         return within and (not self.integer or value == int(value))
 
@@ -168,7 +169,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Parsed:
-    """A text of a form of its own. `parse` raises ValueError for what has another."""
+    """A string with its own syntax. `parse` converts it, and raises ValueError if it is malformed."""
 
     expected: str
     parse: Callable[[str], Any]
@@ -190,21 +191,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Field:
-    """One setting of an object: its kind of value, and its default unless it is required."""
+    """One setting of an object: its kind of value and its default; without a default it is required."""
 
     kind: Kind
     default: Any = REQUIRED
 
 
 def read_value(value: Any, kind: Kind, key: str) -> Any:
-    """The value, converted. Raises BadSetting, which names `key`."""
+    """Checks and converts one value. Raises BadSetting, which names `key`."""
     if not kind.accepts(value):
         raise BadSetting(key, value, kind.expected)
     return kind.convert(value)
 
 
 def read_object(value: Any, key: str) -> Mapping[str, Any]:
-    """The value as an object. Raises BadSetting, which names `key`."""
+    """Returns the value if it is an object. Raises BadSetting, which names `key`."""
     if value is None or value is MISSING:
         raise BadSetting(key, MISSING, "an object")
     if not isinstance(value, Mapping):
@@ -213,7 +214,7 @@
 
 
 def read_fields(raw: Any, fields: Mapping[str, Field], key: str = "") -> dict[str, Any]:
-    """The values of an object's fields; `key` is its own path. Other fields of it are ignored, and null
+    """Reads the listed fields of an object, whose own path is `key`. Other fields are ignored, and null
     counts as absent. Raises BadSetting."""
     found = read_object(raw, key)
     prefix = f"{key}." if key else ""
@@ -230,8 +231,9 @@
 
 
 def read_list(value: Any, kind: Kind, key: str, length: int | None = None, of: str = "") -> tuple[Any, ...]:
-    """The values of a list: one for each of `length` items, which `of` names, or any number if that is None.
-    A list that is absent or empty gives none. Raises BadSetting, which names the element at fault."""
+    """Reads a list of `length` values, one for each `of` (`zone`, for example), or of any length if `length`
+    is None. A list that is absent or empty gives an empty tuple. Raises BadSetting, which names the invalid
+    element."""
     if value is None or (isinstance(value, (list, tuple)) and not value):
         return ()
     each = "" if length is None else f" of {length}, one for each {of}"
--- a/gladelane/settings_wire.py
+++ b/gladelane/settings_wire.py
@@ -1,6 +1,7 @@
-"""Reads settings as the wire and GW_CONFIG name them into `deployment.Settings`. Shared by both hosts. Pure.
+"""Reads settings in the format of the simulator's wire and of GW_CONFIG into `deployment.Settings`. Pure.
 
-An error names its path in the file: what `Settings.read` reports under a name of its own is renamed here.
+The director and the simulator's adapter share it. Errors name the path in the file: keys that `Settings.read`
+reports under this program's names are translated back.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
     read_value,
 )
 
-#: key of `Settings` -> the file's word -> the word of `Settings`
+#: key of `Settings` -> enumerated word in the file -> value in `Settings`
 _WORDS: dict[str, dict[str, Any]] = {
     "effect": {"retryable": "safe", "dedup": "keyed", "fragile": "unsafe"},
     "reports": {"inline": "inline", "on_probe": "probe", "off": "none"},
@@ -77,7 +78,7 @@
     "purge_grace_ms": "family_info.notice_time_ms",
     "purge_done_ms": "family_info.gone_everywhere_ms",
 }
-#: the same for what the file gives as an index into `kinds` and `Settings` by name
+#: the same for kinds of servers, which the file gives as an index into `kinds` and `Settings` by name
 _KIND_PATHS = {"origin_kind": "family_info.store_kind", "parent_kind": "family_info.upper_kind"}
 _CLASS_KEYS = {
     "name": "name",
@@ -91,27 +92,28 @@
     "late_worth": "late_worth",
     "stream": "stream",
 }
-#: key of a class -> the list in `family_info` that has one value for each class
+#: key of a class -> the list in `family_info` that has one value per class
 _CLASS_ROWS = {
     "fresh_ms": "good_for_ms",
     "grace_ms": "stale_for_ms",
     "parts": "segmented",
     "cacheable": "pass_on",
 }
-#: objects of the file that the paths above lead through
+#: the objects in the file that contain the paths above
 _SECTIONS = ("family_info", "limits", "rules", "report")
-#: Without these a rule would be broken unseen: a write kept as if it were a copy, a copy too old, a purge
-#: that stops binding while old copies are still about. So they have no default here, unlike in the module.
+#: A default for these could break a rule unnoticed: a write would be cached as if it were a copy, a copy
+#: would be served although it is too old, or a purge would expire while old copies still exist. They are
+#: therefore required here, although `Settings.read` has defaults for them.
 _NEEDED_LISTS = ("pass_on", "good_for_ms")
 _NEEDED = {"gone_everywhere_ms": Field(Number())}
 _CLASS_KEY = re.compile(r"classes\[([0-9]+)\]\.(\w+)")
 
 
 def settings_from_wire(raw: Mapping[str, Any]) -> api.Settings:
-    """The settings of a decoded file. Raises BadSetting, whose key is the path in `raw`."""
+    """Reads the settings of a decoded file. Raises BadSetting, whose key is the path in `raw`."""
     fields = read_object(raw, "")
     for section in _SECTIONS:
-        if fields.get(section) is not None or section != "report":  # where there are none it may be left out
+        if fields.get(section) is not None or section != "report":  # optional: without reports
             read_object(fields.get(section), section)
     plain = {key: _plain(key, _at(fields, path), path) for key, path in _PATHS.items()}
     plain.update(_kinds(fields))
@@ -128,15 +130,15 @@
 
 
 def _at(raw: Any, path: str) -> Any:
-    """None where nothing stands there."""
+    """The value at a path; None if there is none."""
     for step in path.split("."):
         raw = raw.get(step) if isinstance(raw, Mapping) else None
     return raw
 
 
 def _plain(key: str, value: Any, path: str) -> Any:
-    """A value in the words of `Settings`. Raises BadSetting for a word that the file's format does not
-    have."""
+    """Translates an enumerated word of the file to the value in `Settings`; other values are returned as they
+    are. Raises BadSetting for a word that the file format does not define."""
     words = _WORDS.get(key)
     if words is None or value is None:
         return value
@@ -144,7 +146,7 @@
 
 
 def _kinds(raw: Mapping[str, Any]) -> dict[str, str]:
-    """The names of the origin's kind and of the parents', '' where there are none."""
+    """The names of the kinds of the origin and of the parents; the latter is empty without parents."""
     kinds = read_list(raw.get("kinds"), Text(), "kinds")
     if not kinds:
         raise BadSetting("kinds", raw.get("kinds", MISSING), "a list of at least one kind")
@@ -185,7 +187,7 @@
 
 
 def _file_key(key: str) -> str:
-    """The path in the file of a key of `Settings`."""
+    """The path in the file that a key of `Settings` was read from."""
     if of_class := _CLASS_KEY.fullmatch(key):
         place, name = of_class.groups()
         if name in _CLASS_ROWS:
--- a/gladelane/shutdown.py
+++ b/gladelane/shutdown.py
@@ -1,7 +1,7 @@
-"""Graceful shutdown of a director: clients leave, pending requests are answered, the rest fails in time.
+"""Graceful shutdown of a director: clients leave, pending requests are answered, and the others fail in time.
 
-Every constant is bound by the protocol's terms for SIGTERM: clients go on arriving for up to 0.6 s after it,
-and SIGKILL comes 0.7 s beyond the longest deadline, of 3 s at most.
+All constants follow from the protocol's rules for SIGTERM: clients may still connect for up to 0.6 s after
+it, and SIGKILL follows 0.7 s after the longest deadline, which is 3 s at most.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 from .net.client_listener import ClientListener
 from .net.director import Director
 
-LINGER_S = 0.8  # in which new clients are still accepted
-# From SIGTERM: pending requests are waited for until this much beyond the longest deadline, and at most so
-# long. With the time to flush and to close, it stays below the time of the SIGKILL.
+LINGER_S = 0.8  # for which new clients are still accepted
+# Pending requests are awaited until LAST_S after the longest deadline, and for at most LAST_MOST_S after
+# SIGTERM. Together with flushing and closing this ends before the SIGKILL.
 LAST_S, LAST_MOST_S = 0.4, 3.4
-STEER_S = 0.02  # for connects that the system was about to put into this process's queue
-FLUSH_S = 0.1  # after which a client that reads nothing is left behind
+STEER_S = 0.02  # for connections that the system is about to put into this process's accept queue
+FLUSH_S = 0.1  # after which clients that do not read their answers are abandoned
 POLL_S = 0.02
 
 
 async def drain(director: Director, front: ClientListener, has_peer: bool) -> None:
-    """Takes no more clients and answers what is pending; what is still pending at the end fails.
+    """Stops accepting clients and answers pending requests; those still pending at the end fail.
 
-    With `has_peer` another process of this director takes the clients that arrive, also those in the queue of
-    the listening socket."""
+    With `has_peer`, another process of this director accepts new clients, including those in the accept queue
+    of the listening socket."""
     started_s = asyncio.get_running_loop().time()
     front.drain.shut_down()
     front.send_goaway_to_all()
@@ -37,7 +37,7 @@
     end_s = started_s + min(longest_ms / 1000.0 + LAST_S, LAST_MOST_S)
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout_at(end_s):
-            while not _is_drained(director, front, has_peer):  # noqa: ASYNC110  many objects are waited for
+            while not _is_drained(director, front, has_peer):  # noqa: ASYNC110  many sources
                 await asyncio.sleep(POLL_S)
     front.is_closing = True
     director.end_all()
@@ -48,17 +48,17 @@
 
 
 async def _linger(front: ClientListener) -> None:
-    """Accepts clients for a while longer, then all that the system has queued."""
+    """Accepts clients for LINGER_S longer, then those in the accept queue, and stops listening."""
     await asyncio.sleep(LINGER_S)
-    with contextlib.suppress(OSError):  # a module is imported there, which takes a descriptor
+    with contextlib.suppress(OSError):  # an import in it needs a free descriptor
         front.steer_away()
     await asyncio.sleep(STEER_S)
     front.stop_listening()
 
 
 def _is_drained(director: Director, front: ClientListener, has_peer: bool) -> bool:
-    """Beside another process there is no hurry: clients leave by themselves, or are closed once they are
-    idle."""
+    """Whether nothing is pending or unsent. With a peer process the clients must also have left: there is
+    time for them to leave by themselves, or to be closed once they are idle."""
     if director.has_pending() or not front.quiet():
         return False
     return not (has_peer and front.connections)
--- a/gladelane/simhost.py
+++ b/gladelane/simhost.py
@@ -1,6 +1,7 @@
-"""`python -m gladelane.simhost`: the simulator's line protocol, translated to events and actions of routers.
+"""`python -m gladelane.simhost`: adapter between the simulator's line protocol and the events and actions of
+routers.
 
-One process hosts many routers. Nothing is decided here.
+One process hosts many routers. The module makes no decisions.
 """
 
 from __future__ import annotations
@@ -142,7 +143,7 @@
 
 
 class Host:
-    """Reads batches and writes replies; each proxy number has a router and settings of its own."""
+    """Reads batches and writes replies; each proxy number has its own router and settings."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self._lines = iter(source)
@@ -226,12 +227,12 @@
 
 
 def main() -> int:
-    """Serves standard input and output; the exit code is 1 after an error, which is also a line of the
-    output."""
+    """Serves standard input and output. The exit code is 1 after an error, which is also reported as a line
+    of the output."""
     host = Host(sys.stdin, sys.stdout)
     try:
         host.serve()
-    except Exception as error:  # whatever it was, the day ends here with one plain message and no half reply
+    except Exception as error:  # any error ends the run with one message and no partial reply
         print(f"simhost: {type(error).__name__}: {error}; at line: {host.line[:300]}", file=sys.stderr)
         words = f"{type(error).__name__}: {error}".replace("\n", " ")[:300]
         print(f"BUG {words}\nDONE", flush=True)
--- a/gladelane/sockets.py
+++ b/gladelane/sockets.py
@@ -1,4 +1,7 @@
-"""What the operating system knows of a connected socket and its stream does not show; no byte is taken."""
+"""Queries the operating system for the state of a connected socket that its asyncio stream does not expose.
+
+No function consumes received bytes.
+"""
 
 from __future__ import annotations
 
@@ -11,29 +14,29 @@
 from contextlib import suppress
 from typing import NamedTuple
 
-NO_SOCKET = (OSError, ValueError)  # ValueError: it is closed, and its descriptor is -1
-SIOCOUTQNSD = 0x894B  # linux/sockios.h: bytes that the system has not sent yet; termios has no name for it
+NO_SOCKET = (OSError, ValueError)  # ValueError: the socket is closed and its descriptor is -1
+SIOCOUTQNSD = 0x894B  # linux/sockios.h: number of bytes not sent yet; termios has no name for it
 LAST_DATA = struct.Struct("=52xI")  # linux/tcp.h: tcpi_last_data_recv in struct tcp_info, in ms
-MAX_PEEK_BYTES = 2_097_152  # more than all the requests that a client may have open
-#: of the system's connection states (include/net/tcp_states.h), those in which the peer sends nothing more
+MAX_PEEK_BYTES = 2_097_152  # more than the size of all requests that a client may have open
+#: the TCP states (include/net/tcp_states.h) in which the peer sends nothing more
 PEER_ENDED = frozenset({7, 8, 9, 11})  # CLOSE, CLOSE_WAIT, LAST_ACK, CLOSING
 
 
-#: Errors of the system, not of the call: it may have free resources again in a moment.
+#: Errors that mean a temporary lack of resources rather than an invalid call.
 OUT_OF_RESOURCES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-OPEN_ATTEMPTS, OPEN_INTERVAL_S = 10, 0.05  # of a listening socket, at the start
+OPEN_ATTEMPTS, OPEN_INTERVAL_S = 10, 0.05  # for opening a listening socket at the start
 
 
 class Unread(NamedTuple):
-    """What the system holds: bytes, and whether the peer has ended the connection after them."""
+    """Received bytes that were not read yet, and whether the peer has ended the connection after them."""
 
     data: bytes
     ended: bool
 
 
 def unread_bytes(sock: socket.socket) -> int:
-    """How many bytes the system holds that the stream has not been given. A transport closes its socket as
-    soon as an error ends the connection, before anybody hears of it: there is nothing in it then."""
+    """The number of received bytes that the stream has not read yet. It is 0 for a closed socket: a transport
+    closes its socket as soon as an error ends the connection, before the protocol is notified."""
     try:
         return int(struct.unpack("i", fcntl.ioctl(sock.fileno(), termios.FIONREAD, b"\0\0\0\0"))[0])
     except NO_SOCKET:
@@ -41,8 +44,8 @@
 
 
 def unsent_bytes(sock: socket.socket) -> int:
-    """How many bytes were given to the system and never sent: the peer takes none. What was sent and is not
-    acknowledged yet does not count."""
+    """The number of bytes in the send buffer that were never sent, because the peer's window is full. Bytes
+    that were sent and not acknowledged yet do not count."""
     try:
         return int(struct.unpack("i", fcntl.ioctl(sock.fileno(), SIOCOUTQNSD, b"\0\0\0\0"))[0])
     except NO_SOCKET:
@@ -50,13 +53,13 @@
 
 
 def has_unread(sock: socket.socket) -> bool:
-    """Whether the system holds bytes that the stream has not been given."""
+    """Whether there are received bytes that the stream has not read yet."""
     return unread_bytes(sock) > 0
 
 
 def has_ended(sock: socket.socket) -> bool:
-    """Whether the peer has closed, or reset, and nothing it sent is unread: the stream hears of that a turn
-    of the loop after the last bytes, when they may have been acted on."""
+    """Whether the peer has closed or reset the connection and nothing it sent is unread. The stream reports
+    this one iteration of the event loop after the last bytes, when these may have been processed already."""
     try:
         return sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
     except BlockingIOError:
@@ -66,7 +69,8 @@
 
 
 def look_ahead(sock: socket.socket) -> Unread:
-    """What the stream will be given, without taking it. One system call where nothing has come."""
+    """The bytes that the stream will read next, without consuming them. If there are none, this takes a
+    single system call."""
     try:
         if not sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
             return Unread(b"", True)
@@ -80,7 +84,8 @@
 
 
 def _peer_ended(sock: socket.socket) -> bool:
-    """By the connection's state: an end behind unread bytes shows in no read."""
+    """Whether the TCP state shows that the peer has ended the connection; a read does not show an end that
+    follows unread bytes."""
     try:
         return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] in PEER_ENDED
     except (OSError, IndexError):
@@ -88,7 +93,7 @@
 
 
 def last_data_ms(sock: socket.socket) -> float:
-    """How long ago the peer's latest bytes came, by the system's own account; 0 where it keeps none."""
+    """The time since the peer's latest bytes arrived, from TCP_INFO; 0 if the system does not provide it."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA.size)
         return float(LAST_DATA.unpack(info)[0])
@@ -97,14 +102,14 @@
 
 
 def reset(sock: socket.socket) -> None:
-    """Has the close that follows throw away what was not sent, and reset the connection."""
+    """Makes the following close discard unsent bytes and reset the connection."""
     with suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
 def open_listening(host: str, port: int, backlog: int, reuse_port: bool = False) -> socket.socket:
-    """Opens a listening socket. Blocks for up to half a second while the system is out of resources, since a
-    process can do nothing without it. Raises OSError, at once if the address is in use."""
+    """Opens a listening socket. Blocks for up to half a second while the system is out of resources, because
+    the process cannot work without the socket. Raises OSError, immediately if the address is in use."""
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     for attempts_left in reversed(range(OPEN_ATTEMPTS)):
         try:
@@ -117,12 +122,14 @@
 
 
 def close_socket(sock: socket.socket) -> None:
-    """Closes it whatever the system says: by close(2) the descriptor is gone also where the call fails."""
+    """Closes a socket and ignores errors: according to close(2) the descriptor is released even if it
+    fails."""
     with suppress(OSError):
         sock.close()
 
 
 def shut_write_side(sock: socket.socket) -> None:
-    """The peer reads an end of file after what it was sent; what it sends still comes, and resets nothing."""
+    """Closes the write side only: the peer reads an end of file after the last bytes, and what it sends is
+    still received instead of causing a reset."""
     with suppress(OSError):
         sock.shutdown(socket.SHUT_WR)
--- a/gladelane/sse.py
+++ b/gladelane/sse.py
@@ -8,12 +8,12 @@
 
 
 class EventStream:
-    """Decodes one stream, fed in chunks of any size."""
+    """Decodes one stream from chunks of any size."""
 
     def __init__(self) -> None:
         self._buffer = b""
         self._data: list[str] = []
-        self._size = 0  # of these
+        self._size = 0  # of the lines in _data
 
     def feed(self, chunk: bytes) -> Iterator[str]:
         """The data of each event that the chunk completes. Raises OSError for an event that is too long."""
@@ -28,7 +28,7 @@
                 yield data
             elif line.startswith("data:"):
                 self._size += len(raw)
-                if self._size > MAX_EVENT_BYTES:  # lines of an event that never ends
+                if self._size > MAX_EVENT_BYTES:  # many short lines of one event
                     raise OSError("event too long")
                 self._data.append(line[5:].removeprefix(" "))
 
--- a/gladelane/timer_wheel.py
+++ b/gladelane/timer_wheel.py
@@ -1,4 +1,4 @@
-"""A hashed timer wheel: timers in ticks of 5 ms, and how late the event loop runs them. Times are ms."""
+"""A hashed timer wheel with ticks of 5 ms, which also measures how late the event loop runs. Times are ms."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 TICK_MS = 5.0
 SLOTS = 2048  # about 10 s: most timers fall due within one revolution
-LATE_MS = 100.0  # a tick this late is logged: something blocked the event loop
-WORST_LATE_DECAY = 0.998  # of the worst lateness, at each tick: it halves in 2 s
-# The most that is remembered: a loop that is later was stopped, not busy, which says nothing about the next
-# timers. Without this limit, requests with 1.4 s left would be rejected for 4 s after a stop of 6 s.
+LATE_MS = 100.0  # later ticks are logged, because something has blocked the event loop
+WORST_LATE_DECAY = 0.998  # factor of the worst lateness at each tick: it halves in 2 s
+# Upper bound of the worst lateness. A loop that is later than this was stopped rather than busy, which does
+# not predict the lateness of the next timers. Without the bound, requests with 1.4 s left would be rejected
+# for 4 s after a stop of 6 s.
 WORST_LATE_LIMIT_MS = LATE_MS
 
 
@@ -42,11 +43,13 @@
         self._late_ms = self._worst_ms = 0.0
 
     def lag(self) -> float:
-        """How long data that is read now may have been waiting: since the last tick, and its lateness."""
+        """How long data that is read now may have been waiting: the overdue time of the next tick, plus the
+        lateness of the last one."""
         return max(self._clock() - self._last_tick_ms - TICK_MS, 0.0) + self._late_ms
 
     def margin(self) -> float:
-        """By how much to bring a deadline forward to meet it: the lag and the recent worst lateness."""
+        """How much earlier than a deadline to set its timer: a tick, the lag and the worst recent
+        lateness."""
         return TICK_MS + self.lag() + self._worst_ms
 
     def schedule(self, due_ms: float, call: Callable[[], None]) -> TimerHandle:
@@ -72,7 +75,7 @@
                     continue
                 try:
                     handle.call()
-                except Exception:  # one timer's fault must not stop the others
+                except Exception:  # an error in one callback must not prevent the others
                     log.exception("timer failed")
 
     async def run(self) -> None:
@@ -84,7 +87,7 @@
             self.advance()
 
     def record_tick(self, before_ms: float, now_ms: float) -> None:
-        """Updates the lateness by a tick at `now_ms` that was waited for since `before_ms`."""
+        """Updates the lateness after a tick at `now_ms`, the wait for which began at `before_ms`."""
         late = now_ms - before_ms - TICK_MS
         self._last_tick_ms = now_ms
         self._late_ms = max(late, 0.0)
