--- a/gladelane/routing/server_credit.py
+++ b/gladelane/routing/server_credit.py
@@ -1,6 +1,6 @@
-"""What one director knows of one server that warms up: how its start became known, and the credit left. Pure.
+"""The state of one warming server at one director: how its start became known, and its credit. Pure.
 
-Times are ms of the caller's clock, credit is work in ms of sending time.
+Times are ms by the caller's clock; credit is work, measured as sending time in ms.
 """
 
 from __future__ import annotations
@@ -12,30 +12,34 @@
 
 from .events import Member
 
-SLOTS = 8  # parts of a window by which stakes are remembered: the limit holds for a window and one part more
-NOT_YET = -math.inf  # a moment before any of a clock, wherever that clock begins
+SLOTS = 8  # slots of a window in which spending is recorded; the limit applies to a window plus one slot
+NOT_YET = -math.inf  # earlier than any reading of a clock
 
 
 @dataclass(frozen=True, slots=True)
 class HeardStart:
-    """How this director heard of a server's present process: when, on its own clock, and whether by a change
-    of the list, which tells what has just started, or by a whole list, which tells old starts too."""
+    """How this director learned of the start of a server's current process: when, by its own clock, and
+    whether by a list change, which reports recent starts, or by a complete list, which also contains old
+    ones."""
 
     at_ms: float = NOT_YET
     by_change: bool = False
 
 
 class ListedServer(Protocol):
-    """A server as the list has it."""
+    """A server on the endpoint list."""
 
     member: Member
     heard: HeardStart
 
 
 class Tokens:
-    """The bucket of one cold server at this director, work in ms. `left`: credit, below 0 a debt; `at_ms`:
-    until when it is counted; `recent`: staked and spent within the last window; `won`: the cost of a request
-    that won its draw in this moment and is not sent yet, `staked`: what it takes; `heard`: of its start."""
+    """The token bucket of one cold server at this director; amounts are work in ms.
+
+    `left`: credit, negative for a debt; `at_ms`: the time up to which credit was added; `recent`: credit
+    staked or spent within the last window; `won`: the cost of a request that was admitted at random at this
+    moment and is not sent yet; `staked`: the credit that this request takes; `heard`: how the start became
+    known."""
 
     __slots__ = ("left", "at_ms", "recent", "won", "staked", "heard", "_slots")
 
@@ -43,17 +47,15 @@
         self.renew(NOT_YET)
 
     def renew(self, now: float, heard: HeardStart | None = None) -> None:
-        """A new process was told of, by a whole list unless `heard` says more: nothing is saved up, credit
-        comes from now on."""
+        """Resets the bucket for a new process of the server: it has no credit, and earns it from now on.
+        Without `heard`, its start became known now by a complete list."""
         self.heard = heard or HeardStart(now)
         self.left, self.at_ms, self.recent = 0.0, now, 0.0
         self.won = self.staked = 0.0
-        self._slots: deque[tuple[int, float]] = (
-            deque()
-        )  # number of a part of a window, and what was taken in it
+        self._slots: deque[tuple[int, float]] = deque()  # slot number, and the credit taken in it
 
     def take(self, work: float, slot: int) -> None:
-        """Staked and lost, or spent."""
+        """Deducts credit that was staked and lost, or spent."""
         self.left -= work
         self.recent += work
         if self._slots and self._slots[-1][0] == slot:
@@ -61,8 +63,8 @@
         self._slots.append((slot, work))
 
     def forget(self, slot: int) -> None:
-        """What was taken more than a window before this part of one."""
+        """Removes the credit taken more than a window before this slot from `recent`."""
         while self._slots and self._slots[0][0] < slot - SLOTS:
             self.recent -= self._slots.popleft()[1]
         if not self._slots:
-            self.recent = 0.0  # without what rounding has left
+            self.recent = 0.0  # removes rounding errors
--- a/gladelane/routing/store_list.py
+++ b/gladelane/routing/store_list.py
@@ -1,8 +1,9 @@
-"""The list of stores as one router uses it: what is known of each, and the order to choose in. Pure.
+"""The servers on the endpoint list as one router uses them: their state and the order of preference. Pure.
 
-A list may have thousands of members, of which a router uses few: the caches of its own zone, the parents and
-the origin. Those are kept apart in the order of names and changed as the list changes, so that a change costs
-by its size, and a request nothing that grows with the list.
+The list may have thousands of members, of which a router uses few: the caches of its own zone, the parents
+and the origin. These are stored separately, sorted by name, and updated incrementally, so that the cost of a
+list change depends on the size of the change, and the cost of a request does not depend on the size of the
+list.
 """
 
 from __future__ import annotations
@@ -18,57 +19,58 @@
 from .server_credit import HeardStart
 from .store import UNDIVIDED, LimitDivision, Store
 
-# A director that spreads its requests over all caches of a large zone keeps a connection to each, which is
-# idle nearly all the time, and learns little of any. In a fleet larger than any usual one it does so only for
-# keys that it is asked for again, and for no more caches than it can keep busy.
-MAX_CACHES_USED_ALIKE = 400  # caches in all zones up to which it uses those of its zone alike
-OWN_LEAST, OWN_SHARE = 12, 1 / 32  # caches for its other keys: so many, and so large a part of its zone
-SHARED_LEAST, SHARED_SHARE = 20, 1 / 32  # caches for keys that come again, likewise
-SHARED_IDLE_MS = 30_000.0  # one that was not asked for so long gives its place to another
-RECENT_REQUESTS = 1024  # among which a key has to come again
-RING_STEP = 0x9E3779B97F4A7C15  # the golden ratio's part of 2^64: multiples of it lie evenly on the ring
+# A director that distributes its requests over all caches of a large zone has a connection to each of them
+# that is idle most of the time, and learns little about any of them. In an unusually large fleet it therefore
+# uses the cache that all directors share for a key only for keys that are requested repeatedly, and limits
+# the number of these caches to what it can keep busy. All other keys go to a subset of its own.
+MAX_CACHES_USED_ALIKE = 400  # caches in all zones; up to this number, all caches of the zone are used alike
+OWN_LEAST, OWN_SHARE = 12, 1 / 32  # size of the own subset: a constant, plus a part of the zone's caches
+SHARED_LEAST, SHARED_SHARE = 20, 1 / 32  # number of shared caches for repeated keys: likewise
+SHARED_IDLE_MS = 30_000.0  # a shared cache that was not used for this long may be replaced by another
+RECENT_REQUESTS = 1024  # a key is repeated if it is among the keys of this many recent requests
+RING_STEP = 0x9E3779B97F4A7C15  # 2^64 divided by the golden ratio: multiples are evenly spaced on a ring
 RING = 1 << 64
-MAX_REMOVED = 4096  # stores whose starts are remembered after they left the list
+MAX_REMOVED = 4096  # servers whose start is remembered after they were removed from the list
 
 
 class _Removed(NamedTuple):
-    """Of a store that left the list: the start of its process, as it is dated, and how that became known."""
+    """A server that was removed from the list: the date of its start, and when and how that became known."""
 
     started_ms: float
     heard: HeardStart
 
 
 class StoreList:
-    """All stores by name; the zone's caches, the parents and the origins in the order of names."""
+    """All servers by name; the caches of the zone, the parents and the origins also sorted by name."""
 
     def __init__(self, settings: Settings, division: LimitDivision = UNDIVIDED) -> None:
-        """`division` is that of the zone's caches in a large fleet."""
+        """`division` divides the concurrency limits of the zone's caches in a large fleet."""
         self._division = division
         self.stores: dict[str, Store] = {}
         self.caches: list[Store] = []
         self.parents: list[Store] = []
         self.origins: list[Store] = []
-        self.sources_changed = False  # parents or origins, since whoever reads this has set it back
+        self.sources_changed = False  # parents or origins changed; the reader resets it
         self._zone, self._parent_kind, self._origin_kind = _names(settings)
         self._ring_start = settings.me * RING_STEP % RING
         self._cache_count = 0  # of all zones
-        self._cache_order: RendezvousTable[Store] | None = None  # None: to be made anew
-        self._own_order: RendezvousTable[Store] | None = None  # of a part of them, in a large fleet
-        self._removed: OrderedDict[str, _Removed] = OrderedDict()  # that left the list, the latest last
+        self._cache_order: RendezvousTable[Store] | None = None  # None: to be recomputed
+        self._own_order: RendezvousTable[Store] | None = None  # of the own subset, in a large fleet
+        self._removed: OrderedDict[str, _Removed] = OrderedDict()  # the latest last
         self._recent_keys: OrderedDict[int, None] = OrderedDict()
-        self._shared_used_ms: OrderedDict[str, float] = OrderedDict()  # caches for keys that come again
+        self._shared_used_ms: OrderedDict[str, float] = OrderedDict()  # shared caches for repeated keys
         self._parent_order: RendezvousTable[Store] | None = None
 
     @property
     def origin(self) -> Store | None:
-        """The first of them."""
+        """The first origin by name; None if there is none."""
         return self.origins[0] if self.origins else None
 
     # --- changes
 
     def add(self, store: Store) -> Store:
-        """A server that is new on the list. Returns it. One that left the list and is back with the start
-        that was known did not start anew."""
+        """Adds a server that is new on the list, and returns it. If it was removed earlier and has the same
+        start date, it was not restarted, and when that start became known is restored."""
         removed = self._removed.pop(store.member.store, None)
         if removed is not None and removed.started_ms == store.member.came_up_ms:
             store.heard = removed.heard
@@ -77,7 +79,7 @@
         return store
 
     def remove(self, name: str) -> None:
-        """A server that left the list; does nothing where it is not known."""
+        """Removes a server; does nothing if it is not known."""
         store = self.stores.pop(name, None)
         if store is None:
             return
@@ -88,9 +90,9 @@
                 self._removed.popitem(last=False)
 
     def update(self, store: Store, member: Member, heard: HeardStart) -> None:
-        """What the list says anew of a store that is known."""
+        """Applies a new list entry to a known server."""
         old = store.member
-        # a later process may date its start earlier: its machine's clock was set back meanwhile
+        # Any other date means a restart, also an earlier one: the machine's clock may have been set back.
         if member.came_up_ms and member.came_up_ms != old.came_up_ms:
             store.renew(heard)
         if member == old:
@@ -105,7 +107,7 @@
             self._forget_order(self._part_of(store))
 
     def check_places(self, settings: Settings) -> None:
-        """Where settings that came since name other kinds or another zone, all stores are placed anew."""
+        """Reclassifies all servers if new settings name other kinds or another zone."""
         if _names(settings) == (self._zone, self._parent_kind, self._origin_kind):
             return
         self._zone, self._parent_kind, self._origin_kind = _names(settings)
@@ -117,7 +119,7 @@
             self._place(store)
 
     def _part_of(self, store: Store) -> list[Store] | None:
-        """Where a store belongs; None: a cache of another zone."""
+        """The list that a server belongs to; None for a cache of another zone."""
         kind = store.member.kind
         if kind == self._parent_kind:
             return self.parents
@@ -154,8 +156,9 @@
         return self._cache_count > MAX_CACHES_USED_ALIKE
 
     def _divide_limit(self, store: Store, part: list[Store] | None) -> None:
-        """A small cache is crowded by a few attempts of each director. In a large fleet many caches are
-        small, and there are others that can answer instead."""
+        """Sets how the concurrency limit of a server is divided among directors. A few attempts of each
+        director overload a small cache; in a large fleet many caches are small, and others can answer
+        instead."""
         division = self._division if part is self.caches and self._is_large() else UNDIVIDED
         if store.division is not division:
             store.divide_limit(division)
@@ -174,7 +177,7 @@
     # --- choices
 
     def record_key(self, key: int) -> bool:
-        """To be asked once for each request: whether its key is among the recent ones."""
+        """Records the key of a request, once per request; returns whether it is among the recent keys."""
         if not self._is_large():
             return False
         known = key in self._recent_keys
@@ -185,12 +188,12 @@
         return known
 
     def caches_for(self, key: int, is_recent_key: bool, now: float) -> Iterator[Store]:
-        """The zone's caches that are in service, in hash order; in a large fleet first those that this
-        director prefers for the key. A cache that is preferred is named twice.
+        """The ready caches of the zone in hash order; in a large fleet preceded by those that this director
+        prefers for the key, which are then listed twice.
 
-        What the shared cache of a key has no room for goes to this director's own part, not to the next
-        shared ones: those would be caches that it keeps no connection to, for the most wanted keys of all
-        directors at once."""
+        Requests that exceed the capacity of a key's shared cache go to this director's own subset rather than
+        to the next shared caches: it has no connections to those, and the most popular keys would make all
+        directors connect to them at once."""
         if self._cache_order is None:
             ready = [store for store in self.caches if store.member.state is State.READY]
             self._cache_order = _hash_order(ready)
@@ -206,13 +209,14 @@
         return own_first
 
     def _own_part(self, ready: list[Store]) -> list[Store]:
-        """Those that follow this director's place on the ring. Directors' places lie evenly there, so each
-        cache is preferred by about as many directors as any other; one that comes or goes changes one."""
+        """This director's own subset: the caches that follow its position on the ring. The positions of
+        directors are evenly spaced, so all caches are in about equally many subsets; adding or removing a
+        cache changes a subset by one cache."""
         ring = sorted(ready, key=lambda store: (store.salt - self._ring_start) % RING)
         return sorted(ring[: OWN_LEAST + int(len(ring) * OWN_SHARE)], key=_store_name)
 
     def _may_share(self, cache: Store, now: float) -> bool:
-        """Whether a key that comes again may go to the cache that all directors of the zone ask for it."""
+        """Whether a repeated key may go to the cache that all directors of the zone use for it."""
         name, used_ms = cache.member.store, self._shared_used_ms
         if name not in used_ms and len(used_ms) >= SHARED_LEAST + int(len(self.caches) * SHARED_SHARE):
             oldest = next(iter(used_ms))
@@ -224,7 +228,7 @@
         return True
 
     def parents_for(self, key: int) -> Iterator[Store]:
-        """The parents that are in service, in hash order."""
+        """The ready parents, in hash order."""
         if self._parent_order is None:
             ready = [store for store in self.parents if store.member.state is State.READY]
             self._parent_order = _hash_order(ready)
@@ -232,7 +236,7 @@
 
 
 def _names(settings: Settings) -> tuple[str, str, str]:
-    """What decides where a store belongs."""
+    """The settings that determine which list a server belongs to."""
     return settings.zone, settings.parent_kind, settings.origin_kind
 
 
