--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -16,9 +16,9 @@
 from typing import Any
 
 from benchmarks import conclude
+from gladelane.deployment.wire import settings_from_wire
 from gladelane.lab.virtual import Fleet, Plan
 from gladelane.routing.events import Settings
-from gladelane.settings_wire import settings_from_wire
 
 ROOT = Path(__file__).parent.parent
 RATE = 15.0  # requests a second and cache: about what a branch's caches carry
--- a/gladelane/deployment.py
+++ b/gladelane/deployment/__init__.py
@@ -1,8 +1,10 @@
 """The settings of one deployment that the router, the director and the simulator's adapter use: classes,
 kinds of servers, limits and rules.
 
-`Settings.read` checks each value alone and against the others. The names and enumerated words are those of
-this program; `settings_wire` translates from the platform's file. Times are in milliseconds. Pure.
+`Settings.read` checks each value alone and against the others, by the kinds of values in `checks`. The names
+and enumerated words are those of this program; `wire` translates from the platform's file. Times are in
+milliseconds. All modules are pure. The settings are defined here rather than in a module of their own, so
+that the package loads no more modules at the start of a director than it needs.
 """
 
 from __future__ import annotations
@@ -13,7 +15,7 @@
 from types import MappingProxyType
 from typing import Any
 
-from .settings_checks import (
+from .checks import (
     MISSING,
     BadSetting,
     Choice,
--- a/gladelane/settings_checks.py
+++ b/gladelane/deployment/checks.py
@@ -1,7 +1,7 @@
 """Kinds of values that a setting may have, and the single error type for invalid settings. Pure.
 
 A kind of value defines what it accepts, how it converts an accepted value, and how it is described to the
-person who has to correct the file. The modules that read settings (`deployment`, `settings_wire`,
+person who has to correct the file. The modules that read settings (`deployment`, `deployment.wire`,
 `net/config`) assign a kind to each setting.
 """
 
--- a/gladelane/settings_wire.py
+++ b/gladelane/deployment/wire.py
@@ -10,8 +10,8 @@
 from collections.abc import Mapping
 from typing import Any
 
-from . import deployment as api
-from .settings_checks import (
+from . import Settings
+from .checks import (
     MISSING,
     BadSetting,
     Choice,
@@ -109,7 +109,7 @@
 _CLASS_KEY = re.compile(r"classes\[([0-9]+)\]\.(\w+)")
 
 
-def settings_from_wire(raw: Mapping[str, Any]) -> api.Settings:
+def settings_from_wire(raw: Mapping[str, Any]) -> Settings:
     """Reads the settings of a decoded file. Raises BadSetting, whose key is the path in `raw`."""
     fields = read_object(raw, "")
     for section in _SECTIONS:
@@ -120,7 +120,7 @@
     rows = fields.get("classes")
     plain["classes"] = _classes(fields, rows) if isinstance(rows, list) and rows else rows
     try:
-        settings = api.Settings.read(plain)
+        settings = Settings.read(plain)
     except BadSetting as error:
         key = _file_key(error.key)
         found = _at(fields, key) if key in (*_PATHS.values(), *_KIND_PATHS.values()) else error.found
--- a/gladelane/lab/deployments.py
+++ b/gladelane/lab/deployments.py
@@ -10,8 +10,8 @@
 from enum import Enum
 from typing import Any
 
+from ..deployment.wire import settings_from_wire
 from ..routing.events import Settings
-from ..settings_wire import settings_from_wire
 from .deployed_clocks import ClockPlan
 
 GROUPS = 8  # of objects
--- a/gladelane/net/config.py
+++ b/gladelane/net/config.py
@@ -13,9 +13,7 @@
 
 import msgspec
 
-from ..discovery.events import KnownEvents
-from ..routing.events import Settings
-from ..settings_checks import (
+from ..deployment.checks import (
     MISSING,
     BadSetting,
     Field,
@@ -25,7 +23,9 @@
     read_fields,
     read_object,
 )
-from ..settings_wire import settings_from_wire
+from ..deployment.wire import settings_from_wire
+from ..discovery.events import KnownEvents
+from ..routing.events import Settings
 
 OPTIONAL_KEYS = frozenset({"ops"})  # GW_OPS names it too
 SEED = re.compile(r"[0-9a-fA-F]{1,64}")  # int() also takes signs, 0x and 1_0
--- a/gladelane/simhost.py
+++ b/gladelane/simhost.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
+from .deployment.wire import settings_from_wire
 from .routing import events as api
 from .routing.router import Router
-from .settings_wire import settings_from_wire
 
 _CODES = {
     "100": api.Status.OK,
--- a/tests/admin/test_live_settings.py
+++ b/tests/admin/test_live_settings.py
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 
 from gladelane.admin.live_settings import STRICTNESS, apply_live, stricter, transition_settings
+from gladelane.deployment.wire import settings_from_wire
 from gladelane.net.config import ConfigError, read_config
 from gladelane.routing.events import ClassSpec, Effect
-from gladelane.settings_wire import settings_from_wire
 
 REFUSED = "127.0.0.1:1"
 WHOLE = json.loads(config({"c0": REFUSED, "r0": REFUSED}))
--- a/tests/fleet/test_audit.py
+++ b/tests/fleet/test_audit.py
@@ -451,9 +451,9 @@
 
             from gladelane.admin.maintenance import MaintenanceRegister
             from gladelane.admin.metrics import Metrics
+            from gladelane.deployment.wire import settings_from_wire
             from gladelane.purges.active_purges import ActivePurges
             from gladelane.routing.events import Settings
-            from gladelane.settings_wire import settings_from_wire
 
             self.settings: Settings = settings_from_wire(WIRE)
             self.rev, self.register, self.metrics, self.active = (
--- a/tests/golden/test_client_frames.py
+++ b/tests/golden/test_client_frames.py
@@ -5,6 +5,7 @@
 import pytest
 from harness import settings
 
+from gladelane.deployment.wire import settings_from_wire
 from gladelane.net.client_protocol import (
     FrameDecoder,
     Type,
@@ -16,7 +17,6 @@
     encode_ready,
 )
 from gladelane.net.exchange import AnswerCode, FinalAnswer
-from gladelane.settings_wire import settings_from_wire
 
 STREAM = 0x01020304
 ID, OBJECT = "9b1f03aa5c7e2d41", "7f3a9c21e0b4d655"
--- a/tests/golden/test_key_names.py
+++ b/tests/golden/test_key_names.py
@@ -17,9 +17,9 @@
 from harness import config
 
 from gladelane.cli import build
+from gladelane.deployment.wire import settings_from_wire
 from gladelane.net.config import ConfigError, read_config
 from gladelane.settings.operator import OperatorFileError, read_operator
-from gladelane.settings_wire import settings_from_wire
 
 ROOT = Path(__file__).parents[2]
 #: every key of GW_CONFIG that is read; `[0]` is an element
--- a/tests/golden/test_words.py
+++ b/tests/golden/test_words.py
@@ -16,6 +16,7 @@
 from gladelane.audit.digests import settings_digest
 from gladelane.audit.view import View, list_digest, view_id
 from gladelane.audit.view_lease import Stage
+from gladelane.deployment.wire import settings_from_wire
 from gladelane.discovery.events import watch_event_decoder
 from gladelane.endpoints.plan import Endpoints
 from gladelane.net.config import read_config
@@ -26,7 +27,6 @@
 from gladelane.routing.events import Event, Fetch, Members, State
 from gladelane.server import Server
 from gladelane.settings.operator import read_operator
-from gladelane.settings_wire import settings_from_wire
 from gladelane.timer_wheel import TimerWheel
 
 SETTINGS = settings_from_wire(settings())
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -20,10 +20,9 @@
 
 #: From the bottom up. A package may import those of lower lines only, never its neighbours.
 LAYERS: tuple[tuple[str, ...], ...] = (
-    ("settings_checks", "clock"),
-    ("deployment",),
+    ("deployment", "clock"),
     ("structures", "sse", "logs", "process", "sockets"),
-    ("storage", "endpoints", "settings_wire"),
+    ("storage", "endpoints"),
     ("control_plane",),  # the control server, which knows none of its parts
     ("purges",),
     ("routing", "leases", "discovery", "timer_wheel"),
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -11,6 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from gladelane.deployment.wire import settings_from_wire
 from gladelane.net.attempt_outcomes import STATUS, AttemptOutcome
 from gladelane.net.cache_protocol import (
     MAX_UNREADABLE_LOGGED,
@@ -33,7 +34,6 @@
 from gladelane.net.config import ConfigError, host_port, read_config
 from gladelane.net.exchange import AnswerCode, FinalAnswer
 from gladelane.routing.events import NEVER_RAN, Note, Status
-from gladelane.settings_wire import settings_from_wire
 from gladelane.sse import EventStream
 
 SETTINGS = settings_from_wire(settings())
--- a/tests/test_settings_files.py
+++ b/tests/test_settings_files.py
@@ -19,9 +19,9 @@
 from hypothesis import strategies as st
 from test_net_rules import ready, start_process
 
+from gladelane.deployment.checks import MISSING, BadSetting
 from gladelane.net.client_protocol import encode_fields
 from gladelane.net.config import ConfigError, read_config
-from gladelane.settings_checks import MISSING, BadSetting
 
 ROOT = Path(__file__).parent.parent
 WHOLE = json.loads((ROOT / "example" / "config.json").read_text())
@@ -181,7 +181,7 @@
 
 
 def test_the_table_has_every_setting_that_the_reader_knows() -> None:
-    from gladelane import settings_wire as reader
+    from gladelane.deployment import wire as reader
 
     paths = {f"settings.{path}" for path in reader._PATHS.values()}
     paths |= {f"settings.classes[0].{name}" for name in reader._CLASS_KEYS.values()}
