--- a/gladelane/discovery/client.py
+++ b/gladelane/discovery/client.py
@@ -145,11 +145,11 @@
             before = self._last_revision()
             try:
                 await self._follow()
-                log.info("board ended")
+                log.info("discovery stream ended")
             except (OSError, h11.ProtocolError, TimeoutError) as error:
-                log.warning("board lost: %s %s", type(error).__name__, error)
+                log.warning("discovery stream lost: %s %s", type(error).__name__, error)
             except Exception:  # without a watch the director would go on with an old list
-                log.exception("board failed")
+                log.exception("discovery watch failed")
             await asyncio.sleep(self._backoff.after(self._last_revision() > before))
 
     async def _follow(self) -> None:
--- a/gladelane/server.py
+++ b/gladelane/server.py
@@ -249,7 +249,7 @@
         config.known, config.seed = self.config.known, self.config.seed  # used at the start only
         config.ops, config.settings = self.config.ops, self.config.settings
         after_restart += _differences(config, self.config)
-        log.info("reloaded board=%s:%d moved=%d rev=%d", *config.discovery, has_moved, self.director.rev)
+        log.info("reloaded discovery=%s:%d moved=%d rev=%d", *config.discovery, has_moved, self.director.rev)
         if after_restart:
             log.warning("reloaded: a change of %s takes a restart", ", ".join(after_restart))
 
--- a/tests/endpoints/test_sockets.py
+++ b/tests/endpoints/test_sockets.py
@@ -459,7 +459,7 @@
             await burst(8)
             for content, says in (
                 ("{endpoints: {rule: []}}", "endpoints.rule: unknown key"),
-                (rule, "reloaded board"),
+                (rule, "reloaded discovery"),
             ):
                 file.write_text(content)
                 process.send_signal(signal.SIGHUP)
