--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -16,10 +16,10 @@
 
 from benchmarks import conclude
 from benchmarks.example_site import example_config
+from gladelane.deployment.wire import settings_from_wire
 from gladelane.lab.processes import ROOT
 from gladelane.lab.virtual import Fleet, Plan
 from gladelane.routing.events import Settings
-from gladelane.settings_wire import settings_from_wire
 
 RATE = 15.0  # requests a second and cache: about what a branch's caches carry
 
