--- a/gladelane/lab/happy_eyeballs_interleavings.py
+++ b/gladelane/lab/happy_eyeballs_interleavings.py
@@ -1,10 +1,9 @@
-"""The race of dials under every interleaving: a model of all that can happen to it, and what must hold
-throughout.
+"""Model check of Happy Eyeballs (RFC 8305): every interleaving of events that can reach one dialing attempt.
 
-Time is counted in whole units: the delay is one, the time-out three or so. At each state any of these may
-come next: a dial comes up or fails, time passes, an address is withdrawn, the winner is lost, the request is
-written, the connection is given up; with and without a descriptor to spare. The model keeps its own books of
-sockets and bytes and believes the machine in nothing.
+Time advances in whole units: the connection attempt delay is one unit, the time-out about three. In each
+state any of these events may come next: a connection attempt succeeds or fails, time passes, an address is
+removed, the winning connection is lost, the request is written, the caller cancels; with or without a spare
+descriptor. The invariants are checked against the model's own record of sockets and of bytes written.
 """
 
 from __future__ import annotations
@@ -14,41 +13,43 @@
 from ..endpoints.happy_eyeballs import Action, Command, HappyEyeballs, Phase
 from .modelcheck import Found, search
 
-UNIT = 1.0
-Make = Callable[[int], HappyEyeballs]
+UNIT = 1.0  # of model time
+Make = Callable[[int], HappyEyeballs]  # makes a state machine for a number of addresses
 
 
 class World:
-    """One race and the world's own books about it."""
+    """One dialing attempt (`attempt`), and the model's own record of its effects."""
 
-    def __init__(self, race: HappyEyeballs) -> None:
-        self.race = race
+    def __init__(self, attempt: HappyEyeballs) -> None:
+        self.attempt = attempt
         self.now = 0.0
-        self.sockets: frozenset[int] = frozenset()  # open ones, by address
-        self.granted = 0  # sockets beyond the first that there was room for
-        self.bytes: frozenset[int] = frozenset()  # addresses that were given a byte
+        self.sockets: frozenset[int] = frozenset()  # open sockets, by address index
+        self.granted = 0  # further sockets that the descriptor limit allowed
+        self.bytes: frozenset[int] = frozenset()  # indices of addresses to which a byte was written
         self.winner = -1
         self.ended = False
         self.wrong: str | None = None
 
     def copy(self) -> World:
+        """An independent copy: the successors of a state change it without affecting each other."""
         other = World.__new__(World)
         other.__dict__.update(self.__dict__)
-        other.race = type(self.race).__new__(type(self.race))
+        other.attempt = type(self.attempt).__new__(type(self.attempt))
         for name in HappyEyeballs.__slots__:
-            value = getattr(self.race, name)
-            setattr(other.race, name, list(value) if isinstance(value, list) else value)
+            value = getattr(self.attempt, name)
+            setattr(other.attempt, name, list(value) if isinstance(value, list) else value)
         return other
 
     def key(self) -> Hashable:
-        race = self.race
+        """Identifies the state; two states with the same key have the same future."""
+        attempt = self.attempt
         return (
-            tuple(race.states),
-            race.phase,
-            race.next_ms,
-            tuple(race.started_ms),
-            race.was_replaced,
-            race.address_count,
+            tuple(attempt.states),
+            attempt.phase,
+            attempt.next_ms,
+            tuple(attempt.started_ms),
+            attempt.was_replaced,
+            attempt.address_count,
             self.now,
             self.sockets,
             self.granted,
@@ -57,8 +58,9 @@
             self.ended,
         )
 
-    def carry_out(self, steps: list[Command], room: int) -> World:
-        for action, number in steps:
+    def carry_out(self, commands: list[Command], spare_sockets: int) -> World:
+        """Applies the commands to the model and records a violation in `wrong`."""
+        for action, number in commands:
             if self.ended:
                 self.wrong = f"{action.name} {number} after the end"
             if action is Action.DIAL:
@@ -71,8 +73,10 @@
                 self._lose()
         extra = len(self.sockets) - 1
         if extra > self.granted:
-            if extra - self.granted > room:
-                self.wrong = f"{len(self.sockets)} sockets with room for {self.granted + room} further ones"
+            if extra - self.granted > spare_sockets:
+                self.wrong = (
+                    f"{len(self.sockets)} sockets with room for {self.granted + spare_sockets} further ones"
+                )
             self.granted = extra
         return self
 
@@ -99,64 +103,69 @@
         self.ended = True
 
     def invariant(self) -> str | None:
-        race = self.race
+        """The first violated invariant in words; None if all hold."""
+        attempt = self.attempt
         if self.wrong:
             return self.wrong
         if len(self.bytes) > 1:
             return f"addresses {sorted(self.bytes)} were given bytes of one attempt"
-        if race.is_over() and self.sockets - {self.winner}:
+        if attempt.is_over() and self.sockets - {self.winner}:
             return f"over with {sorted(self.sockets)} open"
-        if race.phase is Phase.CONNECTING and not self.sockets:
+        if attempt.phase is Phase.CONNECTING and not self.sockets:
             return "racing without a socket: nothing would ever end it but the clock"
-        if race.phase is Phase.CONNECTING and self.now > race.end_ms:
+        if attempt.phase is Phase.CONNECTING and self.now > attempt.end_ms:
             return "still racing after its time"
         return None
 
 
 def _successors(world: World) -> Iterator[tuple[str, World]]:
-    race = world.race
+    """Every event that may come next, with the state that it leads to."""
+    attempt = world.attempt
     for number in sorted(world.sockets - {world.winner}):
         then = world.copy()
-        yield f"up {number}", then.carry_out(then.race.connected(number), 0)
+        yield f"up {number}", then.carry_out(then.attempt.connected(number), 0)
         then = world.copy()
         then.sockets -= {number}
-        yield f"fail {number}", then.carry_out(then.race.failed(number, then.now), 0)
-    if race.phase is Phase.CONNECTING:
-        for room in (0, 1):
+        yield f"fail {number}", then.carry_out(then.attempt.failed(number, then.now), 0)
+    if attempt.phase is Phase.CONNECTING:
+        for spare_sockets in (0, 1):
             then = world.copy()
             then.now += UNIT
-            yield f"time, room {room}", then.carry_out(then.race.wake(then.now, room), room)
-        for number in range(race.address_count):
+            yield (
+                f"time, room {spare_sockets}",
+                then.carry_out(then.attempt.wake(then.now, spare_sockets), spare_sockets),
+            )
+        for number in range(attempt.address_count):
             then = world.copy()
-            steps = then.race.removed(number, then.now)
-            if steps or then.race.states != race.states:
+            steps = then.attempt.removed(number, then.now)
+            if steps or then.attempt.states != attempt.states:
                 yield f"withdraw {number}", then.carry_out(steps, 0)
         then = world.copy()
-        steps = then.race.cancel()
+        steps = then.attempt.cancel()
         then = then.carry_out(steps, 0)
         then.ended = True
         yield "end", then
-    if race.phase is Phase.WON:
+    if attempt.phase is Phase.WON:
         then = world.copy()
-        then.race.written()
+        then.attempt.written()
         then.bytes |= {then.winner}
         yield "write", then
         then = world.copy()
         lost, then.winner = then.winner, -1
         then.sockets -= {lost}
-        yield f"winner {lost} lost", then.carry_out(then.race.winner_lost(lost, then.now), 0)
+        yield f"winner {lost} lost", then.carry_out(then.attempt.winner_lost(lost, then.now), 0)
 
 
 def check(most: int = 4, units: int = 3, make: Make | None = None) -> Found:
-    """All interleavings of races with 1 to `most` addresses. Raises InvariantViolationError."""
+    """Explores dialing attempts with 1 to `most` addresses. Raises InvariantViolationError."""
 
     def plain(addresses: int) -> HappyEyeballs:
-        # the delay is cut to time-out / addresses: these figures keep it at one unit
+        # The delay is limited to time-out / addresses; this time-out keeps it at one unit.
         return HappyEyeballs(addresses, 0.0, UNIT, max(units, addresses) * UNIT)
 
     def starts() -> Iterator[World]:
         for addresses in range(1, most + 1):
             world = World((make or plain)(addresses))
-            yield world.carry_out(world.race.start(0.0), 0)
+            yield world.carry_out(world.attempt.start(0.0), 0)
 
     return search(starts(), World.key, _successors, World.invariant)
