--- a/gladelane/lab/deployed.py
+++ b/gladelane/lab/deployed.py
@@ -30,7 +30,7 @@
 from .deployed_stores import Store, StoreSide, object_of
 from .deployments import Deployment, Fault, FaultKind, director_name, group_of
 from .model.timeline import Timeline
-from .virtual_sender import Sent, VirtualSender, VirtualWheel
+from .virtual_sender import Sent, VirtualSender, VirtualTimers
 
 START_MS = 10_000_000.0  # the clock at the start: 0 stands for 'never' in many places
 SLACK_MS = 50.0  # on every limit, since directors are real and their loops have a pace
@@ -64,7 +64,7 @@
     name: str
     director: Director
     sender: VirtualSender
-    wheel: VirtualWheel
+    wheel: VirtualTimers
     rev: int = 1
     heard_ms: float = 0.0
 
@@ -144,7 +144,7 @@
         seed = self.deployment.seed + place
         name = director_name(place)
         clock = self._director_clock(name)
-        wheel = VirtualWheel(clock)
+        wheel = VirtualTimers(clock)
         endpoints = Endpoints(random.Random(seed))
         director = make_director(settings, seed, clock, wheel, endpoints, KEYS_MOST)
         limits = self.deployment.wire["limits"]
--- a/gladelane/lab/virtual_sender.py
+++ b/gladelane/lab/virtual_sender.py
@@ -1,8 +1,8 @@
-"""The upstream side of a director in virtual time: connections without sockets.
+"""The upstream connections of a director in virtual time, without sockets.
 
-It does in virtual time what `net.connection_pool` does on sockets, as far as a director can tell: attempts
-wait for a dial, are checked again just before their first byte, share a connection by streams, and end with
-it. Nothing here decides.
+Behaves as `net.connection_pool` does on sockets, as far as a director can observe it: attempts wait until a
+connection is established, are checked once more just before their first byte is written, share a connection
+as streams, and end when the connection ends. This module makes no routing decision.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from ..timer_wheel import TimerWheel
 from .model.timeline import Timeline
 
-#: how a store words what came of an attempt
+#: the answer by which a store reports each status
 ANSWERS: dict[Status, AttemptOutcome] = {
     Status.OK: AttemptOutcome.SERVED,
     Status.MISS: AttemptOutcome.NOT_HERE,
@@ -33,17 +33,18 @@
 }
 
 
-class VirtualWheel(TimerWheel):
-    """A wheel that is turned by a timeline, and is never late."""
+class VirtualTimers(TimerWheel):
+    """A timer wheel that a timeline advances, so that it is never late."""
 
     def advance(self) -> None:
+        """Runs what is due at the current tick, without counting any time as lateness."""
         self._last_tick_ms = self._clock()
         super().advance()
 
 
 @dataclass(slots=True, eq=False)
 class Sent:
-    """An attempt on its way to a store, as the wire has it. `answer` is called by the store, once at most."""
+    """A written attempt, with the fields of its frame. The store calls `answer` at most once."""
 
     director: str
     zone: str
@@ -51,63 +52,72 @@
     store: str
     source: str
     rank: int
-    max_age_ms: float  # 0: the class's fresh time
+    max_age_ms: float  # 0: the default of the class applies
     hints: frozenset[str]
     answer: Callable[[Status, Note, float], None]
-    body: bytes = b""  # of the answer
-    given_up: bool = False
+    body: bytes = b""  # of the answer; set by the store
+    given_up: bool = False  # by the director, before it was answered
 
 
 class Watcher(Protocol):
-    """Hears what crosses the wire, before the director hears of its end."""
+    """Observes all that is written and how it ends. It is notified before the director is."""
 
-    def written(self, sent: Sent) -> None: ...
+    def written(self, sent: Sent) -> None:
+        """An attempt was written to a connection."""
 
-    def ended(self, sent: Sent, status: Status, dated_ms: float | None) -> None: ...
+    def ended(self, sent: Sent, status: Status, dated_ms: float | None) -> None:
+        """A written attempt ended. `dated_ms` is the date of the copy that answered it, if any."""
 
     def cancelled(self, sent: Sent) -> None:
-        """The director gave up, before its time, what had been written."""
+        """The director cancelled an attempt that had been written."""
 
 
 class World(Protocol):
-    """What a sender's connections lead to. Times are ms."""
+    """The stores and the network that a sender's connections lead to. Times are in ms."""
 
     def way(self, zone: str, store: str) -> float:
-        """One way, this time."""
+        """Draws the one-way delay between a zone and a store."""
 
     def dial_ms(self, zone: str, store: str) -> float:
-        """How long a dial takes where somebody listens."""
+        """Draws the time until a connection is established, if the store accepts it."""
 
     def dial_end(self, store: str) -> AttemptOutcome | None:
-        """What a dial that arrives now comes to; None: a connection."""
+        """How a connection attempt fails that reaches the store now; None if it succeeds."""
 
-    def arrived(self, sent: Sent) -> None: ...
+    def arrived(self, sent: Sent) -> None:
+        """An attempt reached its store."""
 
-    def aborted(self, sent: Sent) -> None: ...
+    def aborted(self, sent: Sent) -> None:
+        """The store learns that the director has given the attempt up."""
 
     def answer_ms(self, sent: Sent) -> float | None:
-        """How long this answer takes on its way; None: it is lost."""
+        """Draws the delay of the answer on its way back; None if it is lost."""
 
     def copy_date(self, given_out_ms: float) -> UnixMs:
-        """How the origin dated a copy that it gave out at this moment of the run."""
+        """The date that the origin wrote on a copy that it sent out at this moment of the run."""
 
 
 @dataclass(slots=True, eq=False)
 class _Connection:
+    """One connection. A retired one accepts no further attempts and is closed once it carries none."""
+
     store: str
     up: bool = False
     retired: bool = False
     ended: bool = False
-    open: dict[str, Attempt] = field(default_factory=dict)  # by the client's id, as answers name it
-    sent: dict[str, Sent] = field(default_factory=dict)  # those of them that were written
-    spent: set[str] = field(default_factory=set)  # ids whose answers may still come
+    open: dict[str, Attempt] = field(default_factory=dict)  # by request id, which answers carry
+    sent: dict[str, Sent] = field(default_factory=dict)  # the written ones among `open`
+    completed_ids: set[str] = field(default_factory=set)  # their late answers may still arrive
 
-    def takes(self, id_: str, most: int) -> bool:
-        return not self.retired and len(self.open) < most and id_ not in self.open and id_ not in self.spent
+    def accepts(self, id_: str, max_streams: int) -> bool:
+        """Whether a request with this id may be sent here. No id is used twice on one connection: a late
+        answer to the first use would be taken for one to the second."""
+        is_known = id_ in self.open or id_ in self.completed_ids
+        return not self.retired and len(self.open) < max_streams and not is_known
 
 
 class VirtualSender:
-    """All connections of one director."""
+    """All upstream connections of one director."""
 
     def __init__(
         self, name: str, owner: Director, line: Timeline, world: World, watcher: Watcher, limits: ConnLimits
@@ -116,17 +126,19 @@
         self.world, self.watcher, self.limits = world, watcher, limits
         self._pool: dict[str, list[_Connection]] = {}
 
-    # --- for the director
+    # --- called by the director
 
     def send(self, attempt: Attempt) -> None:
+        """Sends on the least loaded connection that accepts the attempt, else opens one."""
         id_ = attempt.exchange.ask.id
-        able = [c for c in self._pool.get(attempt.store, ()) if c.takes(id_, self.limits.max_streams)]
+        able = [c for c in self._pool.get(attempt.store, ()) if c.accepts(id_, self.limits.max_streams)]
         connection = min(able, key=lambda c: len(c.open), default=None) or self._dial(attempt.store)
         connection.open[id_] = attempt
         if connection.up:
             self._write(connection, attempt)
 
     def abandon(self, attempt: Attempt, end: AttemptOutcome) -> None:
+        """Gives the attempt up, whether it has been written or not."""
         id_ = attempt.exchange.ask.id
         for connection in list(self._pool.get(attempt.store, ())):
             if connection.open.get(id_) is not attempt:
@@ -134,7 +146,7 @@
             del connection.open[id_]
             sent = connection.sent.pop(id_, None)
             if sent is not None:
-                connection.spent.add(id_)
+                connection.completed_ids.add(id_)
                 self._abort(sent, end)
             self._close_if_done(connection)
 
@@ -146,9 +158,10 @@
         self.line.after(self.world.way(sent.zone, sent.store), partial(self.world.aborted, sent))
 
     def cancel_unsent(self, attempt: Attempt) -> None:
-        """Nothing waits to leave here: what was written is on its way."""
+        """No effect: written frames are never queued here."""
 
     def drop_server(self, store: str) -> None:
+        """Retires all connections of a server that left the endpoint list."""
         for connection in list(self._pool.get(store, ())):
             connection.retired = True
             if not connection.up:
@@ -157,13 +170,13 @@
                 self._close_if_done(connection)
 
     def remove_address(self, store: str, _address: Address) -> None:
-        """Each store has one address here: without it, connections are as those of a store that left."""
+        """Each store has one address here, so removing it is the same as dropping the server."""
         self.drop_server(store)
 
-    # --- for the world
+    # --- called by the fleet
 
     def break_connections(self, store: str, chosen: Callable[[], bool] = lambda: True) -> None:
-        """Connections to a store end under what they carry."""
+        """Resets established connections to a store, with all attempts that they carry."""
         for connection in list(self._pool.get(store, ())):
             if connection.up and chosen():
                 self._end(connection, AttemptOutcome.RESET)
@@ -173,11 +186,14 @@
     def _dial(self, store: str) -> _Connection:
         connection = _Connection(store)
         self._pool.setdefault(store, []).append(connection)
-        takes, most = self.world.dial_ms(self.owner.settings.zone, store), self.limits.dial_timeout_ms
-        if takes >= most:
-            self.line.after(most, partial(self._end, connection, AttemptOutcome.DIAL_TIMED_OUT))
+        elapsed_ms, limit_ms = (
+            self.world.dial_ms(self.owner.settings.zone, store),
+            self.limits.dial_timeout_ms,
+        )
+        if elapsed_ms >= limit_ms:
+            self.line.after(limit_ms, partial(self._end, connection, AttemptOutcome.DIAL_TIMED_OUT))
         else:
-            self.line.after(takes, partial(self._dialled, connection, most - takes))
+            self.line.after(elapsed_ms, partial(self._dialled, connection, limit_ms - elapsed_ms))
         return connection
 
     def _dialled(self, connection: _Connection, left_ms: float) -> None:
@@ -211,13 +227,13 @@
         self.line.after(self.world.way(sent.zone, sent.store), partial(self.world.arrived, sent))
 
     def _on_the_wire(self, connection: _Connection, attempt: Attempt) -> Sent:
-        """What the store reads: the fields as they are written, rounded as they are."""
+        """The attempt as the store reads it: from the fields of its frame, which are rounded."""
         fields = attempt.fields(self.owner.clock())
 
         def answer(status: Status, note: Note, dated_ms: float) -> None:
-            takes = self.world.answer_ms(sent)
-            if takes is not None:
-                self.line.after(takes, partial(self._answered, connection, sent, status, note, dated_ms))
+            delay_ms = self.world.answer_ms(sent)
+            if delay_ms is not None:
+                self.line.after(delay_ms, partial(self._answered, connection, sent, status, note, dated_ms))
 
         sent = Sent(
             self.name,
@@ -239,7 +255,7 @@
         if connection.ended or connection.sent.get(id_) is not sent:
             return
         del connection.open[id_], connection.sent[id_]
-        connection.spent.add(id_)
+        connection.completed_ids.add(id_)
         self.watcher.ended(sent, status, dated_ms if status is Status.OK else None)
         copy_date = float(self.world.copy_date(dated_ms))
         dated = UnixMs(float(int(copy_date)) if status is Status.OK else 0.0)
--- a/tests/lab/test_deployment_parts.py
+++ b/tests/lab/test_deployment_parts.py
@@ -15,7 +15,7 @@
 from gladelane.lab.model.pipe import Pipe
 from gladelane.lab.model.stores import Build, Cache, Filled, Origin, Parent, Work
 from gladelane.lab.model.timeline import Timeline
-from gladelane.lab.virtual_sender import Sent, VirtualSender, VirtualWheel
+from gladelane.lab.virtual_sender import Sent, VirtualSender, VirtualTimers
 from gladelane.net.attempt_outcomes import AttemptOutcome
 from gladelane.net.config import ConnLimits
 from gladelane.net.director import Director
@@ -189,9 +189,9 @@
     def __init__(self) -> None:
         self.line, self.world, self.finals = Timeline(), World(), list[FinalAnswer]()
         self.line.now = 1_000_000.0
-        wheel = VirtualWheel(lambda: self.line.now)
+        timers = VirtualTimers(lambda: self.line.now)
         plain = settings(parent_kind="", max_attempts=1)
-        self.director = Director(plain, 1, lambda: self.line.now, wheel, Endpoints(random.Random(1)), 10)
+        self.director = Director(plain, 1, lambda: self.line.now, timers, Endpoints(random.Random(1)), 10)
         limits = ConnLimits(4, 100.0, 9000.0)
         self.sender = VirtualSender("d0", self.director, self.line, self.world, self.world, limits)
         self.director.sender = self.sender
