--- a/gladelane/lab/deployed.py
+++ b/gladelane/lab/deployed.py
@@ -220,7 +220,7 @@
             self.reach.listed(node.name, member.store)
             self.monitor.listed(node.name, member.store, member.state is State.READY, self.line.now)
             if member.state is State.READY and member.came_up_ms:
-                self.falls.told(node.name, member.store, member.came_up_ms)
+                self.falls.notified(node.name, member.store, member.came_up_ms)
         node.rev += 1
         instances = [_instance(member, self._start_date(member)) for member in members]
         node.director.apply_watch_event(WatchEvent(node.rev, pool=ListChange(instances, reset)))
--- a/gladelane/lab/deployed_stores.py
+++ b/gladelane/lab/deployed_stores.py
@@ -147,7 +147,7 @@
     def _reached(self, store: Store, sent: Sent) -> bool:
         """Whether a store still stands after this came to it."""
         work = self.deployment.mean_work_ms(class_of(object_of(sent)))
-        is_informed = self.falls.is_told(sent.director, store.spec.name)
+        is_informed = self.falls.is_informed(sent.director, store.spec.name)
         if not self.falls.reached(store.spec.name, work, is_informed, self.line.now):
             return True
         store.fallen = True
--- a/tests/lab/test_deployment_parts.py
+++ b/tests/lab/test_deployment_parts.py
@@ -53,14 +53,14 @@
     found: list[Broken] = []
     cold = ColdFalls(found.append)
     cold.started("c0", 1000.0, LINK, RULE)
-    cold.told("d0", "c0", 1000.0)
-    cold.told("d1", "c0", 500.0)  # of an earlier start
-    assert cold.is_told("d0", "c0") and not cold.is_told("d1", "c0")
+    cold.notified("d0", "c0", 1000.0)
+    cold.notified("d1", "c0", 500.0)  # of an earlier start
+    assert cold.is_informed("d0", "c0") and not cold.is_informed("d1", "c0")
     fallen = False
     for number in range(requests):
         director = "d0" if number % 10 < told * 10 else "d1"
         at = 1000.0 + age_ms + number * gap_ms
-        fallen = fallen or cold.reached("c0", WORK_MS, cold.is_told(director, "c0"), at)
+        fallen = fallen or cold.reached("c0", WORK_MS, cold.is_informed(director, "c0"), at)
     assert (fallen, cold.falls, len(found)) == (falls > 0, falls, breaches)
     assert all(broken.rule == "cold" for broken in found)
     assert not cold.reached("c0", 1e9, True, 1500.0) or not falls  # it is down
