--- a/gladelane/lab/cold.py
+++ b/gladelane/lab/cold.py
@@ -1,11 +1,11 @@
-"""Many directors before one server that has just started: a seeded simulation in virtual time. Pure.
+"""Many directors in front of one server that has just started: a seeded simulation in virtual time. Pure.
 
-Real cold budgets (`routing/slow_start.py`) decide; the server only counts. It would fall over if it got
+Real slow-start budgets (`routing/slow_start.py`) decide; the server only counts. It would be overloaded by
 more than N + 2 √N + 2 requests of mean work within the settings' window (N + 3 √N + 3 for N under 30),
-N being what the settings allow it then. A window is held against what any N from its beginning to its end
-bears least.
+where N is what the settings allow at that time. Each window is compared with the smallest bound of any N
+that holds between its beginning and its end.
 
-A cache counts the mean work of each request's class, a hub the request's own.
+A cache counts the mean work of each request's class, a hub the work of the request itself.
 """
 
 from __future__ import annotations
@@ -24,20 +24,20 @@
 from ..routing.slow_start import MEAN_OF, ColdBudgets, Work
 from .cold_falls import FEW_REQUESTS, bound
 
-START_MS = 100_000.0  # of the server's process
+START_MS = 100_000.0  # when the server's process starts
 WINDOW_MS, WARM_MS = 2_000.0, 16_000.0
 COLD_FROM, MULTIPLE, LINK = 0.15, 3.0, 40.0
-RETRY_MS, RETRIES = 100.0, 2  # until a request that was turned away comes again, and how often it does
-FAILED = 0.1  # share of attempts that fail and are sent again
-AIM_MS, DEADLINE_MS = 200.0, 100_000.0  # of both classes; the works are longer than any real ones
-SURGE_AT = 0.7  # of the time between two surges
-KILLED_MS = 1.0  # after a surge
-LATE_MS = 5_000.0  # within which the late ones are told of the server
-CLASSES = (0.4, 1.6)  # mean works of two classes that are asked for equally often, in the mean of both
+RETRY_MS, RETRIES = 100.0, 2  # until a rejected request is retried, and how often it is
+FAILED = 0.1  # share of attempts that fail and are retried
+AIM_MS, DEADLINE_MS = 200.0, 100_000.0  # of both classes; requests are larger than any real ones
+SURGE_AT = 0.7  # when a surge occurs, as a part of the interval between two surges
+KILLED_MS = 1.0  # from a surge until directors are killed
+LATE_MS = 5_000.0  # within which the late directors are notified of the server
+CLASSES = (0.4, 1.6)  # mean work of two classes, requested equally often; the mean of both is 1
 
 
 class Server(Enum):
-    """What has started."""
+    """The kind of the server that has started. A hub is a parent."""
 
     CACHE = "cache"
     HUB = "hub"
@@ -45,14 +45,20 @@
 
 @dataclass(frozen=True)
 class Case:
-    """One run. requests: N when the server starts; demand: what is asked for, in what the server may be sent.
-
-    surge_ms: between moments in which each director asks twice at once; next to nothing is asked for in
-    between. late: share of the directors that are told late. fresh: the directors have started with the
-    server and know no mean work. uneven, spread: sigmas of the directors' shares of the demand and of a
-    class's works (lognormal). beside: each director is two processes from the middle of the warm-up on.
-    restarted: share of the directors that are killed just after each surge and start anew at once, as the
-    demand comes; restart_ms: between moments in which they are, where there are no surges.
+    """One run. Its random numbers are seeded with its `repr`, so the names of fields and cases are part of
+    the seed.
+
+    - `requests`: N when the server starts.
+    - `demand`: rate of first attempts, as a multiple of what the server may be sent.
+    - `surge_ms`: interval between surges, in which each director gets two requests at once; between them
+      there are nearly no requests. 0: no surges.
+    - `late`: share of the directors that are notified of the server late.
+    - `fresh`: the directors started together with the server and know no mean work yet.
+    - `uneven`, `spread`: sigmas (lognormal) of the directors' shares of the demand and of the work in a
+      class.
+    - `beside`: each director runs as two processes from the middle of the slow start on (hot restart).
+    - `restarted`: share of the directors that are killed just after each surge and restart at once.
+    - `restart_ms`: interval between such restarts, if there are no surges.
     """
 
     name: str
@@ -72,15 +78,19 @@
 
 
 class Arrival(NamedTuple):
-    """One attempt that reached the server. work: in requests of mean work, as the server counts it."""
+    """One attempt that reached the server. `work`: in requests of mean work, as the server counts it."""
 
     at_ms: float
     work: float
 
 
 class Measured(NamedTuple):
-    """over: the largest sum in any window less its bound, in requests; ratio: the largest sum over its bound;
-    used: what was sent of all that the server may be sent until it is warm."""
+    """The result of a run, in requests of mean work.
+
+    - `over`: the largest excess of a window's sum over its bound; negative if no window exceeds it.
+    - `ratio`: the largest quotient of a window's sum and its bound.
+    - `used`: what was sent, as a part of all that the server may be sent during slow start.
+    """
 
     over: float
     ratio: float
@@ -88,8 +98,10 @@
 
 
 class Ramp(NamedTuple):
-    """What a server that started at `start_ms` may be sent in a window: `requests` at first, rising in a line
-    to that over cold_from at warm_ms."""
+    """What a server that started at `start_ms` may be sent in a window.
+
+    `requests` at first, then rising linearly to `requests / cold_from` at `warm_ms` after the start.
+    """
 
     requests: float
     start_ms: float = START_MS
@@ -98,38 +110,41 @@
     window_ms: float = WINDOW_MS
 
     def allowed(self, at_ms: float) -> float:
-        """N for a window that begins then."""
+        """N for a window that begins at this time."""
         age = max(at_ms - self.start_ms, 0.0)
         part = min(self.cold_from + (1.0 - self.cold_from) * age / self.warm_ms, 1.0)
         return self.requests * part / self.cold_from
 
-    def bears(self, at_ms: float) -> float:
-        """Most requests in a window that begins then, by the least that any of its moments allows. The bound
-        rises with N but for FEW_REQUESTS, where it falls by a step: a window may cross that."""
+    def window_bound(self, at_ms: float) -> float:
+        """The bound of a window that begins at this time: the least bound at any moment of the window.
+
+        The bound rises with N, except at FEW_REQUESTS, where it drops by a step; a window may contain that.
+        """
         first, last = self.allowed(at_ms), self.allowed(at_ms + self.window_ms)
         return min(bound(first), bound(FEW_REQUESTS)) if first < FEW_REQUESTS <= last else bound(first)
 
-    def whole(self) -> float:
-        """All that may be sent until it is warm."""
+    def total(self) -> float:
+        """All that may be sent during slow start."""
         mean = (1.0 + self.cold_from) / 2.0
         return self.requests * mean / self.cold_from * self.warm_ms / self.window_ms
 
 
 def measure(arrivals: Sequence[Arrival], ramp: Ramp) -> Measured:
-    """Over all windows that begin with an arrival; in the order of their times."""
+    """The result over all windows that begin with an arrival. `arrivals` are in the order of their times."""
     inside: deque[Arrival] = deque()
-    total, over, ratio = 0.0, -ramp.bears(ramp.start_ms), 0.0
-    for arrival in reversed(arrivals):  # from the last, so that `inside` is the window this one begins
+    total, over, ratio = 0.0, -ramp.window_bound(ramp.start_ms), 0.0
+    for arrival in reversed(arrivals):  # backwards, so that `inside` is the window that begins here
         inside.appendleft(arrival)
         total += arrival.work
         while inside[-1].at_ms >= arrival.at_ms + ramp.window_ms:
             total -= inside.pop().work
-        most = ramp.bears(arrival.at_ms)
+        most = ramp.window_bound(arrival.at_ms)
         over, ratio = max(over, total - most), max(ratio, total / most)
-    return Measured(over, ratio, sum(arrival.work for arrival in arrivals) / ramp.whole())
+    return Measured(over, ratio, sum(arrival.work for arrival in arrivals) / ramp.total())
 
 
 def settings_for(case: Case, me: int = 0) -> Settings:
+    """The settings of the director with number `me`."""
     hub = case.server is Server.HUB
     return Settings.read(
         {
@@ -171,23 +186,23 @@
 
 @dataclass
 class _Process:
-    """One process of a director."""
+    """One process of a director. `informed_ms`: when it is notified of the server."""
 
     budgets: ColdBudgets
     tokens: Tokens
-    told_ms: float
+    informed_ms: float
 
 
 class Ask(NamedTuple):
-    """A request, or its next attempt, at one director."""
+    """An attempt that is due at one director; the first one of a request or a retry."""
 
     at_ms: float
     order: int
     director: int
     kind: int
-    own: float
-    tries: int = 0
-    work: Work | None = None  # as the process that got the first try knew it
+    own: float  # work of this request, in ms
+    retries: int = 0
+    work: Work | None = None  # as the process knew it that got the first attempt
 
 
 class Run:
@@ -198,29 +213,31 @@
         self.settings = settings_for(case)
         kind = "mid" if case.server is Server.HUB else "box"
         self.member = Member("cold", "edge", kind, weight=LINK, came_up_ms=START_MS)
-        self.unit = LINK * COLD_FROM * MULTIPLE * WINDOW_MS / case.requests  # ms of a request of mean work
-        self.directors = [[self._process(START_MS, self.told())] for _ in range(case.directors)]
+        self.unit = LINK * COLD_FROM * MULTIPLE * WINDOW_MS / case.requests  # ms of work of a mean request
+        self.directors = [[self._process(START_MS, self.draw_informed_ms())] for _ in range(case.directors)]
         shares = [math.exp(self.rng.gauss(0.0, case.uneven)) for _ in range(case.directors)]
         self.shares = list(_running_sums(shares))
         self.asks: list[Ask] = []
         self.order = 0
         self.arrivals: list[Arrival] = []
 
-    def told(self) -> float:
+    def draw_informed_ms(self) -> float:
+        """Draws when a director is notified of the server."""
         late = self.rng.random() < self.case.late
         return START_MS + (self.rng.random() * LATE_MS if late else 0.0)
 
-    def _process(self, began_ms: float, told_ms: float) -> _Process:
+    def _process(self, began_ms: float, informed_ms: float) -> _Process:
         budgets = ColdBudgets(self.settings, self.case.directors, random.Random(self.rng.random()))
         budgets.learned_ms = began_ms
         tokens = Tokens()
-        tokens.renew(told_ms)
+        tokens.renew(informed_ms)
         for kind, mean in enumerate(CLASSES):
             for _ in range(0 if self.case.fresh else MEAN_OF):
                 budgets.work(str(kind), mean * self.unit)
-        return _Process(budgets, tokens, told_ms)
+        return _Process(budgets, tokens, informed_ms)
 
     def arrive(self) -> list[Arrival]:
+        """Runs the case and returns what reached the server during slow start."""
         self.plan()
         middle = START_MS + WARM_MS / 2.0
         restarts = deque(self._restarts())
@@ -235,12 +252,12 @@
         return self.arrivals
 
     def arrived(self, at_ms: float, kind: int, own: float) -> None:
-        """A request of this class and work reached the server."""
+        """Records that a request of this class and work reached the server."""
         counted = CLASSES[kind] if self.case.server is Server.CACHE else own / self.unit
         self.arrivals.append(Arrival(at_ms, counted))
 
     def plan(self) -> None:
-        """First tries: at chance moments, and in surges all at once."""
+        """Draws all first attempts: a Poisson process, and surges in which all come at once."""
         now, end, ramp = START_MS, START_MS + WARM_MS, Ramp(self.case.requests)
         while now < end:
             allowed = ramp.allowed(now)
@@ -255,8 +272,11 @@
                     self._ask(START_MS + (step + SURGE_AT) * self.case.surge_ms, director)
 
     def _demand(self, now: float) -> float:
-        """In what the server may be sent. Between surges next to nothing, but for restarted directors: the
-        demand goes on after the surge, when what they had spent is forgotten."""
+        """The demand at this time, as a multiple of what the server may be sent.
+
+        Nearly none between surges. With restarted directors the demand goes on after a surge, because by then
+        they have forgotten what they had spent.
+        """
         case = self.case
         if not case.surge_ms:
             return case.demand
@@ -264,7 +284,7 @@
         return case.demand if case.restarted and into >= SURGE_AT else 0.05
 
     def _restarts(self) -> list[float]:
-        """When directors are killed."""
+        """The moments at which directors are killed."""
         case = self.case
         if not case.restarted:
             return []
@@ -274,7 +294,7 @@
         return [START_MS + (n + SURGE_AT) * case.surge_ms + KILLED_MS for n in range(surges)]
 
     def _restart(self, now: float) -> None:
-        """They have nothing saved up, and know nothing of what they sent."""
+        """Replaces processes: the new ones have no tokens saved up and no record of what was sent."""
         for place in range(int(self.case.restarted * len(self.directors))):
             self.directors[place] = [self._process(now, now)]
 
@@ -295,16 +315,16 @@
 
     def _decide(self, ask: Ask) -> None:
         process = self.rng.choice(self.directors[ask.director])
-        if ask.at_ms < process.told_ms:
+        if ask.at_ms < process.informed_ms:
             return
         work = ask.work or process.budgets.work(str(ask.kind), ask.own)
-        again = ask.tries < RETRIES
+        may_retry = ask.retries < RETRIES
         if process.budgets.allows(self.member, process.tokens, ask.at_ms, work):
             process.budgets.spend(self.member, process.tokens, ask.at_ms, work)
             self.arrived(ask.at_ms, ask.kind, ask.own)
-            again = again and self.rng.random() < FAILED
-        if again:
-            self._push(ask._replace(at_ms=ask.at_ms + RETRY_MS, tries=ask.tries + 1, work=work))
+            may_retry = may_retry and self.rng.random() < FAILED
+        if may_retry:
+            self._push(ask._replace(at_ms=ask.at_ms + RETRY_MS, retries=ask.retries + 1, work=work))
 
 
 def _running_sums(shares: Iterable[float]) -> Iterable[float]:
@@ -315,10 +335,12 @@
 
 
 def play(case: Case) -> Measured:
+    """Runs one case."""
     return measure(Run(case).arrive(), Ramp(case.requests))
 
 
-#: What differs between runs; each is played for a cache and a hub, at several N and sizes of the fleet.
+#: The fields in which the kinds of runs differ; each kind is run for a cache and a hub, with several N and
+#: fleet sizes. The names are part of the seeds.
 KINDS: dict[str, dict[str, Any]] = {
     "told at once": {},
     "told late, uneven": {"late": 0.5, "uneven": 1.0},
@@ -337,6 +359,7 @@
 
 
 def cases(directors: int, requests: Iterable[float], seeds: range) -> list[Case]:
+    """All kinds of runs for one size of the fleet."""
     return [
         Case(name, server, directors, least, seed, **changes)
         for name, changes in KINDS.items()
--- a/gladelane/lab/cold_routers.py
+++ b/gladelane/lab/cold_routers.py
@@ -1,5 +1,5 @@
-"""Whole routers before one server that has just started: the cases of `lab/cold.py`, where further attempts
-and second copies are the routers' own. Pure: virtual time, one seed."""
+"""Whole routers in front of one server that has just started: the cases of `lab/cold.py`, in which retries
+and hedged requests are those of the routers. Pure: virtual time, one seed."""
 
 from __future__ import annotations
 
@@ -36,15 +36,12 @@
     settings_for,
 )
 
-ANSWER_MS, LATE_ANSWER_MS, LATE = (
-    50.0,
-    500.0,
-    0.1,
-)  # an answer's time, a late one's, and the share of late ones
+ANSWER_MS, LATE_ANSWER_MS = 50.0, 500.0
+LATE = 0.1  # share of late answers
 
 
 class _Due(NamedTuple):
-    """What a router hears, and when."""
+    """An event for a router, and when it is due."""
 
     at_ms: float
     order: int
@@ -53,25 +50,25 @@
 
 
 class _Asked(NamedTuple):
-    """A request that a client has sent."""
+    """A client's request: its class and its work in ms."""
 
     kind: int
     own: float
 
 
 class _Routers:
-    """The routers of a case, what they are owed and what is on its way to them."""
+    """The routers of a case and the events that are due for them."""
 
     def __init__(self, case: Case) -> None:
         self.run = Run(case)
         self.due: list[_Due] = []
         self.asked: dict[int, _Asked] = {}
-        self.tries: dict[int, int] = {}
+        self.attempts: dict[int, int] = {}
         self.order = 0
         self.routers = [self._router(me) for me in range(case.directors)]
 
     def _router(self, me: int) -> Router:
-        """With a warm cache where the hub starts, and with a warm hub where the cache does."""
+        """A router that also knows a warm cache if the hub is the starting server, else a warm hub."""
         run = self.run
         router = Router(settings_for(run.case, me), run.rng.getrandbits(32))
         cold = run.member
@@ -81,46 +78,48 @@
         for kind, mean in enumerate(CLASSES):
             for _ in range(0 if run.case.fresh else MEAN_OF):
                 router.cold.work(str(kind), mean * run.unit)
-        self._later(run.told(), me, Members(ListKind.CHANGES, (cold,)))
+        self._schedule(run.draw_informed_ms(), me, Members(ListKind.CHANGES, (cold,)))
         return router
 
-    def _later(self, at_ms: float, director: int, event: Event) -> None:
+    def _schedule(self, at_ms: float, director: int, event: Event) -> None:
         self.order += 1
         heapq.heappush(self.due, _Due(at_ms, self.order, director, event))
 
     def play(self) -> Measured:
+        """Runs the case until the end of slow start."""
         run = self.run
         run.plan()
         for number, ask in enumerate(run.asks):
             self.asked[number] = _Asked(ask.kind, ask.own)
             deadline = ask.at_ms + DEADLINE_MS
             request = Request(number, str(ask.kind), number, deadline, ask.own)
-            self._later(ask.at_ms, ask.director, request)
+            self._schedule(ask.at_ms, ask.director, request)
         while self.due:
             due = heapq.heappop(self.due)
             if due.at_ms < START_MS + WARM_MS:
-                self._tell(due)
+                self._handle(due)
         return measure(run.arrivals, Ramp(run.case.requests))
 
-    def _tell(self, due: _Due) -> None:
+    def _handle(self, due: _Due) -> None:
         for action in self.routers[due.director].handle(due.at_ms, due.event):
             if isinstance(action, SetTimer):
-                self._later(max(action.due_ms, due.at_ms), due.director, Timer(action.token))
+                self._schedule(max(action.due_ms, due.at_ms), due.director, Timer(action.token))
             elif isinstance(action, Fetch):
                 self._fetch(due, action)
 
     def _fetch(self, due: _Due, fetch: Fetch) -> None:
         run, asked = self.run, self.asked[fetch.id]
-        number = self.tries[fetch.id] = self.tries.get(fetch.id, -1) + 1
+        number = self.attempts[fetch.id] = self.attempts.get(fetch.id, -1) + 1
         if run.member.store in (fetch.store, fetch.source):
             run.arrived(due.at_ms, asked.kind, asked.own)
         failed = run.rng.random() < FAILED
-        took = LATE_ANSWER_MS if run.rng.random() < LATE else ANSWER_MS
+        elapsed_ms = LATE_ANSWER_MS if run.rng.random() < LATE else ANSWER_MS
         status = Status.RESET if failed else Status.OK
         note = Note.NOT_REPORTED if failed else Note.PARENT_HELD
-        outcome = Outcome(fetch.id, number, fetch.store, status, took, note, over=not failed)
-        self._later(due.at_ms + took, due.director, outcome)
+        outcome = Outcome(fetch.id, number, fetch.store, status, elapsed_ms, note, over=not failed)
+        self._schedule(due.at_ms + elapsed_ms, due.director, outcome)
 
 
 def play(case: Case) -> Measured:
+    """Runs one case with whole routers."""
     return _Routers(case).play()
--- a/tests/routing/test_cold.py
+++ b/tests/routing/test_cold.py
@@ -509,8 +509,10 @@
     assert [bound(n) for n in (36.0, 100.0)] == [50.0, 122.0]
     assert bound(29.999) > bound(30.0) == pytest.approx(42.954, abs=0.001)
     crossing = Ramp(29.0)  # within the window the larger number allowed bears less
-    assert crossing.bears(START_MS) == bound(30.0) < bound(29.0)
-    assert Ramp(20.0).bears(START_MS) == bound(20.0) and Ramp(40.0).bears(START_MS) == bound(40.0)
+    assert crossing.window_bound(START_MS) == bound(30.0) < bound(29.0)
+    assert Ramp(20.0).window_bound(START_MS) == bound(20.0) and Ramp(40.0).window_bound(START_MS) == bound(
+        40.0
+    )
 
 
 @pytest.mark.parametrize("directors", [1, 30, 1000])
