--- a/gladelane/lab/deployed_clients.py
+++ b/gladelane/lab/deployed_clients.py
@@ -1,4 +1,4 @@
-"""The clients of a generated deployment: what they ask, how long they wait, and when they come again."""
+"""The clients of a generated deployment: what they request, how long they wait, and when they retry."""
 
 from __future__ import annotations
 
@@ -17,12 +17,13 @@
 from .model.stores import PartKey
 from .model.timeline import Timeline
 
-ZIPF = 0.9  # skew of objects within a class
+ZIPF = 0.9  # exponent of the popularity of objects within a class
 
 
 @dataclass(slots=True, eq=False)
 class DirectorHandle:
-    """A director as its clients see it. `admitted` counts as the director does."""
+    """A director as its clients see it. `admitted` counts its requests, which the director numbers the same
+    way."""
 
     name: str
     director: Director
@@ -31,18 +32,18 @@
 
 @dataclass(slots=True, eq=False)
 class _Client:
-    """One client's request through all its tries."""
+    """One client's request, with all its attempts."""
 
-    place: int  # of its class
+    place: int  # of its class in the settings
     part_key: PartKey
     key: str
-    due_ms: float  # of all its tries
-    tries_left: int
+    due_ms: float  # deadline of all attempts
+    retries_left: int
     first_ms: float = 0.0
 
 
 class ClientSide:
-    """All clients. `traced` hears of each final answer, `report` of each breach."""
+    """All clients of a deployment. `traced` is called with each final answer, `report` with each breach."""
 
     def __init__(
         self,
@@ -60,7 +61,7 @@
         self._traced, self._report = traced, report
         self.specs: list[ClassSpec] = list(deployment.settings(0).classes.values())
         self.counts: Counter[str] = Counter()
-        self.waiting = 0  # that come again
+        self.waiting = 0  # clients that will retry
         self._clients = 0
         self._popular = [_zipf(load.objects) for load in deployment.classes]
         self._until = line.now + deployment.duration_ms
@@ -83,9 +84,9 @@
         part_key = place * OBJECTS_OF_CLASS + object_, self.rng.randrange(load.parts)
         due = self.line.now + spec.deadline_ms
         client = _Client(place, part_key, key, due, plan.clients.retries, self.line.now)
-        self._try(client)
+        self._send(client)
 
-    def _try(self, client: _Client) -> None:
+    def _send(self, client: _Client) -> None:
         plan, now = self.deployment, self.line.now
         spec = self.specs[client.place]
         wait = min(self.rng.uniform(plan.clients.patience, 1.0) * spec.deadline_ms, client.due_ms - now)
@@ -93,7 +94,7 @@
             return
         handle = self.rng.choice(self.directors)
         handle.admitted += 1
-        number = handle.admitted  # as the director counts them
+        number = handle.admitted  # the director numbers its requests alike
         object_, part = client.part_key
         self.counts["asked"] += 1
         ask = ClientRequest(
@@ -124,17 +125,19 @@
             if final.body != body_of(*client.part_key):
                 what = f"{number} is answered with what no cache made for it"
                 self._report(Broken("answer", self.line.now, handle.name, what))
-        elif client.tries_left and self._comes_again(client, final):
-            client.tries_left -= 1
+        elif client.retries_left and self._may_retry(client, final):
+            client.retries_left -= 1
             wait = self.deployment.clients.wait_ms + final.retry_after_ms
             self.waiting += 1
             self.line.after(wait, partial(self._retry, client))
 
     def _retry(self, client: _Client) -> None:
         self.waiting -= 1
-        self._try(client)
+        self._send(client)
 
-    def _comes_again(self, client: _Client, final: FinalAnswer) -> bool:
+    def _may_retry(self, client: _Client, final: FinalAnswer) -> bool:
+        """Whether the attempt had no effect or may be repeated. A key protects only within its
+        window, and across directors only if its group is "all"."""
         spec: ClassSpec = self.specs[client.place]
         if final.code is AnswerCode.REFUSED or spec.effect is Effect.SAFE:
             return True
--- a/gladelane/lab/deployed_stores.py
+++ b/gladelane/lab/deployed_stores.py
@@ -1,7 +1,7 @@
-"""The stores of a generated deployment and the network before them: what a director's sends come to.
+"""The stores of a generated deployment and the network in front of them.
 
-`StoreSide` is the world that virtual senders write into. It drives the models of `lab.model`; what falls over
-of what reaches it is decided by `ColdFalls`.
+`StoreSide` implements `virtual_sender.World`, into which virtual senders write. It drives the models of
+`lab.model`; `ColdFalls` decides whether a store in slow start is overloaded.
 """
 
 from __future__ import annotations
@@ -29,30 +29,31 @@
 from .model.timeline import Timeline
 from .virtual_sender import Sent
 
-FILL_PACE = 3.0  # a fill is so many times as fast as a transfer to a client
-SIZE_SIGMA = 0.7  # of the logarithm of sizes
-ERROR_MS = 2.0  # until a store that fails says so
-AGEING_FROM = 0.8  # of the fresh time, from which a copy is renewed behind
-MAX_CACHED_AT_START = 25  # objects of a class that a store may hold when the run begins
-OLDEST_AT_START_MS = 20_000.0  # and how old they are at most
+FILL_PACE = 3.0  # rate of a fill, as a multiple of the rate of a transfer to a client
+SIZE_SIGMA = 0.7  # standard deviation of the logarithm of sizes
+ERROR_MS = 2.0  # until a failing store answers with an error
+AGEING_FROM = 0.8  # part of the fresh time after which a copy is renewed in the background
+MAX_CACHED_AT_START = 25  # objects of each class in a store when the run begins
+OLDEST_AT_START_MS = 20_000.0  # the greatest age of these copies
 
 
 @dataclass(slots=True, eq=False)
 class Store:
-    """A store as it truly is; `member` is what the list says of it now, on its way to the directors."""
+    """The true state of a store. `member` is its latest entry in the endpoint list, which reaches directors
+    later."""
 
     spec: StoreSpec
-    model: Cache | Parent | None  # None: the origin
+    model: Cache | Parent | None  # None for the origin
     member: Member
     up: bool = True
     started_ms: float = 0.0
-    fallen: bool = False
-    silent: bool = False
-    error_part: float = 0.0
+    fallen: bool = False  # overloaded in slow start or removed: it does not restart
+    silent: bool = False  # receives, but never answers
+    error_part: float = 0.0  # part of its requests that it answers with an error
 
 
 class StoreSide:
-    """All stores. `fallen` hears of one that fell over."""
+    """All stores of a deployment. `fallen` is called with a store that is overloaded in slow start."""
 
     def __init__(
         self,
@@ -65,8 +66,8 @@
         self.deployment, self.line, self.rng = deployment, line, rng
         self.falls, self._fallen = falls, fallen
         self.settings: Settings = deployment.settings(0)
-        self.flow = self.settings.flow_kb_per_s / 1000.0  # KB a ms
-        self.broken_off: Callable[[Sent], None] = _nothing  # hears of what met a process that is gone
+        self.flow = self.settings.flow_kb_per_s / 1000.0  # KB per ms
+        self.broken_off: Callable[[Sent], None] = _nothing  # called with an attempt that meets no process
         self._specs = list(self.settings.classes.values())
         self._cold_cache, self._cold_parent = cold_rules(self.settings)
         self._sizes: dict[PartKey, float] = {}
@@ -74,7 +75,7 @@
         self._origin_clock = WallClock(deployment.origin.name, deployment.clocks.steps, line.now)
         self._make_stores()
 
-    # --- making them
+    # --- construction
 
     def _make_stores(self) -> None:
         plan, line = self.deployment, self.line
@@ -110,7 +111,7 @@
         self.stores[spec.name] = Store(spec, model, member, started_ms=started)
 
     def fill_at_start(self) -> None:
-        """What was asked for lately, at the lowest rank."""
+        """Fills running stores with random copies of popular objects, at the lowest rank."""
         for store in self.stores.values():
             if store.model is None or store.started_ms or not store.up:
                 continue
@@ -122,9 +123,10 @@
                     dated = self.line.now - self.rng.uniform(0.0, OLDEST_AT_START_MS)
                     store.model.copies.keep(key, 1, self.size(key), dated)
 
-    # --- their lives
+    # --- starts, crashes and purges
 
     def begin_cold(self, store: Store) -> None:
+        """Starts a cache or parent with an empty cache, in slow start."""
         if store.model is None:
             return
         store.model.start()
@@ -132,20 +134,22 @@
         self.falls.started(store.spec.name, store.started_ms, store.spec.link, rule)
 
     def stop(self, store: Store) -> None:
+        """Crashes a store: it loses its copies and all work in progress."""
         store.up = False
         self.falls.stopped(store.spec.name)
         if store.model is not None:
             store.model.crash()
 
     def purge(self, store: Store, fault: Fault, before_ms: float) -> None:
-        """Drops what was purged, in a time of its own."""
+        """Schedules the removal of the purged copies, after a random delay within the limit of the
+        settings."""
         model = store.model
         if model is not None:
             drop = self.rng.uniform(0.2, 1.0) * self.settings.purge_done_ms
             self.line.after(drop, partial(_drop, model, fault, before_ms))
 
     def _reached(self, store: Store, sent: Sent) -> bool:
-        """Whether a store still stands after this came to it."""
+        """Counts work that reached a store; False if the store is overloaded by it and crashes."""
         work = self.deployment.mean_work_ms(class_of(object_of(sent)))
         is_informed = self.falls.is_informed(sent.director, store.spec.name)
         if not self.falls.reached(store.spec.name, work, is_informed, self.line.now):
@@ -154,25 +158,29 @@
         self._fallen(store)
         return False
 
-    # --- the network, for the senders
+    # --- the network, called by the senders
 
     def way(self, zone: str, store: str) -> float:
+        """Draws the one-way delay in ms between a zone and a store."""
         net = self.deployment.network
         way = net.near_ms if self.stores[store].spec.zone == zone else net.far_ms
         return way * (1.0 + net.jitter * self.rng.random())
 
     def dial_ms(self, zone: str, store: str) -> float:
+        """Draws the time until a connection is established."""
         net = self.deployment.network
         slow = net.slow_dial_ms if self.rng.random() < net.slow_dial_chance else 0.0
         return 2.0 * self.way(zone, store) + slow
 
     def dial_end(self, store: str) -> AttemptOutcome | None:
+        """How a connection attempt fails that reaches the store now; None if it succeeds."""
         one = self.stores[store]
         if one.silent:
             return AttemptOutcome.DIAL_TIMED_OUT
         return None if one.up else AttemptOutcome.REFUSED
 
     def answer_ms(self, sent: Sent) -> float | None:
+        """Draws the delay of an answer; None if it is lost."""
         net = self.deployment.network
         if self.rng.random() < net.lost_answer_chance or self.stores[sent.store].silent:
             return None
@@ -180,9 +188,12 @@
         return self.way(sent.zone, sent.store) + late
 
     def copy_date(self, given_out_ms: float) -> UnixMs:
+        """The date that the origin's wall clock gave to a copy sent out at this moment."""
         return self._origin_clock.date_at(given_out_ms)
 
     def aborted(self, sent: Sent) -> None:
+        """The store learns that an attempt was given up. A cache stops its transfer, but not a fill; other
+        stores finish the work."""
         work = self._works.pop(sent, None)
         if work is not None and not work.over:
             work.over = True
@@ -190,9 +201,10 @@
             if isinstance(model, Cache):
                 model.abort(work)
 
-    # --- what comes to them
+    # --- requests that reach a store
 
     def arrived(self, sent: Sent) -> None:
+        """An attempt reached its store, which begins to serve it unless it is down or silent."""
         store = self.stores[sent.store]
         if store.silent:
             return
@@ -216,7 +228,7 @@
 
     def _serve(self, cache: Cache, sent: Sent, work: Work) -> None:
         spec, oldest = sent.attempt.exchange.spec, self._oldest(sent)
-        fill = partial(self._ask_source, sent, work) if sent.source else None
+        fill = partial(self._fetch_from_source, sent, work) if sent.source else None
         rank = sent.rank if spec.cacheable else 0
         cached_ms = cache.cached_date(work.key, oldest)
         ageing = cached_ms is not None and self.line.now - cached_ms >= spec.fresh_ms * AGEING_FROM > 0.0
@@ -225,7 +237,7 @@
             cache.renew(work.key, work.size, rank, fill)
 
     def _oldest(self, sent: Sent) -> float:
-        """The date of the oldest copy that will do."""
+        """The date of the oldest copy that may be the answer."""
         spec = sent.attempt.exchange.spec
         if not spec.cacheable:
             return float("inf")
@@ -238,7 +250,7 @@
         spec = sent.attempt.exchange.spec
         return self.line.now - spec.fresh_ms - spec.grace_ms if spec.fresh_ms and spec.cacheable else 0.0
 
-    def _ask_source(self, sent: Sent, work: Work, came: Filled) -> None:
+    def _fetch_from_source(self, sent: Sent, work: Work, came: Filled) -> None:
         way = self.way(sent.zone, sent.source)
 
         def back(dated: float | None, asked: bool) -> None:
@@ -249,7 +261,7 @@
     def _at_source(self, sent: Sent, work: Work, back: Filled) -> None:
         source = self.stores[sent.source]
         if source.silent or not source.up:
-            return  # the cache gives the fill up
+            return  # the cache abandons the fill after model.stores.GIVE_UP
         if not self._reached(source, sent):
             return
         if self.rng.random() < source.error_part:
@@ -259,18 +271,19 @@
         elif isinstance(source.model, Parent):
             holds_only = "shallow" in sent.hints
             source.model.get(work.key, work.size, self._oldest(sent), back, holds_only)
-        else:  # another cache gives only what it holds
+        else:  # a peer cache answers from its own copies only
             back(source.model.cached_date(work.key, self._oldest(sent)), False)
 
     def _answer(self, sent: Sent, status: Status, note: Note, dated: float) -> None:
         self._works.pop(sent, None)
         if status is Status.RESET:
-            return  # the connection has ended, and tells more
+            return  # the end of the connection is reported to the director separately
         request = sent.attempt.exchange.request
         sent.body = body_of(request.object - 1, request.part)
-        sent.answer(status, self._note_told(note), dated)
+        sent.answer(status, self._reported_note(note), dated)
 
-    def _note_told(self, note: Note) -> Note:
+    def _reported_note(self, note: Note) -> Note:
+        """The note as this deployment reports it: all notes, only hits, or none."""
         notes = self.settings.notes
         if notes == "hit":
             if note in (Note.PARENT_HELD, Note.FROM_ORIGIN):
@@ -279,6 +292,7 @@
         return note if notes == "all" else Note.NOT_REPORTED
 
     def size(self, key: PartKey) -> float:
+        """The size of an object part in KB, drawn at its first use."""
         size = self._sizes.get(key)
         if size is None:
             mean = self.deployment.classes[class_of(key[0])].mean_kb
@@ -292,7 +306,7 @@
 
 
 def cold_rules(s: Settings) -> tuple[ColdRule, ColdRule]:
-    """Those of caches and of parents."""
+    """The slow-start rules of caches and of parents."""
     return (
         ColdRule(s.cold_from, s.warm_after_ms, s.fall_multiple, s.fall_ms),
         ColdRule(s.parent_cold_from, s.parent_cold_ms, s.parent_fall_multiple, s.fall_ms),
@@ -300,12 +314,12 @@
 
 
 def object_of(sent: Sent) -> int:
-    """The module counts objects from 1."""
+    """The number of an attempt's object. Routing numbers objects from 1, the lab from 0."""
     return sent.attempt.exchange.request.object - 1
 
 
 def body_of(object_: int, part: int) -> bytes:
-    """What stands for the bytes of a part."""
+    """The test content of an object part, which clients verify."""
     return f"{object_}:{part}".encode()
 
 
