--- a/gladelane/lab/deployed.py
+++ b/gladelane/lab/deployed.py
@@ -1,7 +1,8 @@
-"""A generated deployment in virtual time: real directors, models of all they talk to, and the rules watched.
+"""A generated deployment in virtual time: real directors, models of everything they talk to, and monitors.
 
-The decisions are those of the real `Router`, and what is sent is what the real `net.director.Director` lets
-through just before a first byte. One deployment gives one run: nothing waits, asks a clock or opens a socket.
+The decisions are those of the real `Router`, and every attempt is checked by the real `net.director.Director`
+just before its first byte. One deployment always gives the same run: nothing waits, reads a clock or opens a
+socket.
 """
 
 from __future__ import annotations
@@ -32,45 +33,46 @@
 from .model.timeline import Timeline
 from .virtual_sender import Sent, VirtualSender, VirtualTimers
 
-START_MS = 10_000_000.0  # the clock at the start: 0 stands for 'never' in many places
-SLACK_MS = 50.0  # on every limit, since directors are real and their loops have a pace
-TOLD_MOST_MS = 7000.0  # an event counts as told so long after it, whether it has arrived or not
-DRAIN_LEAST_MS = 1000.0  # from the word that a store drains until it leaves
-RESETS_EVERY_MS = 150.0  # between moments at which connections to a store break
-PURGE_TOLD_MS = (30.0, 400.0)  # until a director hears of a purge
-KEYS_MOST = 10_000  # windows of keys that a director keeps
-END_MS = 300.0  # after the last deadline, until the run is over
+START_MS = 10_000_000.0  # the time at the start; not 0, which means 'never' in many places
+SLACK_MS = 50.0  # tolerance on every limit: the loops of directors run at intervals
+MAX_NOTIFY_MS = 7000.0  # the longest delay of an event, with all factors
+MIN_DRAIN_MS = 1000.0  # from the change to draining until the store leaves
+RESETS_EVERY_MS = 150.0  # interval at which connections to a store are reset
+PURGE_DELAY_MS = (30.0, 400.0)  # range of the delay until a director is notified of a purge
+MAX_KEYS = 10_000  # windows of idempotency keys that a director stores
+END_MS = 300.0  # from the last deadline until the run ends
 
-#: what makes a director: the real one, or one with a planted fault
+#: makes a director: the real one, or one with a planted fault
 MakeDirector = Callable[[Settings, int, Callable[[], float], TimerWheel, Endpoints, int], Director]
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What a run came to."""
+    """The result of a run."""
 
     requests: int
     sends: int
     served: int
-    falls: int  # cold stores that fell over, also where no rule was broken
+    falls: int  # stores overloaded in slow start, also where that is no breach
     broken: tuple[Broken, ...]
-    digest: str  # of every send and answer, with its moment
+    digest: str  # of every written attempt and final answer, with its time
 
 
 @dataclass(slots=True, eq=False)
 class _Node:
-    """A director with what belongs to it. `heard_ms`: events reach it in order."""
+    """A director and its parts. `notified_ms`: when its last event is due; the next one is not due
+    earlier."""
 
     name: str
     director: Director
     sender: VirtualSender
-    wheel: VirtualTimers
+    timers: VirtualTimers
     rev: int = 1
-    heard_ms: float = 0.0
+    notified_ms: float = 0.0
 
 
 class DeployedFleet:
-    """One deployment, run once by `run`. It watches what crosses the wire."""
+    """A generated deployment that `run` plays once. It also observes what its directors write."""
 
     def __init__(self, deployment: Deployment, make_director: MakeDirector = Director) -> None:
         self.deployment = deployment
@@ -84,13 +86,14 @@
         self._list_factor = 1.0
         self.falls = ColdFalls(self.broken.append)
         self.side = StoreSide(deployment, self.line, self.rng, self.falls, self._crash)
-        self.side.broken_off = self._break_off
+        self.side.broken_off = self._reset_connections
         self.stores = self.side.stores
         self._make_monitors()
         self.nodes = [self._make_node(place, make_director) for place in range(len(deployment.directors))]
         self._start()
 
     def run(self) -> Outcome:
+        """Plays the deployment to its end. Errors that a director logs count as breaches."""
         faults = _FaultLog(self)
         program = logging.getLogger("gladelane")
         level, propagates = program.level, program.propagate
@@ -98,7 +101,7 @@
         program.setLevel(logging.ERROR)
         program.propagate = False
         try:
-            self._run_to_the_end()
+            self._run_until_done()
         finally:
             program.removeHandler(faults)
             program.setLevel(level)
@@ -113,8 +116,8 @@
             self._digest.hexdigest(),
         )
 
-    def _run_to_the_end(self) -> None:
-        """Until nobody waits for anything, or all ought to have been answered."""
+    def _run_until_done(self) -> None:
+        """Runs until nothing is pending, at most until the last deadline has passed."""
         longest = max(spec.deadline_ms for spec in self.settings.classes.values())
         until = START_MS + self.deployment.duration_ms + longest + END_MS
         self.line.run(START_MS + self.deployment.duration_ms)
@@ -123,42 +126,45 @@
         ):
             self.line.run(min(self.line.now + END_MS, until))
 
-    # --- making it
+    # --- construction
 
     def _make_monitors(self) -> None:
-        s, told = self.settings, self.broken.append
+        s, report = self.settings, self.broken.append
         self.monitor = Monitor(
             s.drain_grace_ms,
             s.purge_grace_ms,
             s.answer_grace_ms,
-            told,
+            report,
             s.second_copies,
             slack_ms=SLACK_MS,
             most_attempts=s.max_attempts,
             places={name: Place(store.spec.zone, store.spec.cell) for name, store in self.stores.items()},
         )
-        self.reach = Reach(s, told)
+        self.reach = Reach(s, report)
 
     def _make_node(self, place: int, make_director: MakeDirector) -> _Node:
         settings = self.deployment.settings(place)
         seed = self.deployment.seed + place
         name = director_name(place)
         clock = self._director_clock(name)
-        wheel = VirtualTimers(clock)
+        timers = VirtualTimers(clock)
         endpoints = Endpoints(random.Random(seed))
-        director = make_director(settings, seed, clock, wheel, endpoints, KEYS_MOST)
+        director = make_director(settings, seed, clock, timers, endpoints, MAX_KEYS)
         limits = self.deployment.wire["limits"]
         conn = ConnLimits(limits["max_streams"], limits["dial_timeout_ms"], limits["conn_idle_ms"])
         sender = VirtualSender(name, director, self.line, self.side, self, conn)
         director.sender = sender
-        return _Node(name, director, sender, wheel)
+        return _Node(name, director, sender, timers)
 
     def _clock(self) -> float:
         return self.line.now
 
     def _director_clock(self, name: str) -> Callable[[], float]:
-        """Its timeline, as `clock.Clock` makes it of both readings. Where no clock is stepped that is true
-        time, read as it is: converting it would change its last digits, and with them the run."""
+        """The clock that a director reads, made of both readings by `clock.Clock`.
+
+        Without steps this is true time, unconverted: a conversion would change its last digits, and with them
+        the run.
+        """
         if not self.deployment.clocks.is_stepped:
             return self._clock
         return self.clocks.of(name).process_clock(self.line).now
@@ -175,11 +181,11 @@
             self.side.fill_at_start()
         first = [store.member for name, store in self.stores.items() if name not in joining]
         for node in self.nodes:
-            node.heard_ms = START_MS
-            self._hear_list(node, first, reset=True)
+            node.notified_ms = START_MS
+            self._apply_list(node, first, reset=True)
         for fault in plan.faults:
-            self.line.at(START_MS + fault.at_ms, partial(self._strike, fault))
-        self.line.after(self.rng.uniform(0.0, TICK_MS), self._turn_wheels)
+            self.line.at(START_MS + fault.at_ms, partial(self._inject, fault))
+        self.line.after(self.rng.uniform(0.0, TICK_MS), self._advance_timers)
         self.clients = ClientSide(
             plan,
             self.line,
@@ -191,15 +197,15 @@
             self.broken.append,
         )
 
-    def _turn_wheels(self) -> None:
+    def _advance_timers(self) -> None:
         for node in self.nodes:
-            node.wheel.advance()
-        self.line.after(TICK_MS, self._turn_wheels)
+            node.timers.advance()
+        self.line.after(TICK_MS, self._advance_timers)
 
-    # --- the list and purges
+    # --- events for the directors
 
     def _announce(self, store: Store, state: State) -> None:
-        """A change of the list, to each director in its time."""
+        """Changes an entry of the endpoint list, and notifies each director after a delay of its own."""
         store.member = Member(
             store.spec.name,
             store.spec.zone,
@@ -211,11 +217,11 @@
         )
         least, most = self.deployment.network.list_delay_ms
         for node in self.nodes:
-            delay = min(self.rng.uniform(least, most) * self._list_factor, TOLD_MOST_MS)
-            node.heard_ms = max(node.heard_ms, self.line.now + delay)
-            self.line.at(node.heard_ms, partial(self._hear_list, node, [store.member]))
+            delay = min(self.rng.uniform(least, most) * self._list_factor, MAX_NOTIFY_MS)
+            node.notified_ms = max(node.notified_ms, self.line.now + delay)
+            self.line.at(node.notified_ms, partial(self._apply_list, node, [store.member]))
 
-    def _hear_list(self, node: _Node, members: list[Member], reset: bool = False) -> None:
+    def _apply_list(self, node: _Node, members: list[Member], reset: bool = False) -> None:
         for member in members:
             self.reach.listed(node.name, member.store)
             self.monitor.listed(node.name, member.store, member.state is State.READY, self.line.now)
@@ -226,7 +232,7 @@
         node.director.apply_watch_event(WatchEvent(node.rev, pool=ListChange(instances, reset)))
 
     def _start_date(self, member: Member) -> UnixMs:
-        """As the store dated it; 0: not lately."""
+        """When the store started, by its own clock; 0 if it did not start lately."""
         came_up_ms = member.came_up_ms
         return self.clocks.of(member.store).date_at(came_up_ms) if came_up_ms else UnixMs(0.0)
 
@@ -235,10 +241,10 @@
         for store in self.stores.values():
             self.side.purge(store, fault, at)
         for node in self.nodes:
-            node.heard_ms = max(node.heard_ms, self.line.now + self.rng.uniform(*PURGE_TOLD_MS))
-            self.line.at(node.heard_ms, partial(self._hear_purge, node, fault, at))
+            node.notified_ms = max(node.notified_ms, self.line.now + self.rng.uniform(*PURGE_DELAY_MS))
+            self.line.at(node.notified_ms, partial(self._apply_purge, node, fault, at))
 
-    def _hear_purge(self, node: _Node, fault: Fault, at: float) -> None:
+    def _apply_purge(self, node: _Node, fault: Fault, at: float) -> None:
         node.rev += 1
         dated = UnixMs(float(int(float(self.clocks.purge_date(at)))))
         if fault.kind is FaultKind.PURGE_OBJECT:
@@ -251,35 +257,35 @@
 
     # --- faults
 
-    def _strike(self, fault: Fault) -> None:
+    def _inject(self, fault: Fault) -> None:
         if fault.kind in (FaultKind.PURGE_OBJECT, FaultKind.PURGE_GROUP):
             self._purge(fault)
         elif fault.kind is FaultKind.SLOW_ORIGIN:
-            self._for_a_while(fault, partial(setattr, self.side.origin, "slow"), fault.factor, 1.0)
+            self._set_for_a_while(fault, partial(setattr, self.side.origin, "slow"), fault.factor, 1.0)
         elif fault.kind is FaultKind.LATE_LISTS:
-            self._for_a_while(fault, partial(setattr, self, "_list_factor"), fault.factor, 1.0)
+            self._set_for_a_while(fault, partial(setattr, self, "_list_factor"), fault.factor, 1.0)
         else:
-            self._strike_store(fault, self.stores[fault.store])
+            self._inject_into_store(fault, self.stores[fault.store])
 
-    def _strike_store(self, fault: Fault, store: Store) -> None:
+    def _inject_into_store(self, fault: Fault, store: Store) -> None:
         if fault.kind is FaultKind.JOIN:
-            self._begin(store)
+            self._start_store(store)
         elif fault.kind is FaultKind.CRASH and store.up:
             self._crash(store)
-            self.line.after(fault.lasts_ms, partial(self._begin, store))
+            self.line.after(fault.lasts_ms, partial(self._start_store, store))
         elif fault.kind is FaultKind.DRAIN and store.up:
             self._announce(store, State.DRAINING)
-            self.line.after(max(fault.lasts_ms, DRAIN_LEAST_MS), partial(self._leave, store))
+            self.line.after(max(fault.lasts_ms, MIN_DRAIN_MS), partial(self._leave, store))
         elif fault.kind is FaultKind.ERRORS:
-            self._for_a_while(fault, partial(setattr, store, "error_part"), fault.factor, 0.0)
+            self._set_for_a_while(fault, partial(setattr, store, "error_part"), fault.factor, 0.0)
         elif fault.kind is FaultKind.SILENCE:
-            self._for_a_while(fault, partial(setattr, store, "silent"), True, False)
+            self._set_for_a_while(fault, partial(setattr, store, "silent"), True, False)
         elif fault.kind is FaultKind.RESETS:
             self._reset(store, fault.factor, self.line.now + fault.lasts_ms)
 
-    def _for_a_while(self, fault: Fault, put: Callable[[Any], None], value: Any, usual: Any) -> None:
-        put(value)
-        self.line.after(fault.lasts_ms, partial(put, usual))
+    def _set_for_a_while(self, fault: Fault, setter: Callable[[Any], None], value: Any, usual: Any) -> None:
+        setter(value)
+        self.line.after(fault.lasts_ms, partial(setter, usual))
 
     def _reset(self, store: Store, part: float, until: float) -> None:
         for node in self.nodes:
@@ -288,26 +294,27 @@
             self.line.after(RESETS_EVERY_MS, partial(self._reset, store, part, until))
 
     def _crash(self, store: Store) -> None:
-        self._die(store)
+        self._stop(store)
         self._announce(store, State.GONE)
 
     def _leave(self, store: Store) -> None:
         if store.up:
-            store.fallen = True  # it does not come back
+            store.fallen = True  # it does not restart
             self._crash(store)
 
-    def _die(self, store: Store) -> None:
+    def _stop(self, store: Store) -> None:
         self.side.stop(store)
         for node in self.nodes:
             breaks = partial(node.sender.break_connections, store.spec.name)
             self.line.after(self.side.way(node.director.settings.zone, store.spec.name), breaks)
 
-    def _break_off(self, sent: Sent) -> None:
-        """It came to a process that is gone."""
+    def _reset_connections(self, sent: Sent) -> None:
+        """An attempt reached a process that no longer runs: its director learns that the connections are
+        reset."""
         node = next(node for node in self.nodes if node.name == sent.director)
         node.sender.break_connections(sent.store)
 
-    def _begin(self, store: Store) -> None:
+    def _start_store(self, store: Store) -> None:
         if store.up or store.fallen:
             return
         store.up = True
@@ -315,9 +322,10 @@
         self.side.begin_cold(store)
         self._announce(store, State.READY)
 
-    # --- what is watched on the wire
+    # --- what the directors write
 
     def written(self, sent: Sent) -> None:
+        """A director wrote an attempt."""
         number, now = sent.attempt.exchange.request.id, self.line.now
         self._trace("sent", sent.director, number, sent.attempt.number, sent.store, sent.source)
         source = self.stores[sent.source].member if sent.source else None
@@ -325,6 +333,7 @@
         self.monitor.sent(sent.director, number, sent.attempt.number, sent.store, sent.source, now)
 
     def ended(self, sent: Sent, status: Status, dated_ms: float | None) -> None:
+        """A written attempt ended."""
         number, object_ = sent.attempt.exchange.request.id, object_of(sent)
         cacheable = sent.attempt.exchange.spec.cacheable
         self.monitor.ended(
@@ -339,6 +348,7 @@
         )
 
     def cancelled(self, sent: Sent) -> None:
+        """A director cancelled a written attempt."""
         if not self.settings.cancel:
             what = f"{sent.attempt.exchange.request.id} is cancelled, which is not allowed"
             self.broken.append(Broken("cancel", self.line.now, sent.director, what))
@@ -351,7 +361,7 @@
 
 
 class _FaultLog(logging.Handler):
-    """A director that logs an error has met a fault of its own: none of what comes to it here is odd."""
+    """Turns logged errors into breaches: a director meets no input here that justifies one."""
 
     def __init__(self, fleet: DeployedFleet) -> None:
         super().__init__(logging.ERROR)
@@ -367,7 +377,7 @@
 
 
 def _instance(member: Member, started: UnixMs) -> Instance:
-    """As the notice board words it. Each store has an address of its own, made of its name."""
+    """The entry as discovery sends it. Each store has an address of its own, derived from its name."""
     digest = blake2b(member.store.encode(), digest_size=3).digest()
     return Instance(
         instance_id=member.store,
--- a/gladelane/lab/deployed_clock_plants.py
+++ b/gladelane/lab/deployed_clock_plants.py
@@ -1,4 +1,4 @@
-"""Fleets that read their clocks wrongly, planted to show that runs with stepped clocks find it."""
+"""Planted faults: fleets that misread their clocks, to show that runs with stepped clocks detect it."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from .deployments import Deployment
 
 
-class SpansByWallClock(DeployedFleet):
-    """Directors count deadlines, timers and windows on the wall clock."""
+class IntervalsByWallClock(DeployedFleet):
+    """Directors measure deadlines, timers and windows with the wall clock."""
 
     def _director_clock(self, name: str) -> Callable[[], float]:
         wall_clock = self.clocks.of(name)
@@ -23,28 +23,30 @@
 
 
 class _AgeByOwnClock(PlatformDates):
-    """Takes an age from this machine's clock and another's date."""
+    """Subtracts another machine's date from this machine's clock."""
 
     def age_ms(self, dated: UnixMs, now_ms: float) -> float:
         return max(now_ms - float(dated), 0.0)
 
 
 class _OwnClockDirector(Director):
+    """A director that ages purges and copies with `_AgeByOwnClock`."""
+
     def __init__(
         self,
         settings: Settings,
         seed: int,
         clock: Callable[[], float],
-        wheel: TimerWheel,
+        timers: TimerWheel,
         endpoints: Endpoints,
         keys_most: int,
     ) -> None:
-        super().__init__(settings, seed, clock, wheel, endpoints, keys_most)
+        super().__init__(settings, seed, clock, timers, endpoints, keys_most)
         self.copy_dates.platform = _AgeByOwnClock()
 
 
 class PurgeAgeByOwnClock(DeployedFleet):
-    """A director whose clock is ahead takes each purge for one that was over long ago."""
+    """A director whose clock is ahead ignores each purge as one that is long past."""
 
     def __init__(self, deployment: Deployment) -> None:
         super().__init__(deployment, _OwnClockDirector)
@@ -52,13 +54,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockPlant:
-    """`rule` is the one that a run of this fleet breaks once directors' clocks are stepped."""
+    """A planted fault. `rule` is the one that a run of this fleet breaks when directors' clocks are
+    stepped."""
 
     make_fleet: Callable[[Deployment], DeployedFleet]
     rule: str
 
 
 CLOCK_PLANTS: dict[str, ClockPlant] = {
-    "spans counted on the wall clock": ClockPlant(SpansByWallClock, "answer"),
+    "spans counted on the wall clock": ClockPlant(IntervalsByWallClock, "answer"),
     "the age of a purge by the director's own clock": ClockPlant(PurgeAgeByOwnClock, "purge"),
 }
--- a/gladelane/lab/planted.py
+++ b/gladelane/lab/planted.py
@@ -1,4 +1,4 @@
-"""Directors with one fault each, planted to show that the monitors of a generated deployment find it."""
+"""Planted faults: directors with one fault each, to show that monitors of generated deployments find it."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from .deployed import MakeDirector
 
 MISREAD_DRAIN_GRACE_MS = 1000.0
-MORE_ATTEMPTS = 5  # than the settings allow
-ANSWERED_TWICE = 50  # every so many requests
+MORE_ATTEMPTS = 5  # more attempts than the settings allow
+ANSWERED_TWICE = 50  # one in so many requests
 
 
 class _LongDrainGrace(ListChanges):
-    """Reads every drain grace as 1,000 ms, and makes use of it."""
+    """Takes every drain grace as 1,000 ms: applies the draining state that much later."""
 
     def apply_list(self, servers: list[tuple[Instance, Member]], is_complete: bool) -> None:
         draining = [one for one in servers if one[1].state is not State.READY]
@@ -39,17 +39,21 @@
 
 
 class _UnsafeRepeated(RepeatRules):
+    """Retries requests that are not idempotent."""
+
     def may_repeat(self, pending: PendingRequest) -> bool:
         return pending.spec.effect is Effect.UNSAFE or super().may_repeat(pending)
 
 
 class _WindowsIgnored(RepeatRules):
+    """Retries requests with an idempotency key after their window."""
+
     def may_repeat(self, pending: PendingRequest) -> bool:
         return pending.spec.effect is Effect.KEYED or super().may_repeat(pending)
 
 
 class _FreeFills(ColdBudgets):
-    """What goes to a hub are fills, nearly all of it: a budget that counts none of them is never spent."""
+    """Counts nothing against the slow-start budget of a hub. Nearly all that a hub gets are fills."""
 
     def allows(self, member: Member, tokens: Tokens, now: float, work: Work) -> bool:
         return member.kind == self.parent_kind or super().allows(member, tokens, now, work)
@@ -60,9 +64,10 @@
 
 
 class PurgePassedOver(Director):
-    """Hears of no purge."""
+    """Ignores purges."""
 
     def apply_watch_event(self, event: WatchEvent) -> None:
+        """Applies all events except purges."""
         if event.flush is None:
             super().apply_watch_event(event)
 
@@ -73,6 +78,8 @@
     def admit(
         self, ask: ClientRequest, deliver: Callable[[FinalAnswer], None], has_left: Callable[[], bool] = never
     ) -> Exchange:
+        """Admits the request, and delivers the final answer of some requests twice."""
+
         def twice(final: FinalAnswer) -> None:
             deliver(final)
             if int(ask.id, 16) % ANSWERED_TWICE == 0:
@@ -82,17 +89,17 @@
 
 
 def _changed(change: Callable[[Director], None], make_director: MakeDirector = Director) -> MakeDirector:
-    """A director whose parts are changed once it is made."""
+    """A factory of directors whose parts are changed after construction."""
 
     def make(
         settings: Settings,
         seed: int,
         clock: Callable[[], float],
-        wheel: TimerWheel,
+        timers: TimerWheel,
         endpoints: Endpoints,
         keys_most: int,
     ) -> Director:
-        director = make_director(settings, seed, clock, wheel, endpoints, keys_most)
+        director = make_director(settings, seed, clock, timers, endpoints, keys_most)
         change(director)
         return director
 
@@ -100,17 +107,17 @@
 
 
 def _misread(misread: Callable[[Settings], Settings]) -> MakeDirector:
-    """A director that reads its settings otherwise than they are."""
+    """A factory of directors that get other settings than the deployment has."""
 
     def make(
         settings: Settings,
         seed: int,
         clock: Callable[[], float],
-        wheel: TimerWheel,
+        timers: TimerWheel,
         endpoints: Endpoints,
         keys_most: int,
     ) -> Director:
-        return Director(misread(settings), seed, clock, wheel, endpoints, keys_most)
+        return Director(misread(settings), seed, clock, timers, endpoints, keys_most)
 
     return make
 
@@ -135,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plant:
-    """`rule` is the one that a run of this director breaks."""
+    """A planted fault. `rule` is the one that a run with this director breaks."""
 
     make_director: MakeDirector
     rule: str
