--- a/gladelane/lab/planted.py
+++ b/gladelane/lab/planted.py
@@ -18,7 +18,7 @@
 from ..routing.server_credit import Tokens
 from ..routing.slow_start import ColdBudgets, Work
 from ..timer_wheel import TimerWheel
-from .deployed import MakeDirector
+from .deployed_directors import MakeDirector
 
 MISREAD_DRAIN_GRACE_MS = 1000.0
 MORE_ATTEMPTS = 5  # more attempts than the settings allow
