--- a/benchmarks/operations.py
+++ b/benchmarks/operations.py
@@ -171,7 +171,7 @@
                 await director.serving()
                 ready.append(time.perf_counter() - began)
                 await asyncio.sleep(0.1)
-                now = director.held()
+                now = director.resource_usage()
                 memory, descriptors = max(memory, now[0]), max(descriptors, now[1])
                 director.all[-2].send_signal(signal.SIGTERM)
                 await director.all[-2].wait()
--- a/gladelane/lab/processes.py
+++ b/gladelane/lab/processes.py
@@ -107,8 +107,8 @@
         pairs = (line.removeprefix("director.").partition("=") for line in lines)
         return {name: int(value) for name, _, value in pairs}
 
-    def held(self) -> tuple[float, int]:
-        """Memory in MB (resident) and descriptors of all that run, together."""
+    def resource_usage(self) -> tuple[float, int]:
+        """Resident memory in MB and open descriptors, summed over all running processes."""
         memory, descriptors = 0.0, 0
         for process in self.all:
             with suppress(OSError):
--- a/tests/hot_restart/test_two_processes.py
+++ b/tests/hot_restart/test_two_processes.py
@@ -285,7 +285,7 @@
             callers = [await asyncio.open_connection("127.0.0.1", director.ops[0]) for _ in range(30)]
             for _ in range(10):
                 assert (await director.call("GET", "/healthcheck"))[0] == 200
-            assert director.held()[1] <= 128
+            assert director.resource_usage()[1] <= 128
             for _, writer in [*callers, *((client.reader, client.writer) for client in crowd)]:
                 writer.close()
 
