--- a/gladelane/lab/checks.py
+++ b/gladelane/lab/checks.py
@@ -1,7 +1,8 @@
-"""Monitors of the rules: informed of each event as it happens, on either clock, they report a breach at once.
+"""Monitors of the rules: they are notified of each event of a run, and report a breach as soon as it happens.
 
-They keep what is open and no more. Milliseconds of one clock, the run's. Nothing is asked of the parts that
-are watched: a monitor that shared their bookkeeping would share their mistakes.
+They store pending requests and attempts only. All times are in ms of the run's clock, real or virtual. A
+monitor never reads the state of the parts that it observes: if it shared their records, it would share
+their mistakes.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """A breach: the rule, when (ms), at which director, and what happened."""
+    """A breach: the rule, the time in ms, the director, and what happened."""
 
     rule: str
     at_ms: float
@@ -25,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a store stands: what a keyed class's group goes by."""
+    """The location of a store: within it, idempotency keys of a class may be shared."""
 
     zone: str
     cell: int
@@ -41,11 +42,11 @@
 class _Tries:
     """Attempts that may have the same effect: those of one request, or of all under one client's key."""
 
-    out: dict[tuple[int, int], _Attempt] = field(default_factory=dict)  # by request and number
-    ran: _Attempt | None = None  # the first sent of those that have ended and may have run
+    out: dict[tuple[int, int], _Attempt] = field(default_factory=dict)  # by request and attempt number
+    ran: _Attempt | None = None  # the earliest ended attempt that may have been executed
 
     def first(self) -> _Attempt | None:
-        """The first that may have run, or may yet."""
+        """The earliest attempt that may have been executed or may still be."""
         known = [*self.out.values()] if self.ran is None else [self.ran, *self.out.values()]
         return min(known, key=_sent_ms) if known else None
 
@@ -57,7 +58,7 @@
 @dataclass(slots=True)
 class _Open:
     spec: ClassSpec
-    due_ms: float  # by when it has to be answered, slack included
+    due_ms: float  # the latest time of the final answer, with the tolerance
     tries: _Tries
     sends: int = 0
 
@@ -76,10 +77,12 @@
 
 
 class Monitor:
-    """`on_breach` is called at each breach. A request is named by its director and its number there.
+    """Checks drains, purges, deadlines, repeats and the number of attempts.
 
-    `slack_ms` is added to every limit, as on sockets; `most_attempts` is that of one request; `places` is
-    needed for keyed classes whose repeats only a zone or a cell drops.
+    `on_breach` is called with each breach. A request is identified by its director and its number there.
+
+    `slack_ms` is a tolerance added to every limit. `most_attempts` is the limit per request. `places` is
+    required for classes whose idempotency keys are shared only within a zone or a cell.
     """
 
     def __init__(
@@ -101,7 +104,7 @@
         self._open: dict[tuple[str, int], _Open] = {}
         self._left: dict[str, dict[str, float]] = defaultdict(
             dict
-        )  # who drains or is gone, since when it knows
+        )  # by director: stores that drain or are gone, and since when it knows
         self._purged: dict[tuple[str, int], list[_Purge]] = defaultdict(list)  # by director and object
         self._purged_groups: dict[tuple[str, int], list[_Purge]] = defaultdict(list)
         self._sent: dict[tuple[str, int, int], _Sent] = {}
@@ -109,28 +112,28 @@
         self.requests = self.answers = self.sends = 0
 
     def request(self, director: str, number: int, spec: ClassSpec, due_ms: float, key: str = "") -> None:
-        """`key`: the client's, the same for all its tries of one request."""
+        """A request arrived. `key`: the idempotency key, the same for all attempts of the client."""
         self.requests += 1
         tries = self._keys[director, key] if key else _Tries()
         self._open[director, number] = _Open(spec, due_ms + self._answer, tries)
 
     def listed(self, director: str, store: str, usable: bool, at_ms: float) -> None:
-        """A director learns that a store may be used, or that it drains or has left."""
+        """A director was notified that a store may be used, or that it is draining or gone."""
         if usable:
             self._left[director].pop(store, None)
         else:
             self._left[director].setdefault(store, at_ms)
 
     def purged(self, director: str, object_: int, purge_ms: float, at_ms: float) -> None:
-        """A director is notified at `at_ms` of a purge of one object, dated `purge_ms`."""
+        """A director was notified at `at_ms` of a purge of one object, dated `purge_ms`."""
         self._purged[director, object_].append(_Purge(at_ms, purge_ms))
 
     def purged_group(self, director: str, group: int, purge_ms: float, at_ms: float) -> None:
-        """The same for a group of objects."""
+        """A director was notified at `at_ms` of a purge of a group of objects, dated `purge_ms`."""
         self._purged_groups[director, group].append(_Purge(at_ms, purge_ms))
 
     def sent(self, director: str, number: int, attempt: int, store: str, source: str, at_ms: float) -> None:
-        """The first byte of an attempt leaves, to `store`, which may ask `source` (empty: none)."""
+        """The first byte of an attempt was sent to `store`, which may fill from `source` (empty: none)."""
         self.sends += 1
         for used in {store, source} - {""}:
             since = self._left[director].get(used)
@@ -182,7 +185,7 @@
         dated_ms: float | None = None,
         group: int = -1,
     ) -> None:
-        """`dated_ms`: of the copy that answered."""
+        """An attempt ended. `dated_ms`: the date of the copy that answered, if any."""
         sent = self._sent.pop((director, number, attempt), None)
         if sent is None:
             return
@@ -205,7 +208,7 @@
             self._breach("answer", at_ms, director, f"{number} is answered from a copy {age:.0f} ms old")
 
     def final(self, director: str, number: int, at_ms: float, refused: bool = False) -> None:
-        """A request has its final answer; `refused`: one that says that nothing was done."""
+        """A request got its final answer. `refused`: the answer says that the request had no effect."""
         pending = self._open.pop((director, number), None)
         if pending is None:
             self._breach("answer", at_ms, director, f"{number} has a second final answer")
@@ -221,11 +224,11 @@
             self._breach("repeat", at_ms, director, f"{number} is refused and may have run")
 
     def withdrawn(self, director: str, number: int) -> None:
-        """Its client left, or its director was killed: it needs no answer."""
+        """The client left or the director was killed, so the request needs no answer."""
         self._open.pop((director, number), None)
 
     def close(self, at_ms: float) -> None:
-        """The end: what is still open past its time was never answered."""
+        """The end of the run: each open request past its deadline was never answered."""
         for (director, number), pending in self._open.items():
             if at_ms > pending.due_ms:
                 self._breach("answer", at_ms, director, f"{number} is never answered")
@@ -235,19 +238,21 @@
 
 
 class Reach:
-    """Which stores a director may send to or name as a source: those its list has named, its own zone's
-    caches, and what the settings allow beyond. `on_breach` hears each breach."""
+    """Checks to which stores a director sends and which it names as sources.
+
+    Allowed are stores that its endpoint list contained: caches of its own zone, and what the settings allow
+    beyond. `on_breach` is called with each breach."""
 
     def __init__(self, settings: Settings, on_breach: Callable[[Broken], None]) -> None:
         self._settings, self._on_breach = settings, on_breach
         self._named: dict[str, set[str]] = defaultdict(set)
 
     def listed(self, director: str, store: str) -> None:
-        """A list named a store."""
+        """The endpoint list of a director contained a store."""
         self._named[director].add(store)
 
     def sent(self, director: str, zone: str, store: Member, source: Member | None, at_ms: float) -> None:
-        """An attempt leaves a director of `zone`."""
+        """A director in `zone` sent an attempt."""
         for used in (store, source):
             if used is not None and used.store not in self._named[director]:
                 self._breach(director, at_ms, f"{used.store} is in none of its lists")
--- a/gladelane/lab/deployment_draw.py
+++ b/gladelane/lab/deployment_draw.py
@@ -1,9 +1,9 @@
 """Draws generated deployments. Pure.
 
-Every field that the program reads is drawn from a range of its own, wider than any deployment known so far;
-names of zones, kinds and classes are made up anew each time. One source of randomness gives one deployment:
-a seeded `random.Random`, or a generator under the control of a property test. The order of draws is part of
-what a seed stands for: findings are named by their seeds.
+Each field that the program reads is drawn from a range of its own, which is wider than in any known
+deployment; names of zones, kinds and classes are random. The source of randomness is a seeded
+`random.Random` or the generator of a property test. The order of draws must not change, because findings
+are recorded by their seeds.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 )
 from .settings_draw import draw_classes, draw_loads, draw_wire
 
-MAX_REQUESTS = 400  # first tries in a run: keeps it well under 0.3 s of processor time
-ORIGIN_CELL = 90  # which no cache or parent has
+MAX_REQUESTS = 400  # first attempts in a run, so that it takes well under 0.3 s of processor time
+ORIGIN_CELL = 90  # no cache or parent has it
 
 
 @dataclass(frozen=True, slots=True)
 class _Sites:
-    """Zones of parents (hubs) and of directors (locations), and the names of the kinds of servers."""
+    """Zones of parents (`hubs`) and of directors (`locations`), and the names of the kinds of servers."""
 
     hubs: list[str]
     locations: list[str]
@@ -47,7 +47,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _Traffic:
-    """`flow` is KB a second of one transfer; `link` that of all caches together, in transfers."""
+    """`flow`: rate of one transfer in KB per second. `link`: capacity of all caches together, in
+    transfers."""
 
     flow: float
     classes: list[dict[str, Any]]
@@ -68,7 +69,7 @@
 
 
 def draw_deployment(rng: random.Random) -> Deployment:
-    """The deployment that this source of randomness stands for."""
+    """Draws a deployment."""
     draws = Draws(rng)
     seed = rng.randrange(1 << 32)
     sites = _draw_sites(draws)
@@ -103,7 +104,8 @@
 
 
 def draw_stepped(rng: random.Random) -> Deployment:
-    """The deployment that `draw_deployment` gives for this source, with wall clocks that are stepped."""
+    """Draws the deployment that `draw_deployment` gives for this source, and steps of wall clocks after
+    it."""
     drawn = draw_deployment(rng)
     stores = (*drawn.caches, *drawn.joining, *drawn.parents, drawn.origin)
     directors = [director_name(place) for place in range(len(drawn.directors))]
--- a/gladelane/lab/deployments.py
+++ b/gladelane/lab/deployments.py
@@ -1,6 +1,6 @@
-"""A generated deployment as a value: settings in the form of the wire, a fleet, its load, its faults. Pure.
+"""A generated deployment as a value: settings in wire form, a fleet, its load and its faults. Pure.
 
-`deployment_draw` makes them. Times are ms, sizes KB, links counted in transfers at full pace.
+`deployment_draw` draws them. Times are in ms, sizes in KB, capacities of links in transfers at full rate.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 from ..settings_wire import settings_from_wire
 from .deployed_clocks import ClockPlan
 
-GROUPS = 8  # of objects
-OBJECTS_OF_CLASS = 10_000  # a class's objects are numbered apart from those of any other
+GROUPS = 8  # number of groups of objects
+OBJECTS_OF_CLASS = 10_000  # each class has a number range of its own
 
 
 class FaultKind(Enum):
-    """What goes wrong; `Fault` says where, when and how much."""
+    """The kinds of faults; a `Fault` has the place, the time and the extent."""
 
-    CRASH = "crash"  # a process dies and comes back cold
-    JOIN = "join"  # a store that was not there starts cold
-    DRAIN = "drain"  # a store is listed as draining, and leaves in the end
+    CRASH = "crash"  # a process crashes and restarts, in slow start
+    JOIN = "join"  # a further store starts, in slow start
+    DRAIN = "drain"  # a store is listed as draining and leaves later
     PURGE_OBJECT = "purge object"
     PURGE_GROUP = "purge group"
     SLOW_ORIGIN = "slow origin"
-    ERRORS = "errors"  # a store answers a part of its requests with an error
-    SILENCE = "silence"  # a store takes requests and answers none
-    RESETS = "resets"  # connections to a store break, though it runs
+    ERRORS = "errors"  # a store answers some of its requests with an error
+    SILENCE = "silence"  # a store receives requests and answers none
+    RESETS = "resets"  # connections to a running store are reset
     LATE_LISTS = "late lists"
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """`at_ms` counts from the run's start; `factor` is how many times slower, or the part that is hit."""
+    """`at_ms` counts from the start of the run. `factor`: how many times slower, or the affected part."""
 
     kind: FaultKind
     at_ms: float
@@ -48,8 +48,8 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreSpec:
-    """A cache, a parent or the origin. `age_ms` is how long it has run at the start; 0: for ever.
-    `weight` is what the list tells of its link."""
+    """A cache, a parent or the origin. `age_ms`: for how long it has run at the start of the run; 0: long
+    ago. `weight`: its weight in the endpoint list, which may differ from its link."""
 
     name: str
     zone: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassLoad:
-    """How often a class is asked for, as a part of all requests, and what it is asked for."""
+    """The load of a class: its share of all requests, and the objects that are requested."""
 
     share: float
     mean_kb: float
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Network:
-    """Ways and what goes wrong on them. Chances are by attempt or by connection."""
+    """Delays of the network, and the probabilities of its faults, per attempt or per connection."""
 
     near_ms: float
     far_ms: float
@@ -90,14 +90,14 @@
     """How clients retry, wait and leave."""
 
     retries: int
-    wait_ms: float  # before a client asks again
-    patience: float  # least part of the class's deadline for which a try waits
+    wait_ms: float  # before a client retries
+    patience: float  # the least time that an attempt waits, as a part of the class's deadline
     leave_chance: float
 
 
 @dataclass(frozen=True, slots=True)
 class OriginSpec:
-    """What the origin bears at once, and how fast it is."""
+    """The capacity and the speed of the origin."""
 
     workers: int
     service_ms: float
@@ -107,24 +107,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """One generated deployment. `seed` is that of its run."""
+    """One generated deployment. `seed` is the seed of its run."""
 
     seed: int
     wire: Mapping[str, Any]
     directors: tuple[str, ...]  # the zone of each
     caches: tuple[StoreSpec, ...]
     parents: tuple[StoreSpec, ...]
-    joining: tuple[StoreSpec, ...]  # not there at the start
+    joining: tuple[StoreSpec, ...]  # start during the run
     origin: StoreSpec
     origin_spec: OriginSpec
-    inlets: Mapping[str, float]  # of each location, in transfers
+    inlets: Mapping[str, float]  # incoming link of each location, in transfers
     classes: tuple[ClassLoad, ...]
     sizes_listed: bool
     cache_storage_kb: float
     parent_storage_kb: float
     most_fills: int
     filled_at_start: bool
-    rate: float  # first tries a second, over the whole fleet
+    rate: float  # first attempts per second of the whole fleet
     duration_ms: float
     network: Network
     clients: Clients
@@ -132,29 +132,29 @@
     clocks: ClockPlan = ClockPlan()
 
     def settings_wire(self, director: int) -> dict[str, Any]:
-        """The settings as the wire has them, for one of the directors."""
+        """The settings of one director in wire form."""
         return {**self.wire, "me": director, "zone": self.directors[director]}
 
     def settings(self, director: int) -> Settings:
-        """The settings of one of the directors, as it reads them. Raises BadSetting."""
+        """The settings of one director, parsed. Raises BadSetting."""
         return settings_from_wire(self.settings_wire(director))
 
     def mean_work_ms(self, place: int) -> float:
-        """Mean sending time of a class, by its place in the settings."""
+        """The mean transfer time of a class, given by its index in the settings."""
         flow: float = self.wire["family_info"]["one_flow_kb_per_s"]
         return self.classes[place].mean_kb / flow * 1000.0
 
 
 def director_name(place: int) -> str:
-    """No store has such a name."""
+    """The name of a director, which no store can have."""
     return f"d{place}"
 
 
 def class_of(object_: int) -> int:
-    """The place in the settings of the class that an object belongs to."""
+    """The class of an object, as its index in the settings."""
     return object_ // OBJECTS_OF_CLASS
 
 
 def group_of(object_: int) -> int:
-    """The group that an object belongs to, as purges name it."""
+    """The group of an object, as purges name it."""
     return object_ % GROUPS
--- a/gladelane/lab/draws.py
+++ b/gladelane/lab/draws.py
@@ -6,14 +6,14 @@
 
 
 class Draws:
-    """`rng` is used by the callers too; names that were given out do not come twice."""
+    """A source of random names and numbers. Callers use `rng` as well. No name is returned twice."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self._names: set[str] = set()
 
     def name(self) -> str:
-        """A new one of letters, such as `abc-def`."""
+        """A new name of letters, such as `abc-def`."""
         while True:
             number, letters = self.rng.randrange(1 << 28), ""
             while number or not letters:
@@ -25,5 +25,6 @@
                 return name
 
     def between(self, least: float, most: float) -> float:
-        """Evenly on a scale of factors, so that small values are as likely as large ones."""
+        """A number with a uniformly distributed logarithm, so that small values are as likely as large
+        ones."""
         return float(least * (most / least) ** self.rng.random())
--- a/gladelane/lab/faults_draw.py
+++ b/gladelane/lab/faults_draw.py
@@ -7,8 +7,8 @@
 from .deployments import GROUPS, OBJECTS_OF_CLASS, ClassLoad, Fault, FaultKind, StoreSpec
 from .draws import Draws
 
-MAX_FAULTS = 8  # beside those of joining stores
-PURGES_AT_ONCE = 5  # of objects
+MAX_FAULTS = 8  # not counting those of joining stores
+PURGES_AT_ONCE = 5  # the most objects that are purged at once
 
 
 def draw_faults(
@@ -63,6 +63,6 @@
 
 
 def _draw_object(draws: Draws, loads: Sequence[ClassLoad]) -> int:
-    """One of the objects that are asked for most."""
+    """One of the most popular objects."""
     place = draws.rng.randrange(len(loads))
     return place * OBJECTS_OF_CLASS + draws.rng.randrange(min(6, loads[place].objects))
--- a/gladelane/lab/fleet_draw.py
+++ b/gladelane/lab/fleet_draw.py
@@ -1,6 +1,6 @@
 """The random fleet of a generated deployment: its directors, caches, parents, origin and network.
 
-Zones are named by the caller. Links count in transfers at full pace, times in ms, storage in KB.
+The caller names the zones. Links are in transfers at full rate, times in ms, storage in KB.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 MAX_DIRECTORS = 12
 MAX_CACHES = 12
-MEDIAN_MISSES = 0.4  # part of the bytes that parents have to carry, caches being small and short-lived here
+MEDIAN_MISSES = 0.4  # median part of the bytes that miss the caches, which are small here
 MIN_LINK = 1.5  # of a cache, in transfers
 
 
@@ -18,14 +18,14 @@
     """The zone of each director."""
     rng = draws.rng
     most = MAX_DIRECTORS // len(locations)
-    several = rng.random() < 0.3  # most deployments have one or two a location
+    several = rng.random() < 0.3  # most deployments have one or two per location
     return [zone for zone in locations for _ in range(rng.randint(1, most if several else min(2, most)))]
 
 
 def draw_caches(
     draws: Draws, locations: list[str], kind: str, link: float, weights: str
 ) -> tuple[StoreSpec, ...]:
-    """Caches of kind `kind`, whose links are `link` in all. `weights` is how the list states them."""
+    """Caches of kind `kind`, whose links have the sum `link`. `weights`: how the list states them."""
     rng = draws.rng
     most = MAX_CACHES // len(locations)
     placed = [(place, zone) for place, zone in enumerate(locations) for _ in range(rng.randint(1, most))]
@@ -39,7 +39,7 @@
 
 
 def draw_joining(draws: Draws, caches: tuple[StoreSpec, ...], weights: str) -> tuple[StoreSpec, ...]:
-    """Caches that are not there at the start."""
+    """Caches that start during the run."""
     joining = []
     for _ in range(draws.rng.randint(0, 3)):
         like = draws.rng.choice(caches)
@@ -51,7 +51,7 @@
 def draw_parents(
     draws: Draws, hubs: list[str], kind: str, link: float, weights: str
 ) -> tuple[StoreSpec, ...]:
-    """Parents, which can carry the misses of caches whose links are `link` in all."""
+    """Parents with enough capacity for the misses of caches whose links have the sum `link`."""
     rng = draws.rng
     count = rng.randint(1, 4)
     parents = []
@@ -67,7 +67,7 @@
 
 
 def draw_inlets(draws: Draws, locations: list[str], caches: tuple[StoreSpec, ...]) -> dict[str, float]:
-    """Each location's link in, which its caches share."""
+    """The incoming link of each location, which its caches share."""
     return {
         zone: max(sum(c.link for c in caches if c.zone == zone) * draws.rng.uniform(0.4, 1.4), MIN_LINK)
         for zone in locations
@@ -75,7 +75,7 @@
 
 
 def draw_origin(draws: Draws, rate: float, link: float) -> OriginSpec:
-    """An origin for `rate` requests a second and caches whose links are `link` in all."""
+    """An origin for `rate` requests per second and caches whose links have the sum `link`."""
     rng = draws.rng
     service = rng.uniform(15.0, 70.0)
     workers = max(round(rate * service / 1000.0 * rng.uniform(0.5, 2.5)), 2)
@@ -83,7 +83,7 @@
 
 
 def draw_network(draws: Draws) -> Network:
-    """Latencies, and the chances of what goes wrong on the way."""
+    """Delays, and the probabilities of faults of the network."""
     rng = draws.rng
     least = rng.uniform(20.0, 600.0)
     return Network(
@@ -100,7 +100,8 @@
 
 
 def _draw_listed_weight(draws: Draws, link: float, weights: str) -> float:
-    """What the list states of a link, as the settings say that weights are made."""
+    """The weight in the endpoint list of a link, by the way in which the settings say that weights are
+    made."""
     if weights == "nominal":
         return round(link, 2)
     if weights == "rough":
@@ -109,5 +110,5 @@
 
 
 def _draw_age(draws: Draws) -> float:
-    """How long a store has run: most for ever, some for so short that they are cold."""
+    """For how long a store has run: most for long (0), some so briefly that they are in slow start."""
     return draws.rng.uniform(1.0, 4000.0) if draws.rng.random() < 0.15 else 0.0
--- a/gladelane/lab/model/copies.py
+++ b/gladelane/lab/model/copies.py
@@ -1,7 +1,7 @@
-"""What a cache keeps: copies by rank, the lowest rank leaving first, in a rank what was used longest ago.
+"""Cache storage with ranks: evicts from the lowest rank first, within a rank the least recently used copy.
 
-Pure. A copy pushes out only what has its own rank or a lower one; where that is not enough it is not kept.
-Sizes in KB, dates in ms: when the origin gave the copy out.
+Pure. A copy evicts only copies of its own rank or a lower one; if that does not free enough, it is not
+stored. Sizes are in KB. The date of a copy is when the origin sent it out, in ms.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 from typing import Generic, TypeVar
 
 Key = TypeVar("Key", bound=Hashable)
-RANKS = 3  # 1 to 3; 0 keeps nothing
+RANKS = 3  # ranks are 1 to 3; rank 0 means that a copy is not stored
 
 
 class Copies(Generic[Key]):
-    """The copies of one store, up to `storage_kb` in all."""
+    """The copies of one store, with a total size of at most `storage_kb`."""
 
     def __init__(self, storage_kb: float) -> None:
         self.storage_kb = storage_kb
         self.used = 0.0
-        # of each rank, least lately used first
+        # the keys of each rank, least recently used first
         self._ranks: list[OrderedDict[Key, None]] = [OrderedDict() for _ in range(RANKS)]
         self._sums = [0.0] * RANKS
         self._copies: dict[Key, tuple[int, float, float]] = {}  # rank, size, date
@@ -29,12 +29,12 @@
         return len(self._copies)
 
     def dated(self, key: Key) -> float | None:
-        """The date of a copy, or None where there is none."""
+        """The date of a copy; None if there is no copy."""
         copy = self._copies.get(key)
         return None if copy is None else copy[2]
 
     def use(self, key: Key, rank: int) -> None:
-        """A hit sets the rank anew; 0 leaves it."""
+        """Records a hit, which sets the rank; 0 leaves the rank unchanged."""
         was, size, dated = self._copies[key]
         del self._ranks[was - 1][key]
         self._sums[was - 1] -= size
@@ -43,7 +43,7 @@
         self._ranks[(rank or was) - 1][key] = None
 
     def keep(self, key: Key, rank: int, size: float, dated: float) -> bool:
-        """Whether it is kept. A copy that is there already goes, also where the new one finds no room."""
+        """Stores a copy; False if there is no capacity. An earlier copy is removed in either case."""
         self.drop(key)
         if not rank or size > self.storage_kb - sum(self._sums[rank:]):
             return False
@@ -65,13 +65,13 @@
             self._sums[copy[0] - 1] -= copy[1]
 
     def purge(self, covered: Callable[[Key], bool], at: float) -> int:
-        """Drops covered copies that are older; gives how many."""
+        """Removes the covered copies that are older than `at`; returns their number."""
         gone = [key for key, (_, _, dated) in self._copies.items() if dated < at and covered(key)]
         for key in gone:
             self.drop(key)
         return len(gone)
 
     def clear(self) -> None:
-        """The process began anew."""
+        """Removes all copies, as a restart of the process does."""
         for key in list(self._copies):
             self.drop(key)
--- a/gladelane/lab/model/pipe.py
+++ b/gladelane/lab/model/pipe.py
@@ -1,4 +1,4 @@
-"""A link on a timeline: transfers that call back as they end."""
+"""A link on a timeline: transfers with a callback at their end."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 
 
 class Pipe:
-    """KB and ms, as `Link`. A call back comes as a moment of its own: it may start further transfers here."""
+    """A `Link` in KB and ms. Callbacks are scheduled on the timeline, so that they may start further
+    transfers."""
 
     def __init__(self, line: Timeline, capacity: float, flow: float) -> None:
         self._line = line
@@ -17,13 +18,13 @@
         self._done: dict[int, Callable[[], None]] = {}
         self._keys = 0
         self._next: Moment | None = None
-        self.carried = 0.0  # KB of transfers that ended or were stopped, as far as they came
+        self.carried = 0.0  # KB of all started transfers, less the missing part of stopped ones
 
     def __len__(self) -> int:
         return len(self._done)
 
     def start(self, size: float, done: Callable[[], None]) -> int:
-        """A transfer of `size` KB begins; `done` is called at its end. Gives its key for `stop`."""
+        """Starts a transfer of `size` KB; `done` is called at its end. Returns the key for `stop`."""
         self._collect()
         self._keys += 1
         self._done[self._keys] = done
@@ -33,14 +34,14 @@
         return self._keys
 
     def stop(self, key: int) -> None:
-        """Without a call back; one that has ended stays ended."""
+        """Stops a transfer without its callback. No effect on one that has ended."""
         self._collect()
         if self._done.pop(key, None) is not None:
             self.carried -= self._link.stop(self._line.now, key)
             self._plan()
 
     def resize(self, capacity: float) -> None:
-        """From now on the link carries `capacity` KB a ms."""
+        """Changes the capacity of the link to `capacity` KB per ms."""
         self._collect()
         self._link.resize(self._line.now, capacity)
         self._plan()
--- a/gladelane/lab/model/stores.py
+++ b/gladelane/lab/model/stores.py
@@ -1,7 +1,7 @@
-"""Caches, parents and the origin as models on a timeline: what an attempt there comes to, and when.
+"""Models of caches, parents and the origin on a timeline: how and when an attempt at them ends.
 
-A store that goes down ends all that is under way with RESET and comes up empty and cold. A fill whose client
-has left runs on, and is given up if nothing comes. Sizes in KB, times in ms.
+A store that crashes ends all its attempts with RESET and restarts empty, in slow start. A fill continues when
+its client has left, and is abandoned after GIVE_UP without an answer. Sizes are in KB, times in ms.
 """
 
 from __future__ import annotations
@@ -17,33 +17,34 @@
 from .timeline import Timeline
 
 PartKey = tuple[int, int]  # object, part
-#: when the origin gave the copy out, or None: there is none; and whether the origin had to be asked. None
-#: without asking it: the source gives only what it holds, and lacks this
+#: called with the date of the copy (None: there is none) and whether the origin was asked for it. None
+#: without asking the origin means that the source serves only cached copies and has none of this part
 Filled = Callable[[float | None, bool], None]
-GIVE_UP = 2500.0  # a fill of which nothing has come
-WARM_STEPS = 10  # in which a cold store's link widens
+GIVE_UP = 2500.0  # until a fill without an answer is abandoned
+WARM_STEPS = 10  # steps in which the link of a store in slow start grows
 
 
 @dataclass(slots=True, eq=False)
 class Work:
-    """One attempt at a store. `end` is called once: what came of it, how, and the copy's date."""
+    """One attempt at a store. `end` is called once, with the status, the note and the date of the copy."""
 
     key: PartKey
     size: float
     end: Callable[[Status, Note, float], None]
     over: bool = False
-    sending: int = 0  # the transfer to the client, once it runs
-    least_date: float = 0.0  # of a copy that its class allows at all, also from a fill that it joined
+    sending: int = 0  # key of the transfer to the director; 0 before it starts
+    least_date: float = 0.0  # the oldest date that the class allows, also for a copy from a joined fill
 
     def finish(self, status: Status, note: Note = Note.NOT_REPORTED, dated: float = 0.0) -> None:
-        """Ends the attempt; a second call changes nothing."""
+        """Ends the attempt. Further calls have no effect."""
         if not self.over:
             self.over = True
             self.end(status, note, dated)
 
 
 class Origin:
-    """Holds everything. Few workers and a thin link; above `max_requests` requests it refuses."""
+    """The origin, which has all objects, few workers and a slow link. It rejects more than `max_requests`
+    requests."""
 
     def __init__(self, line: Timeline, workers: int, service: float, max_requests: int, pipe: Pipe) -> None:
         self.line, self.workers, self.service, self.max_requests, self.pipe = (
@@ -53,13 +54,13 @@
             max_requests,
             pipe,
         )
-        self.slow = 1.0  # times its usual service
+        self.slow = 1.0  # factor on the service time
         self.busy = 0
         self.queue: deque[tuple[float, Callable[[float], None]]] = deque()
         self.asked = self.refused = 0
 
     def fetch(self, size: float, done: Callable[[float | None], None]) -> None:
-        """`done` is called with the copy's date, or None where the origin refuses."""
+        """Requests a copy; `done` is called with its date, or None if the origin rejects the request."""
         self.asked += 1
         if self.busy + len(self.queue) >= self.max_requests:
             self.refused += 1
@@ -88,7 +89,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Build:
-    """How a store is made: KB of copies, KB a ms of its link and of one transfer, and how it warms up."""
+    """Parameters of a store: KB of copies, rates of its link and of one transfer in KB per ms, and slow
+    start."""
 
     storage_kb: float
     capacity: float
@@ -98,27 +100,27 @@
 
 
 class Store:
-    """What caches and parents have in common: copies, a link out that warms up, fills and who joined them."""
+    """The common part of caches and parents: copies, an outgoing link with slow start, and fills."""
 
     def __init__(self, line: Timeline, build: Build) -> None:
         self.line, self.build = line, build
         self.copies = Copies[PartKey](build.storage_kb)
         self.pipe = Pipe(line, build.capacity, build.flow)
         self.up = True
-        self.incarnation = 0  # counts its processes
+        self.incarnation = 0  # number of its process
         self.filling: dict[PartKey, _Fill] = {}
-        self.purged: list[tuple[Callable[[PartKey], bool], float]] = []  # what each covers, and before when
+        self.purged: list[tuple[Callable[[PartKey], bool], float]] = []  # coverage and date of each
         self.hits = self.fills = self.joins = 0
 
     def crash(self) -> None:
-        """The process dies: copies and fills are gone."""
+        """Crashes the process: copies and fills are lost."""
         self.up = False
         self.incarnation += 1
         self.copies.clear()
         self.filling.clear()
 
     def start(self) -> None:
-        """Empty and cold: its link widens evenly until it is warm."""
+        """Starts an empty process; the capacity of its link grows evenly during slow start."""
         self.up = True
         for step in range(WARM_STEPS + 1):
             part = self.build.cold_from + (1.0 - self.build.cold_from) * step / WARM_STEPS
@@ -131,7 +133,8 @@
             self.pipe.resize(self.build.capacity * part)
 
     def purge(self, covered: Callable[[PartKey], bool], before: float) -> None:
-        """Drops covered copies from before then, and keeps none that a fill brings later."""
+        """Removes the covered copies that are older than `before`, and stores none that a fill brings
+        later."""
         self.copies.purge(covered, before)
         self.purged.append((covered, before))
 
@@ -139,15 +142,17 @@
         return any(dated < before and covered(key) for covered, before in self.purged)
 
     def cached_date(self, key: PartKey, oldest: float) -> float | None:
-        """The date of a copy given out at `oldest` or later."""
+        """The date of the stored copy, if the origin sent it out at `oldest` or later."""
         dated = self.copies.dated(key)
         return dated if dated is not None and dated >= oldest else None
 
     def fill(
         self, key: PartKey, size: float, rank: int, join: bool, source: Callable[[Filled], None], done: Filled
     ) -> None:
-        """Asks `source`, keeps what comes at this rank, and tells all who joined. One that died in between
-        tells nobody: its attempts have ended by then."""
+        """Fetches from `source`, stores the copy with this rank, and calls `done` of all that joined the
+        fill.
+
+        If the process crashed meanwhile nothing is called, because its attempts have ended already."""
         under_way = self.filling.get(key)
         if join and under_way is not None:
             self.joins += 1
@@ -174,15 +179,15 @@
 
 
 class Parent(Store):
-    """Keeps all that passes, and fetches what it lacks from the origin, each fill apart."""
+    """A parent: stores all copies that pass through it, and fetches missing ones from the origin."""
 
     def __init__(self, origin: Origin, line: Timeline, build: Build) -> None:
         super().__init__(line, build)
         self.origin = origin
 
     def get(self, key: PartKey, size: float, oldest: float, done: Filled, holds_only: bool = False) -> None:
-        """For a cache's fill; a parent that is down says nothing, as a machine that vanished. `holds_only`:
-        it asks the origin for nothing."""
+        """Serves a fill of a cache. A parent that is down does not answer. `holds_only`: from its cache
+        only."""
         if not self.up:
             return
         dated = self.cached_date(key, oldest)
@@ -208,7 +213,8 @@
 
 
 class Cache(Store):
-    """Answers directors. `ingress` is its location's link in, which all fills share."""
+    """A cache, which answers directors. `ingress` is the incoming link of its location, shared by all
+    fills."""
 
     def __init__(self, ingress: Pipe, most_fills: int, line: Timeline, build: Build) -> None:
         super().__init__(line, build)
@@ -216,7 +222,7 @@
         self.open: dict[Work, None] = {}
 
     def crash(self) -> None:
-        """Also resets all attempts that are open."""
+        """Crashes the store, and resets all its attempts."""
         super().crash()
         for work in list(self.open):
             self.abort(work)
@@ -225,7 +231,7 @@
     def serve(
         self, work: Work, rank: int, oldest: float, join: bool, source: Callable[[Filled], None] | None
     ) -> None:
-        """`source` None: a miss is not filled."""
+        """Answers an attempt from a copy or by a fill. `source` None: a miss is not filled."""
         dated = self.cached_date(work.key, oldest)
         if dated is not None:
             self.hits += 1
@@ -247,7 +253,7 @@
                         work.finish(Status.ERROR, Note.ORIGIN_FAILED)
                     else:
                         work.finish(Status.MISS, Note.SOURCE_LACKS)
-                elif dated < work.least_date:  # it joined a fill that was asked for less: for its own, then
+                elif dated < work.least_date:  # the joined fill brought too old a copy: it fills itself
                     self.fill(work.key, work.size, rank, False, self._through(work.size, source), filled)
                 else:
                     self._send(work, Note.FROM_ORIGIN if asked else Note.PARENT_HELD, dated)
@@ -255,14 +261,14 @@
             self.fill(work.key, work.size, rank, join, self._through(work.size, source), filled)
 
     def renew(self, key: PartKey, size: float, rank: int, source: Callable[[Filled], None]) -> None:
-        """Behind an answer from an ageing copy: nobody waits for it."""
+        """Renews an ageing copy in the background."""
         self.fill(key, size, rank, True, self._through(size, source), lambda _dated, _asked: None)
 
     def _through(self, size: float, source: Callable[[Filled], None]) -> Callable[[Filled], None]:
         return lambda came: source(partial(self._through_ingress, size, came))
 
     def abort(self, work: Work) -> None:
-        """Work stops when its request is given up; a fill runs on."""
+        """Stops the transfer of an attempt that was given up; its fill continues."""
         self.open.pop(work, None)
         if work.sending:
             self.pipe.stop(work.sending)
--- a/gladelane/lab/reduction.py
+++ b/gladelane/lab/reduction.py
@@ -1,4 +1,4 @@
-"""Makes a deployment that breaks a rule as small as it goes while it still does. Pure."""
+"""Reduces a deployment that breaks a rule to a minimal one that still breaks it. Pure."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def reduced(deployment: Deployment, breaks: Callable[[Deployment], bool]) -> Deployment:
-    """Takes the first smaller one that still breaks, until none does."""
+    """Replaces the deployment by the first smaller one for which `breaks` holds, until there is none."""
     while True:
         smaller = next((one for one in _smaller(deployment) if breaks(one)), None)
         if smaller is None:
@@ -52,7 +52,7 @@
 
 
 def _calmer(deployment: Deployment) -> Iterator[Deployment]:
-    """Without what goes wrong by chance; only what differs."""
+    """Deployments without one of the random faults, as far as that makes a difference."""
     net, clients = deployment.network, deployment.clients
     calm: list[Network] = [
         replace(net, slow_dial_chance=0.0),
--- a/gladelane/lab/virtual.py
+++ b/gladelane/lab/virtual.py
@@ -1,7 +1,7 @@
-"""A fleet in virtual time: real routers, models of all they talk to, clients, and the rules watched.
+"""A fleet in virtual time: real routers, models of everything they talk to, clients, and monitors.
 
-Nothing here waits or asks a clock. One seed gives one run: randomness comes from generators of the fleet's
-own, and what falls on one instant comes in the order in which it was set.
+Nothing here waits or reads a clock. One seed gives one run: all random numbers come from generators of the
+fleet, and calls that are due at the same time run in the order in which they were scheduled.
 """
 
 from __future__ import annotations
@@ -36,13 +36,13 @@
 __all__ = ["Director", "Fleet", "Plan"]
 
 WRITE_KB = 1.0
-FILL_PACE = 3.0  # a fill is so many times as fast as a transfer to a client
-CLIENT_WAIT_MS = 100.0  # before a client asks again
-CLASS_SHARES = (0.5, 0.4, 0.08, 0.02)  # of the requests, as the settings list their classes
+FILL_PACE = 3.0  # rate of a fill, as a multiple of the rate of a transfer to a client
+CLIENT_WAIT_MS = 100.0  # before a client retries
+CLASS_SHARES = (0.5, 0.4, 0.08, 0.02)  # shares of the requests, in the order of the classes in the settings
 
 
 class Fleet:
-    """All of it. `run` may be called again to go on."""
+    """The fleet with all its parts. `run` may be called repeatedly, to continue."""
 
     def __init__(self, plan: Plan, seed: int) -> None:
         self.plan, self.line = plan, Timeline()
@@ -70,7 +70,8 @@
             self.line.after(self._gap(), partial(self._arrive, zone))
 
     def _build_stores(self, plan: Plan) -> None:
-        """The origin `root`, the parents, and each zone's caches with the link that they share."""
+        """Makes the origin `root`, the parents, and the caches of each zone with their shared incoming
+        link."""
         s, flow = plan.settings, plan.settings.flow_kb_per_s / 1000.0
         out = Pipe(self.line, flow * plan.origin_link, flow * FILL_PACE)
         self.origin = Origin(self.line, plan.origin_workers, plan.origin_ms, plan.origin_max_requests, out)
@@ -97,40 +98,40 @@
         self.members["root"] = Member("root", "hub", s.origin_kind)
 
     def run(self, until_ms: float) -> None:
-        """Plays up to this moment. Raises AssertionError where a try has neither ended nor is open."""
+        """Runs until this time. Raises AssertionError if an attempt of a client was lost: neither ended nor
+        open."""
         self.line.run(until_ms)
-        # each try has one end or is still open: what went missing would be neither
         open_ = sum(not asked.done for director in self.directors for asked in director.open.values())
         if self.monitor.requests != self.monitor.answers + open_:
             counted = f"{self.monitor.requests} tries, {self.monitor.answers} answers, {open_} open"
             raise AssertionError(counted)
 
     def digest(self) -> str:
-        """Of every send and answer so far, with its moment."""
+        """The digest of all attempts and final answers so far, with their times."""
         return self._digest.hexdigest()
 
     def trace(self, *words: Any) -> None:
-        """Adds to the digest."""
+        """Adds an entry to the digest."""
         self._digest.update(f"{self.line.now:.6f} {words}\n".encode())
 
     # --- faults
 
     def crash(self, store: str) -> None:
-        """A store dies, and the list says so later."""
+        """Crashes a store; directors are notified later."""
         self._store(store).crash()
         self._list(replace(self.members[store], state=State.GONE))
 
     def restart(self, store: str) -> None:
-        """A store comes back, empty and cold."""
+        """Restarts a store, which is empty and in slow start."""
         self._store(store).start()
         self._list(replace(self.members[store], state=State.READY, came_up_ms=self.line.now))
 
     def drain(self, store: str) -> None:
-        """A store is listed as draining; it serves on."""
+        """Lists a store as draining; it continues to serve."""
         self._list(replace(self.members[store], state=State.DRAINING))
 
     def purge(self, object_: int) -> None:
-        """Purges all parts of an object: stores drop them, directors are notified."""
+        """Purges all parts of an object: stores remove them, and directors are notified."""
         at = self.line.now
         for store in (*self.caches.values(), *self.parents.values()):
             self.line.after(self.plan.drop_ms, partial(_drop, store, object_, at))
@@ -156,17 +157,17 @@
     # --- the network
 
     def way(self, zone: str, store: str) -> float:
-        """How long a message takes from a zone to a store, or back."""
+        """The one-way delay between a zone and a store, in ms."""
         return self.plan.near_ms if self.members[store].zone == zone else self.plan.far_ms
 
     def sent_to(self, work: Work) -> str:
-        """The store of an attempt that has ended; asked for once."""
+        """The store of an attempt that has ended. May be called once for each attempt."""
         return self._to.pop(work)
 
     def send(
         self, zone: str, action: Fetch | Lookup, source: str, spec: ClassSpec, work: Work
     ) -> Callable[[Work], None]:
-        """Starts it after its way there; what is given stops it."""
+        """Starts an attempt, after the delay to its store. The returned function aborts it."""
         self._to[work] = action.store
         there = partial(self._arrived, zone, action, source, spec, work)
         self.line.after(self.way(zone, action.store), there)
@@ -199,7 +200,7 @@
         cache.serve(work, rank, oldest, join, fill)
 
     def oldest(self, action: Fetch | Lookup, spec: ClassSpec) -> float:
-        """The date of the oldest copy that may answer; 0: any."""
+        """The date of the oldest copy that may be the answer; 0: any."""
         age = (action.max_age_ms if isinstance(action, Fetch) else 0.0) or spec.fresh_ms
         return self.line.now - age if age else 0.0
 
@@ -227,7 +228,7 @@
         self.line.after(self._gap(), partial(self._arrive, zone))
         spec = self.rng.choices(self.specs, CLASS_SHARES[: len(self.specs)])[0]
         object_ = self.rng.choices(range(self.plan.objects), cum_weights=self._popular)[0]
-        sizes = random.Random(object_)  # an object's size is its own
+        sizes = random.Random(object_)  # the same size at each request of an object
         size = max(sizes.lognormvariate(0.0, 0.8) * self.plan.mean_kb, 1.0) if spec.cacheable else WRITE_KB
         self.requested_weight += spec.worth
         self.counts["asked"] += 1
@@ -237,7 +238,7 @@
         self.rng.choice(self._there[zone]).ask(spec, key, size, left)
 
     def answered(self, director: Director, asked: PendingRequest, status: Status, note: Note) -> None:
-        """Counts a final answer; a client that was refused tries again, up to its limit."""
+        """Counts a final answer. A rejected client retries, up to its limit."""
         self.trace(director.name, asked.number, status.value, note.value)
         self.counts[f"{status.value}"] += 1
         if status is Status.OK:
--- a/gladelane/lab/virtual_director.py
+++ b/gladelane/lab/virtual_director.py
@@ -1,4 +1,4 @@
-"""A director in virtual time: a real router driven as `net.director` does, against models, not sockets."""
+"""A director in virtual time: drives a real router as `net.director` does, against models."""
 
 from __future__ import annotations
 
@@ -31,36 +31,36 @@
 
 
 class Surroundings(Protocol):
-    """What a director needs of the fleet around it. Times are ms of the timeline."""
+    """What a director requires from its fleet. Times are in ms of the timeline."""
 
     plan: Plan
     line: Timeline
     monitor: Monitor
 
     def trace(self, *words: Any) -> None:
-        """Adds what was done to the digest of the run."""
+        """Adds an entry to the digest of the run."""
 
     def way(self, zone: str, store: str) -> float:
-        """How long a message takes from a zone to a store, or back."""
+        """The one-way delay between a zone and a store, in ms."""
 
     def oldest(self, action: Fetch | Lookup, spec: ClassSpec) -> float:
-        """The date of the oldest copy that may answer; 0: any."""
+        """The date of the oldest copy that may be the answer; 0: any."""
 
     def send(
         self, zone: str, action: Fetch | Lookup, source: str, spec: ClassSpec, work: Work
     ) -> Callable[[Work], None]:
-        """Starts an attempt; what is given stops it."""
+        """Starts an attempt. The returned function aborts it."""
 
     def sent_to(self, work: Work) -> str:
-        """The store of an attempt that has ended; asked for once."""
+        """The store of an attempt that has ended. May be called once for each attempt."""
 
     def answered(self, director: Director, pending: PendingRequest, status: Status, note: Note) -> None:
-        """The client has its final answer."""
+        """A client got its final answer."""
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request at a director, and the client behind it."""
+    """A pending request at a director, with the data of its client."""
 
     number: int
     spec: ClassSpec
@@ -74,7 +74,7 @@
 
 
 class Director:
-    """Drives one router, as `net.director` does, against models in place of sockets."""
+    """Drives one router with events, and carries out its actions on the models."""
 
     def __init__(self, fleet: Surroundings, name: str, zone: str, seed: int) -> None:
         self.fleet, self.name = fleet, name
@@ -84,12 +84,12 @@
         self.numbers = 0
 
     def tell(self, event: Event) -> None:
-        """Hands an event to the router and does what it decides."""
+        """Passes an event to the router and carries out the resulting actions."""
         for action in self.router.handle(self.fleet.line.now, event):
             self._act(action)
 
     def ask(self, spec: ClassSpec, key: tuple[int, int], size: float, tries_left: int) -> None:
-        """A client's request arrives, for an object and a part; `size` in KB."""
+        """Accepts a request of a client for an object part; `size` in KB."""
         now = self.fleet.line.now
         self.numbers += 1
         pending = PendingRequest(self.numbers, spec, size, key, now, tries_left)
