--- a/gladelane/lab/call_faults.py
+++ b/gladelane/lab/call_faults.py
@@ -1,7 +1,8 @@
-"""A real director whose system calls fail, with clients, stores and discovery that watch every rule.
+"""Runs a real director whose system calls fail, with clients, stores and discovery that check every rule.
 
-One `Scene` is one director on loopback with the preload library below it. `Clients` keep asking and count
-what was not answered as it should be; `Scene.verdict` adds what the stores saw and how the process fared.
+One `Scene` is one director on loopback with the preload library loaded. `Clients` send requests all the
+time and count wrong or missing answers; `Scene.verdict` adds the observations of the stores and the state
+of the process.
 """
 
 from __future__ import annotations
@@ -27,19 +28,19 @@
 CLASSES = (READ_CLASS, KEYED_CLASS, UNSAFE_CLASS)
 STORES = {"cache-1": "standard", "cache-2": "standard", "depot": "parent", "bank": "origin"}
 DEADLINE_MS = 1500
-ANSWER_S = 0.015  # of a store: requests are under way at any moment
-PATIENCE_S = 4.0  # an answer may come half a second after the deadline; the rest is for a busy machine
+ANSWER_S = 0.015  # delay of a store, so that there are always pending requests
+PATIENCE_S = 4.0  # half a second after the deadline is allowed; the rest is for a busy machine
 WINDOW_S = 2.0  # of KEYED_CLASS in the settings
-RECOVERY_S = 8.0  # a director that serves nothing so long after a fault has ended is stuck
+RECOVERY_S = 8.0  # a director that serves nothing for so long after a fault is stuck
 PROBE_APART_S = 0.02
-LEAVE_S = 0.3  # after SIGTERM no further request begins, as the platform has it
+LEAVE_S = 0.3  # after SIGTERM the platform sends no further requests
 EXIT_S = 8.0
 ERROR_LINE = "gladelane: "
 
 
 @dataclass
 class Verdict:
-    """What a case broke; texts say which request or process."""
+    """The breaches of a case; the texts name the request or the process."""
 
     lost: list[str] = field(default_factory=list)
     duplicates: list[str] = field(default_factory=list)
@@ -49,7 +50,7 @@
     is_stuck: bool = False
 
     def broken(self) -> list[str]:
-        """All that is broken as texts, each with its kind; empty: nothing is."""
+        """All breaches as texts with their kinds."""
         named = {
             "lost": self.lost,
             "duplicate": self.duplicates,
@@ -62,7 +63,7 @@
 
 @dataclass
 class Request:
-    """One request of the clients and the code of its answer."""
+    """A request of the clients, with the code of its answer."""
 
     id: str
     cls: str
@@ -70,10 +71,10 @@
 
 
 class Clients:
-    """Ask all classes in turn: half of them on connections that they keep, half on new ones.
+    """Clients that request all classes in turn, half of them on reused connections, half on new ones.
 
-    `breaks_connections` is set while faults break connections of clients: a request whose connection broke is
-    not lost then. It still is unanswered where its connection stays open.
+    `breaks_connections` is set while faults may break connections of clients: a request does not count as
+    lost then if its connection broke. It still counts as unanswered if its connection stays open.
     """
 
     def __init__(self, port: int, first_id: int, count: int = 6) -> None:
@@ -89,7 +90,7 @@
         self._tasks = [asyncio.create_task(self._ask_on(number % 2 == 0)) for number in range(count)]
 
     async def stop(self) -> None:
-        """No further request begins; those that are open are waited for."""
+        """Sends no further requests and waits for the pending ones."""
         self._is_stopping = True
         for ended in await asyncio.gather(*self._tasks, return_exceptions=True):
             if isinstance(ended, Exception):
@@ -97,13 +98,13 @@
 
     async def _ask_on(self, keeps: bool) -> None:
         client: Client | None = None
-        is_proven = False  # has had an answer: a request on it may cross the connection's close
+        is_proven = False  # it had an answer, so a request may cross its close
         repeated: Request | None = None
         while not self._is_stopping:
             if client is None:
                 try:
                     client, is_proven = await Client.to("127.0.0.1", self.port), False
-                except OSError:  # nobody listens: nothing was asked
+                except OSError:  # there is no listener: no request was sent
                     await asyncio.sleep(PROBE_APART_S)
                     continue
             request = repeated or self._new()
@@ -111,7 +112,7 @@
             request.code = await self._ask(client, request)
             crossed = request.code is None and client.ended and is_proven
             if crossed and not self.breaks_connections:
-                repeated = request  # a client repeats what crossed the close of a connection at rest
+                repeated = request  # clients retry what crossed the close of an idle connection
             else:
                 self._note(request, client)
                 is_proven = True
@@ -155,7 +156,7 @@
 
 
 async def hit_later(seen: Seen) -> Said:
-    """An answer from a cached copy, after ANSWER_S."""
+    """Answers from a cached copy after ANSWER_S."""
     await asyncio.sleep(ANSWER_S)
     return hit(seen)
 
@@ -175,21 +176,21 @@
 
 
 class WatchedDiscovery(FakeDiscovery):
-    """Discovery that can break its connections and says how many are open."""
+    """Discovery that can reset its connections and counts the open ones."""
 
     @property
     def open_count(self) -> int:
-        """Connections that are open now."""
+        """The number of open connections."""
         return len(self._open)
 
     def drop(self) -> None:
-        """Breaks all connections."""
+        """Resets all connections."""
         for task in self._open:
             task.cancel()
 
 
 class Scene:
-    """A director, its stores and discovery. `environment` holds variables beside those of the library."""
+    """A director, its stores and discovery. `environment`: variables in addition to those of the library."""
 
     def __init__(self, folder: Path, library: Path, environment: Mapping[str, str] | None = None) -> None:
         self.folder = folder
@@ -206,11 +207,11 @@
 
     @property
     def discovery_port(self) -> int:
-        """Of the discovery server, as the director's file names it."""
+        """The address of the discovery server, as the configuration of the director names it."""
         return int(self.director.raw["board"].rpartition(":")[2])
 
     async def prepare(self) -> None:
-        """Starts all but the director."""
+        """Starts everything but the director."""
         raw = json.loads((ROOT / "example" / "config.json").read_text())
         raw["board"] = await self.discovery.start()
         raw["settings"]["classes"].append(
@@ -224,7 +225,7 @@
         )
         for name in ("pass_on", "good_for_ms", "stale_for_ms", "segmented"):
             values = raw["settings"]["family_info"][name]
-            values.append(type(values[0])())  # one for each class
+            values.append(type(values[0])())  # one value per class
         instances = [await self._instance(name, kind) for name, kind in STORES.items()]
         self.discovery.tell({"pool": {"generation": 1, "reset": True, "instances": instances}})
         raw["known"] = self.discovery.known()
@@ -242,12 +243,13 @@
         }
 
     async def start(self) -> None:
-        """Starts the director and waits until it serves. Raises RuntimeError where it ends instead."""
+        """Starts the director and waits until it serves. Raises RuntimeError if it ends instead."""
         await self.director.start()
         await self.director.serving()
 
     async def starts(self) -> bool:
-        """Whether it does, without a fault: others may take its ports between the look and the bind."""
+        """Whether the director serves. Without a fault it may fail if another process takes its ports
+        first."""
         try:
             await self.start()
         except RuntimeError as error:
@@ -257,24 +259,27 @@
         return True
 
     def clients(self) -> Clients:
-        """Ids go on from case to case."""
+        """The clients of a case. Request ids continue from case to case."""
         self._asked += 1
         return Clients(self.director.port, self._asked << 24)
 
     def begin_case(self) -> None:
-        """What came to stores or stands in the logs by now is no part of the next verdict."""
+        """Begins a case: earlier requests at the stores and earlier log lines do not count for the next
+        verdict."""
         self._seen_before = {name: len(store.seen) for name, store in self.stores.items()}
         self._log_before = {n: len(self.director.log(n)) for n in range(len(self.director.all))}
 
     async def drop_connections(self) -> None:
-        """Stores and discovery close what is open, so that the director dials anew."""
+        """Closes all connections of stores and discovery, so that the director connects again."""
         self.discovery.drop()
         for name, store in self.stores.items():
             await store.set(self.addresses[name], StoreFault.NONE)
 
     async def recovery_ms(self) -> float | None:
-        """How long from now until all is normal: each class is served on a new connection, the admin endpoint
-        answers and discovery is followed. None: it did not come in RECOVERY_S."""
+        """The time from now until the director has recovered; None if that takes more than RECOVERY_S.
+
+        Recovered means that each class is served on a new connection, the admin endpoint answers, and
+        discovery has a client."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         with suppress(TimeoutError):
@@ -303,7 +308,7 @@
                 await client.close()
 
     async def end_process(self, number: int) -> str:
-        """SIGTERM; how the exit was not as it should be, or nothing."""
+        """Sends SIGTERM; returns what was wrong with the exit, if anything."""
         process = self.director.all[number]
         self._expected_exits.add(number)
         process.send_signal(signal.SIGTERM)
@@ -314,7 +319,7 @@
         return f"exit code {code} at SIGTERM" if code else ""
 
     def verdict(self, clients: Clients | None) -> Verdict:
-        """What was broken since `begin_case`; `clients` have stopped by now."""
+        """The breaches since `begin_case`. `clients` must have stopped."""
         verdict = Verdict()
         if clients is not None:
             verdict.lost, verdict.unanswered = clients.lost, clients.unanswered
@@ -328,7 +333,10 @@
         return verdict
 
     def _run_twice(self, requests: Mapping[str, Request]) -> list[str]:
-        """Unsafe ones that came to a store twice, or were refused and came; keyed ones past their window."""
+        """Requests that were repeated wrongly.
+
+        Unsafe ones that reached stores twice, or were refused after they had; keyed ones after their
+        window."""
         arrivals: dict[str, list[float]] = {}
         for name, store in self.stores.items():
             for seen in store.seen[self._seen_before.get(name, 0) :]:
@@ -347,7 +355,7 @@
         return found
 
     async def close(self) -> None:
-        """Ends the director, discovery and the stores."""
+        """Stops the director, discovery and the stores."""
         await self.director.end()
         await self.discovery.close()
         for store in self.stores.values():
@@ -355,7 +363,7 @@
 
 
 async def calling(director: Processes, is_over: Callable[[], bool]) -> None:
-    """Asks the admin endpoint all the while."""
+    """Calls the admin endpoint repeatedly."""
     while not is_over():
         await director.call("GET", "/healthcheck")
         await asyncio.sleep(PROBE_APART_S)
--- a/gladelane/lab/client.py
+++ b/gladelane/lab/client.py
@@ -1,4 +1,4 @@
-"""A client of the director for experiments: many requests on one connection, each answer counted."""
+"""A client of the director for experiments: many requests on one connection, with a count of all answers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 
 
 class Answer(NamedTuple):
-    """code: 0 served, 1 refused, 2 failed. elapsed_ms: from the request to the answer's last byte."""
+    """A final answer. `code`: 0 served, 1 refused, 2 failed. `elapsed_ms`: until the last byte of the
+    answer."""
 
     code: int
     body: bytes
@@ -18,12 +19,13 @@
 
 
 class Client:
-    """`answers` counts the final answers a stream got: any other number than one is a broken rule."""
+    """One connection. `answers` counts the final answers per stream; any number other than one is a
+    breach."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.answers: Counter[int] = Counter()
-        self.no_more_requests = False  # to send no more requests here
-        self.ended = False  # by the director, or broken
+        self.no_more_requests = False  # the director asked for no further requests here
+        self.ended = False  # the connection was closed or has failed
         self._reader, self._writer = reader, writer
         self._stream = 0
         self._waiting: dict[int, tuple[asyncio.Future[Answer], float]] = {}
@@ -31,11 +33,11 @@
 
     @classmethod
     async def to(cls, host: str, port: int) -> Client:
-        """A client with a new connection. Raises OSError."""
+        """Connects a new client. Raises OSError."""
         return cls(*await asyncio.open_connection(host, port))
 
     async def ask(self, fields: dict[str, str], body: bytes = b"", patience_s: float = 10.0) -> Answer | None:
-        """None: no answer in time, or the connection ended before it."""
+        """Sends a request; returns its answer, or None if none came in time or the connection ended."""
         if self.ended:
             return None
         loop = asyncio.get_running_loop()
@@ -51,7 +53,7 @@
             return None
 
     async def close(self) -> None:
-        """Closes the connection; requests that wait get no answer."""
+        """Closes the connection. Pending requests get no answer."""
         self._writer.close()
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
--- a/gladelane/lab/fake_cache_store.py
+++ b/gladelane/lab/fake_cache_store.py
@@ -1,9 +1,8 @@
-"""The copies of a fake cache, parent or origin: each with the date at which the origin gave it out; fills and
-joined fills.
+"""The copies of a fake cache, parent or origin, with fills and joined fills.
 
-A copy is looked at honestly: one older than the request accepts is fetched anew. A fill that is under way is
-joined without a second look, as real caches do: its copy may be older than a purge that came meanwhile. The
-body of an answer is the copy's date, so whoever gets it can tell how old it is.
+A copy is dated by when the origin sent it out; one that is older than the request accepts is fetched again. A
+running fill is joined without a further check, as real caches do, so its copy may be older than a purge
+that came meanwhile. The body of an answer is the date of the copy, so that clients can verify its age.
 """
 
 from __future__ import annotations
@@ -15,30 +14,31 @@
 from ..purges.scope import parse
 from .fake_server import Said, Seen
 
-PartKey = tuple[str, int]  # an object's 16 hex digits and a part
+PartKey = tuple[str, int]  # 16 hex digits of the object, and the part
 
 
 def now_ms() -> float:
-    """Unix ms."""
+    """The time in Unix ms."""
     return time.time() * 1000.0
 
 
 class FakeCacheStore:
-    """sources: the stores that a request's `parent` may name; none: this is the origin, which holds all,
-    new."""
+    """The storage of one server. `sources`: the stores that the field `parent` of a request may name.
+
+    Without sources it is the origin, which has new copies of all objects."""
 
     def __init__(self, sources: Mapping[str, FakeCacheStore] | None = None, fill_s: float = 0.0) -> None:
         self.sources = dict(sources or {})
         self.fill_s = fill_s
         self.copies: dict[PartKey, float] = {}
-        self.groups: dict[str, int] = {}  # of objects, where known: orders to drop may name them
+        self.groups: dict[str, int] = {}  # group of each object, if known: purges may name groups
         self.filling: dict[PartKey, asyncio.Future[float]] = {}
-        self.asked: list[float] = []  # when the origin was asked, s of the loop
-        self.eager = False  # joins fills unasked, as some caches do
+        self.asked: list[float] = []  # when the origin got requests, in s of the loop
+        self.eager = False  # joins fills without the hint, as some caches do
         self.hits = self.fills = self.joins = self.dropped = 0
 
     async def answer(self, seen: Seen) -> Said:
-        """The answer to a request, from a copy, by a fill, or that there is none."""
+        """The answer to a request: a copy, the result of a fill, or a miss."""
         fields = seen.fields
         key = fields["thing"].lower(), int(fields["nth"])
         accept = float(fields.get("accept", 0.0))
@@ -55,7 +55,7 @@
         return f"served digest=d,dated={int(dated)},remark={note}", b"\x00%d" % int(dated)
 
     async def get(self, key: PartKey, accept: float) -> float:
-        """As a source of others' fills: the copy's date."""
+        """Serves a fill of another store; returns the date of the copy."""
         if not self.sources:
             self.asked.append(asyncio.get_running_loop().time())
             return now_ms()
@@ -79,7 +79,7 @@
         self.filling[key] = future
         self.fills += 1
         dated = await source.get(key, accept)
-        await asyncio.sleep(self.fill_s)  # the bytes' way back
+        await asyncio.sleep(self.fill_s)  # the transfer of the copy
         self.copies[key] = max(dated, self.copies.get(key, 0.0))
         if self.filling.get(key) is future:
             del self.filling[key]
@@ -87,7 +87,7 @@
         return dated
 
     def drop(self, order: str) -> None:
-        """`MOMENT SCOPE`: older copies go. A scope by class drops the copies of all classes."""
+        """Carries out an order `MOMENT SCOPE`: removes older copies. A scope by class covers all classes."""
         at, _, text = order.partition(" ")
         scope = parse(text)
         for key, dated in list(self.copies.items()):
--- a/gladelane/lab/fake_discovery.py
+++ b/gladelane/lab/fake_discovery.py
@@ -1,4 +1,4 @@
-"""A fake discovery server: numbered watch events, sent to all that follow, from where each left off."""
+"""A fake discovery server: sends numbered watch events to all clients, from the last revision of each."""
 
 from __future__ import annotations
 
@@ -13,8 +13,7 @@
 
 
 class FakeDiscovery:
-    """`tell` adds an event. Every director counts from 1 at its start, so `known` is what to start one
-    with."""
+    """`tell` adds an event. Directors count revisions from 1, so one that starts later needs `known`."""
 
     def __init__(self) -> None:
         self.notices: list[dict[str, Any]] = []
@@ -23,22 +22,22 @@
         self._open: set[asyncio.Task[None]] = set()
 
     async def start(self) -> str:
-        """Listens on a free port, and gives HOST:PORT."""
+        """Listens on a free port; returns HOST:PORT."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     def tell(self, event: dict[str, Any]) -> None:
-        """Adds an event, with the next revision, and sends it to all that follow."""
+        """Adds an event with the next revision and sends it to all clients."""
         self.notices.append({"rev": len(self.notices) + 1, **event})
         self._news.set()
         self._news = asyncio.Event()
 
     def known(self) -> dict[str, Any]:
-        """What a platform file has under `known`: the events so far and the last revision."""
+        """The value of `known` in a configuration file: all events so far and the last revision."""
         return {"rev": len(self.notices), "notices": list(self.notices)}
 
     async def close(self) -> None:
-        """Stops listening and breaks all connections."""
+        """Stops listening and resets all connections."""
         if self._server is not None:
             self._server.close()
         for task in self._open:
--- a/gladelane/lab/fake_server.py
+++ b/gladelane/lab/fake_server.py
@@ -1,7 +1,7 @@
-"""Fake caches, parents and origins: the cache protocol on IPv4, IPv6 and Unix sockets at once, with faults
-set by address at any time, and a record of what reached which server at which address.
+"""Fake caches, parents and origins that speak the cache protocol on IPv4, IPv6 and Unix sockets.
 
-They are servers written from the protocol's description. Loopback only.
+Faults can be set for each address at any time, and every request is recorded with its address. The servers
+are written from the description of the protocol, not with the code under test. Loopback only.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 
 class Seen(NamedTuple):
-    """One fetch as it arrived."""
+    """A request as it arrived."""
 
     id: str
     fields: dict[str, str]
     body: bytes
     address: str
-    at: float  # seconds of the loop, when its line had come
-    # when these bytes were seen to have come, read or not; as exact as the looks (`FakeServer.look`)
+    at: float  # when its line was complete, in seconds of the loop
+    # when these bytes were found to have arrived, read or not; as exact as the calls of `FakeServer.look`
     first_byte_s: float = 0.0
     last_byte_s: float = 0.0
 
@@ -41,12 +41,12 @@
 
 
 def hit(seen: Seen) -> tuple[str, bytes] | None:
-    """A copy that the store holds."""
+    """The answer with a cached copy."""
     return "served digest=aa,dated=1,remark=h", b"\x00bytes of " + seen.fields["thing"].encode()
 
 
 class FakeServer:
-    """One server. `seen` has every fetch in order; `counts` how often an id arrived at an address."""
+    """One server. `seen` has all requests in order; `counts` says how often an id arrived at an address."""
 
     def __init__(self, name: str, answer: Answer = hit) -> None:
         self.name = name
@@ -55,26 +55,27 @@
         self.counts: Counter[tuple[str, str]] = Counter()
         self.aborted: list[str] = []
         self.probed = 0
-        self.drop: Callable[[str], None] | None = None  # takes orders to drop copies, a line each
+        self.drop: Callable[[str], None] | None = None  # called with each line of an order to remove copies
         self._tasks: set[asyncio.Task[None]] = set()
         self._places: dict[str, ServedAddress] = {}
         self._folder: tempfile.TemporaryDirectory[str] | None = None
 
     def times(self, id_: str) -> int:
-        """How often an id arrived, over all addresses."""
+        """How often an id arrived, at all addresses together."""
         return sum(count for (seen, _), count in self.counts.items() if seen == id_)
 
     def accepted(self, address: str) -> int:
-        """Connections that an address has had so far."""
+        """The number of connections that an address has accepted so far."""
         return self._places[address].accepted
 
     def open(self, address: str) -> int:
-        """Connections open at an address now."""
+        """The number of open connections at an address."""
         return len(self._places[address].open)
 
     async def listen(self, family: Family, host: str = "", receive_buffer: int = 0) -> str:
-        """Opens one more address on a free port or a new socket file, and gives its text. `receive_buffer`:
-        bytes that the system takes while the server reads nothing; 0: the system's usual."""
+        """Opens a further address on a free port or a new socket file; returns its text.
+
+        `receive_buffer`: bytes that the kernel accepts while the server does not read; 0: the default."""
         if family is Family.UNIX:
             if self._folder is None:
                 self._folder = tempfile.TemporaryDirectory(prefix="gl")
@@ -92,7 +93,7 @@
         return address.text
 
     async def set(self, address: str, fault: Fault, drop: bool = True) -> None:
-        """From now on; with `drop` what is connected there is reset too."""
+        """Sets the fault of an address from now on. With `drop` its open connections are reset too."""
         place = self._places[address]
         if fault in UNIX_ONLY and place.address.family is not Family.UNIX:
             raise ValueError(f"{fault.value} is for Unix sockets")
@@ -105,22 +106,23 @@
             await self._listen(place)
 
     def look(self) -> None:
-        """Notes how much has come on each connection by now, read or not: `Seen.first_byte_s` and
-        `Seen.last_byte_s` go by these looks."""
+        """Records how many bytes have arrived on each connection, read or not.
+
+        `Seen.first_byte_s` and `Seen.last_byte_s` are as exact as these calls."""
         at = asyncio.get_running_loop().time()
         for place in self._places.values():
             for connection in place.open.values():
                 connection.look(at)
 
     def pause(self, address: str) -> None:
-        """From now on nothing is read there; what comes waits with the system."""
+        """Stops reading at an address; what arrives stays in the buffers of the kernel."""
         place = self._places[address]
         place.paused = True
         for connection in place.open.values():
             connection.pause()
 
     def resume(self, address: str) -> None:
-        """What waits is read, and what comes from now on."""
+        """Resumes reading at an address."""
         place = self._places[address]
         place.paused = False
         for connection in place.open.values():
@@ -193,7 +195,7 @@
     async def _read_request(
         self, place: ServedAddress, words: list[str], connection: Connection, first_byte_s: float
     ) -> Seen:
-        """Reads a request's body and records the request."""
+        """Reads the body of a request and records the request."""
         at = asyncio.get_running_loop().time()
         body = (await connection.reader.readexactly(int(words[3]) + 2))[:-2]
         connection.taken += len(body) + 2
@@ -206,7 +208,7 @@
         return seen
 
     def _handle_request(self, place: ServedAddress, seen: Seen, writer: asyncio.StreamWriter) -> None:
-        """Answers a request, or does what the fault of this address makes of it."""
+        """Answers a request, or applies the fault of this address."""
         fault = place.fault
         if fault is Fault.RESET_ON_REQUEST:
             reset(writer)
@@ -218,7 +220,7 @@
             said = self.answer(seen)
             if said is None or isinstance(said, tuple):
                 self._write_answer(seen, said, fault, writer)
-            else:  # others on the connection do not wait for it
+            else:  # without blocking others on the connection
                 task = asyncio.ensure_future(self._write_answer_later(seen, said, fault, writer))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
--- a/gladelane/lab/fake_server_address.py
+++ b/gladelane/lab/fake_server_address.py
@@ -1,4 +1,4 @@
-"""One address of a fake server: its listener, and the faults that it may have."""
+"""One address of a fake server: its listener and its possible faults."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from ..endpoints.address import Address, Family
 from .fake_server_connection import Connection
 
-MAX_FILL_DIALS = 64  # that a listener without a backlog must swallow at the most before it drops
+MAX_FILL_DIALS = 64  # a listener without a backlog accepts at most so many connections before it drops
 BACKLOG = 512
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 class Fault(Enum):
-    """What an address does to who dials it. The values are the words of reports."""
+    """What a connection attempt to an address meets. The values are used in reports."""
 
     NONE = "none"
-    REFUSED = "refused"  # of a Unix socket: a stale file
-    BLACK_HOLE = "black hole"  # packets are dropped; of a Unix socket: the backlog is full
+    REFUSED = "refused"  # for a Unix socket: a stale file
+    BLACK_HOLE = "black hole"  # packets are dropped; for a Unix socket: the backlog is full
     RESET_ON_ACCEPT = "reset on accept"
     CLOSED_ON_ACCEPT = "closed on accept"
     LATE = "accepted late"
@@ -43,20 +43,20 @@
 
 
 class ServedAddress:
-    """`open` has the connections by their writers; `accepted` counts all there were."""
+    """`open` has the open connections by their writers; `accepted` is the number of all so far."""
 
     def __init__(self, address: Address, receive_buffer: int = 0) -> None:
         self.address = address
         self.fault = Fault.NONE
         self.server: asyncio.Server | None = None
-        self.hole: list[socket.socket] = []  # of a black hole: the listener, and what fills its backlog
+        self.hole: list[socket.socket] = []  # for a black hole: the listener and its backlog
         self.open: dict[asyncio.StreamWriter, Connection] = {}
         self.accepted = 0
         self.paused = False
         self.receive_buffer = receive_buffer
 
     async def listen(self, serve: Serve) -> None:
-        """Binds the address as its fault says; `serve` is called for each connection. Raises OSError."""
+        """Binds the address according to its fault; `serve` is called for each connection. Raises OSError."""
         fault, path = self.fault, Path(self.address.host)
         if fault is Fault.MISSING:
             return
@@ -67,7 +67,7 @@
         if self.receive_buffer:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, self.receive_buffer)
         if fault is Fault.REFUSED:
-            sock.close()  # a Unix socket's file stays behind: stale
+            sock.close()  # the file of a Unix socket remains, stale
             return
         if fault is Fault.BLACK_HOLE:
             self.hole = [sock]
@@ -82,7 +82,7 @@
         if self.server is not None:
             self.server.close()
             self.server = None
-            await asyncio.sleep(0)  # the loop closes a listener a turn later
+            await asyncio.sleep(0)  # the loop closes a listener in its next iteration
         for sock in self.hole:
             sock.close()
         self.hole = []
@@ -100,9 +100,9 @@
 
 
 async def _fill_backlog(sock: socket.socket, opened: list[socket.socket], family: Family) -> None:
-    """A listener that accepts nobody and whose backlog is full drops what comes, as a bad link does.
+    """Fills the backlog of a listener that never accepts, so that it drops further connection attempts.
 
-    Sockets that were dialled to fill it are added to `opened`. Raises RuntimeError.
+    The sockets that fill it are added to `opened`. Raises RuntimeError if it does not become full.
     """
     sock.listen(0)
     for _ in range(MAX_FILL_DIALS):
@@ -115,6 +115,6 @@
         await asyncio.sleep(0.005)
         try:
             filler.getpeername()
-        except OSError:  # still on its way: the backlog is full
+        except OSError:  # still connecting: the backlog is full
             return
     raise RuntimeError("the backlog never filled")
--- a/gladelane/lab/processes.py
+++ b/gladelane/lab/processes.py
@@ -1,5 +1,6 @@
-"""The real processes of one director, oldest first, as the platform starts them beside each other; clients
-that ask all the while and count what was not answered."""
+"""The real processes of one director, and clients that send requests all the time and count failures.
+
+At a hot restart the platform starts a new process beside the older ones."""
 
 from __future__ import annotations
 
@@ -20,13 +21,13 @@
 
 ROOT = Path(__file__).parent.parent.parent
 START_S = 20.0
-PORTS = range(20_000, 32_000)  # the system gives 32768 and up to connections on their way out
+PORTS = range(20_000, 32_000)  # below the ephemeral ports of the kernel (32768 and up)
 CALL_S = 5.0
 
 
 def free_port() -> int:
-    """Below those that the system gives to connections on their way out: between this look and the moment in
-    which a process listens there, one of them would take the port. Raises OSError where none is free."""
+    """A free port below the ephemeral ports: an outgoing connection could take one of those before a process
+    listens there. Raises OSError if none is free."""
     for port in SystemRandom().sample(PORTS, 100):
         with suppress(OSError), socket.create_server(("127.0.0.1", port)):
             return port
@@ -38,8 +39,10 @@
 
 
 class Processes:
-    """Each gets a file, a log and an operators' address of its own; the folder is what they share.
-    `environment` holds variables beside those that every process is started with."""
+    """The processes, oldest first. Each has its own configuration file, log and admin address; they share a
+    folder.
+
+    `environment`: variables in addition to those that each process gets."""
 
     def __init__(
         self, folder: Path, raw: Mapping[str, Any], environment: Mapping[str, str] | None = None
@@ -53,8 +56,10 @@
     async def start(
         self, descriptors: int = 0, program: Path = ROOT, **changes: Any
     ) -> asyncio.subprocess.Process:
-        """`descriptors`: the limit on them (RLIMIT_NOFILE), 0 for that of this process. `program`: the
-        checkout that is started. `changes` are to its file."""
+        """Starts a further process. `descriptors`: its limit (RLIMIT_NOFILE), 0 for the limit of this
+        process.
+
+        `program`: the checkout that is started. `changes`: changes to its configuration."""
         self.ops.append(free_port())
         path = self.folder / f"config{len(self.ops)}.json"
         path.write_text(json.dumps({**self.raw, **changes}))
@@ -76,11 +81,11 @@
         return process
 
     def log(self, number: int = -1) -> str:
-        """What a process has logged so far."""
+        """The log of a process so far."""
         return (self.folder / f"log{range(1, len(self.ops) + 1)[number]}").read_text()
 
     async def call(self, method: str, target: str, number: int = -1) -> tuple[int, str]:
-        """Status and text; 0 where nobody answers."""
+        """Calls the admin endpoint; returns status and text, status 0 if there is no answer."""
         try:
             async with asyncio.timeout(CALL_S):
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.ops[number])
@@ -94,7 +99,7 @@
             return 0, ""
 
     async def serving(self, number: int = -1) -> None:
-        """Raises RuntimeError with the log where the process ends instead."""
+        """Waits until a process serves. Raises RuntimeError with its log if it ends instead."""
         async with asyncio.timeout(START_S):
             while (await self.call("GET", "/healthcheck", number))[0] != 200:
                 if self.all[number].returncode is not None:
@@ -102,7 +107,7 @@
                 await asyncio.sleep(0.02)
 
     async def figures(self, number: int = -1) -> dict[str, int]:
-        """The metrics of a process, by name without their prefix; empty where nobody answers."""
+        """The metrics of a process by name without prefix; empty if there is no answer."""
         lines = (await self.call("GET", "/stats", number))[1].splitlines()
         pairs = (line.removeprefix("director.").partition("=") for line in lines)
         return {name: int(value) for name, _, value in pairs}
@@ -127,11 +132,12 @@
 
 
 class Load:
-    """Clients that keep their connections until they are told to go, others that take a new one each time.
+    """Clients that reuse their connections until the director closes them, and others that use a new one
+    each time.
 
-    `lost`: a request on a new connection that got no answer, or a failure. `refused`: one turned away, as a
-    director does that is behind. `crossed`: one that met the close of a kept connection and was asked again,
-    as the protocol lets clients do.
+    `lost`: requests on new connections without an answer, or with a failure. `refused`: rejected requests,
+    as of an overloaded director. `crossed`: requests that crossed the close of a reused connection and were
+    retried, as the protocol allows.
     """
 
     def __init__(self, port: int, clients: int = 8, classes: tuple[str, ...] = ("film",)) -> None:
@@ -180,7 +186,7 @@
             client = None
 
     async def stop(self) -> None:
-        """Breaks off all requests."""
+        """Cancels all requests."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
