--- a/gladelane/lab/losses.py
+++ b/gladelane/lab/losses.py
@@ -1,10 +1,10 @@
-"""Low watermarks as a state machine for `lab.modelcheck`: two control servers and a director in all
-interleavings of purges, losses of disks, older disks, restarts, replication and attestation, on
-the product's own decisions (`purges/low_watermark.py`).
+"""Low watermarks as a state machine for `lab.modelcheck`, with the decisions of `purges.low_watermark`.
 
-The invariant: a director that follows a server and whose watermark is at 0 knows every purge that
-was answered, and one whose watermark is at T knows every answered purge from T on.
-`Plant` names faults that must be found.
+Two control servers and a director, in all interleavings of purges, losses of disks, restored older disks,
+restarts, replication and attestation.
+
+The invariant: a subscribed director with watermark T knows every acknowledged purge from T on, and with
+watermark 0 every acknowledged purge. `Plant` names faults that the search must find.
 """
 
 from __future__ import annotations
@@ -25,47 +25,47 @@
 )
 from ..purges.low_watermark import SEEN_BY_DIRECTOR, Loss, LowWatermark
 
-RETENTION_MS = 1e6  # a retention that the search does not reach
+RETENTION_MS = 1e6  # longer than any run of the search
 NAMES = ("a", "b")
 
 
 class Plant(Enum):
-    """Faults that the search has to find."""
+    """Planted faults that the search has to find."""
 
     NONE = auto()
-    FIRST_START = auto()  # an empty folder counts as a first start
-    SNAPSHOT_FORGETS = auto()  # losses are left out of what a restart finds
-    NEWER = auto()  # a join keeps the newest loss alone
-    SEED_LOWERS = auto()  # a director's seed closes the server's loss
-    ONE_COPY = auto()  # peers attest though purges are answered at once
-    EACH_OTHER = auto()  # two servers that both lost attest for one another
+    FIRST_START = auto()  # an empty folder is taken for a first start
+    SNAPSHOT_FORGETS = auto()  # losses are missing from the snapshot that a restart reads
+    NEWER = auto()  # merging keeps only the newest loss
+    SEED_LOWERS = auto()  # a backfill from a director closes the server's loss
+    ONE_COPY = auto()  # peers attest although purges are acknowledged before replication
+    EACH_OTHER = auto()  # two servers that both had losses attest for each other
 
 
 @dataclass
 class ServerState:
-    """One control server: what it knows, what it stored, and what it believes lost."""
+    """One control server: the purges that it knows and has stored, and its known losses."""
 
     name: str
     epoch: int = 1
-    known: frozenset[tuple[str, int, int]] = frozenset()  # issuer, epoch, moment, which is its number too
+    known: frozenset[tuple[str, int, int]] = frozenset()  # issuer, epoch, and time, which is also the number
     stored: frozenset[tuple[str, int, int]] = frozenset()
-    older: frozenset[tuple[str, int, int]] = frozenset()  # what a copy of the folder would bring back
+    older: frozenset[tuple[str, int, int]] = frozenset()  # the content of an older copy of the folder
     older_epoch: int = 0
     had: frozenset[tuple[str, int, int]] = frozenset()
     losses: tuple[Loss, ...] = ()
     persisted: tuple[Loss, ...] = ()
-    heard: bool = False  # the other's state, since the start
+    heard: bool = False  # whether it got the state of the other server since its start
 
 
 @dataclass
 class World:
-    """copies: servers that store a purge before it is answered."""
+    """A state of the model. `copies`: the number of servers that store a purge before it is acknowledged."""
 
     copies: int
     marks: bool
     plant: Plant = Plant.NONE
     now: int = 1
-    losses: int = 0  # that happened; bounded
+    losses: int = 0  # the number of losses so far, which is bounded
     servers: dict[str, ServerState] = field(default_factory=lambda: {n: ServerState(n) for n in NAMES})
     answered: frozenset[tuple[str, int, int]] = frozenset()
     mark: dict[str, tuple[int, int]] = field(default_factory=lambda: {n: (1, 0) for n in NAMES})
@@ -74,7 +74,7 @@
     caught: bool = True
 
     def copy(self) -> World:
-        """A state that can be changed without changing this one."""
+        """A copy that shares no mutable state."""
         return replace(
             self,
             servers={name: replace(server) for name, server in self.servers.items()},
@@ -82,7 +82,7 @@
         )
 
     def key(self) -> object:
-        """What two states have in common when they are the same."""
+        """Identifies the state: states with the same key behave alike."""
         servers = tuple(
             (f.epoch, f.known, f.stored, f.older, f.older_epoch, f.had, f.losses, f.persisted, f.heard)
             for f in self.servers.values()
@@ -100,7 +100,7 @@
 
 
 def merged(one: tuple[Loss, ...], announced: tuple[Loss, ...], plant: Plant) -> tuple[Loss, ...]:
-    """What a server knows of losses after another has announced its own."""
+    """The known losses of a server after another one has announced its losses."""
     if plant is Plant.NEWER:
         return merged(one, announced, Plant.NONE)[-1:]
     if one == announced or not announced:
@@ -112,7 +112,7 @@
 
 
 def positions(known: frozenset[tuple[str, int, int]]) -> dict[tuple[str, int], int]:
-    """The last number known of each issuer and epoch."""
+    """The last known number of each issuer and epoch."""
     reached: dict[tuple[str, int], int] = {}
     for issuer, epoch, number in known:
         reached[issuer, epoch] = max(reached.get((issuer, epoch), 0), number)
@@ -120,14 +120,16 @@
 
 
 def open_losses(losses: tuple[Loss, ...], name: str = "") -> list[Loss]:
-    """Losses that nobody has attested to be complete; of one issuer if it is named."""
+    """Losses that nobody has attested to be repaired; if an issuer is named, only of this one."""
     watermark = LowWatermark()
     watermark.merge(losses, 0.0)
     return watermark.open_losses(name)
 
 
 def steps(world: World, most: int = 4, losses: int = 2) -> Iterator[tuple[str, World]]:
-    """What can happen next, by name. Purges stop at moment `most`, at most `losses` folders are lost."""
+    """Every event that is possible in a state, with the state after it.
+
+    Purges stop at time `most`; at most `losses` folders are lost."""
     for name in NAMES:
         other = NAMES[1 - NAMES.index(name)]
         if world.now < most:
@@ -153,12 +155,12 @@
 
 
 def has_all(known: frozenset[tuple[str, int, int]], other: frozenset[tuple[str, int, int]]) -> bool:
-    """Whether all of `other` is known."""
+    """Whether `known` contains all of `other`."""
     return other <= known
 
 
 def _purge(world: World, name: str, other: str) -> World:
-    """Answered once `copies` servers have it; with two it goes to both, whoever hears of it first."""
+    """A purge is acknowledged once `copies` servers have it; with two, both get it at once."""
     then = world.copy()
     then.now += 1
     server = then.servers[name]
@@ -232,8 +234,10 @@
 
 
 def _attest(world: World, name: str) -> World:
-    """Operators tell the truth: nothing that anyone answered for is missing here. A word about one issuer
-    alone would not do, as this search found: the folder also held the copies that others rely on."""
+    """An operator attests that no acknowledged purge is missing here; attestations are assumed to be true.
+
+    An attestation for one issuer is not enough, as this search found: the folder also had the copies on which
+    other servers rely."""
     then = world.copy()
     server = then.servers[name]
     closed = [msgspec.structs.replace(loss, since_ms=0.0, by="ops") for loss in open_losses(server.losses)]
@@ -265,14 +269,16 @@
 
 
 def broken(world: World) -> str | None:
-    """What a director would wrongly take for known, having heard all servers; None: nothing. A purge that
-    reached no server it has heard yet is the link's matter, so only what no server holds any more counts."""
+    """How a director would wrongly assume that it knows all purges; None if it would not.
+
+    Only purges that no server has any more count: one that is still to be sent is the responsibility of the
+    connection."""
     if not world.caught:
         return None
     since = max((loss.since_ms for loss in world.director_losses), default=0.0)
     surviving = world.director.union(*(server.known for server in world.servers.values()))
     announced = all(
         set(server.losses) <= set(world.director_losses) for server in world.servers.values()
-    )  # losses on their way are the link's matter as well
+    )  # the connection is also responsible for losses in flight
     missing = [purge for purge in world.answered - surviving if purge[2] >= since]
     return f"horizon {since:.0f}, but nobody knows {missing[0]}" if missing and announced else None
--- a/gladelane/lab/modelcheck.py
+++ b/gladelane/lab/modelcheck.py
@@ -1,8 +1,7 @@
-"""Explicit-state search: every state that a machine can reach, each invariant checked where the state
-changes.
+"""Explicit-state model checker: visits every reachable state of a state machine and checks an invariant.
 
-Breadth first, so that a violation comes with one of the shortest ways to it (as in Holzmann, The SPIN Model
-Checker, chapter 8). States are told apart by a key; machines are copied, never undone.
+The search is breadth first, so that a violation is reported with a shortest path (as in Holzmann, The SPIN
+Model Checker, chapter 8). States are distinguished by a key. Machines are copied before each step.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 
 
 class InvariantViolationError(AssertionError):
-    """An invariant does not hold. `path` has the events that lead there, first to last."""
+    """An invariant does not hold. `path` has the events that lead to the state, first to last."""
 
     def __init__(self, what: str, path: tuple[str, ...]) -> None:
         super().__init__(f"{what}; after {' -> '.join(path) or 'the start'}")
@@ -25,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Found:
-    """How much was searched: distinct states, steps between them, states without a further step."""
+    """The extent of a search: distinct states, steps between them, and states without a further step."""
 
     states: int
     steps: int
@@ -39,10 +38,10 @@
     invariant: Callable[[State], str | None],
     most: int = 5_000_000,
 ) -> Found:
-    """Raises InvariantViolationError at the first state for which `invariant` says what is wrong, and
-    OverflowError past `most` states.
+    """Visits all states. Raises InvariantViolationError at the first state for which `invariant` returns a
+    text, and OverflowError beyond `most` states.
 
-    A machine's own assertions count: one that is raised while a state is stepped is a violation there."""
+    An assertion that a machine raises during a step counts as a violation too."""
     visited = _Visited(key, invariant, most)
     steps = ends = 0
     for number, state in enumerate(start):
@@ -66,7 +65,7 @@
 
 
 class _Visited(Generic[State]):
-    """The states that were reached, the event that reached each first, and those still to be stepped."""
+    """The visited states, the event by which each was first reached, and the states still to be expanded."""
 
     def __init__(
         self,
@@ -75,7 +74,7 @@
         most: int,
     ) -> None:
         self._key, self._invariant, self._most = key, invariant, most
-        self.reached_by: dict[Hashable, tuple[Hashable | None, str]] = {}  # the state before, and the event
+        self.reached_by: dict[Hashable, tuple[Hashable | None, str]] = {}  # the previous state, and the event
         self.queue: deque[tuple[Hashable, State]] = deque()
 
     def path_to(self, name: Hashable | None) -> tuple[str, ...]:
@@ -87,7 +86,7 @@
         return tuple(reversed(events))
 
     def add(self, state: State, before: Hashable | None, event: str) -> None:
-        """Checks and queues a state that is new. Raises InvariantViolationError, OverflowError."""
+        """Checks a state and queues it if it is new. Raises InvariantViolationError, OverflowError."""
         name = self._key(state)
         if name in self.reached_by:
             return
--- a/gladelane/lab/preload/clock.py
+++ b/gladelane/lab/preload/clock.py
@@ -10,7 +10,7 @@
 
 ENVIRONMENT = "GLADELANE_CLOCK_FILE"
 NS_PER_MS = 1_000_000
-_FORM = struct.Struct("=qq")  # shift in ns, count of shifted readings
+_FORM = struct.Struct("=qq")  # shift in ns, number of shifted readings
 _READINGS_AT = 8
 
 
@@ -18,7 +18,7 @@
     """One wall clock, shared by all processes that were started with its `environment`."""
 
     def __init__(self, folder: Path) -> None:
-        """Compiles the library into `folder`. Raises as `compile_library`."""
+        """Compiles the library into `folder`. Raises what `compile_library` raises."""
         self._path = folder / "clock"
         self._path.write_bytes(_FORM.pack(0, 0))
         self._library = compile_library("clock", folder)
@@ -27,25 +27,25 @@
 
     @property
     def environment(self) -> dict[str, str]:
-        """What a process is to be started with."""
+        """The environment variables for a process."""
         return {"LD_PRELOAD": str(self._library), ENVIRONMENT: str(self._path)}
 
     @property
     def shift_ms(self) -> float:
-        """How far the processes' wall clock is from the machine's."""
+        """The difference between the wall clock of the processes and that of the machine."""
         return float(_FORM.unpack(self._shared)[0]) / NS_PER_MS
 
     @property
     def readings(self) -> int:
-        """How often a process has read a shifted wall clock since the last step."""
+        """The number of readings of the shifted wall clock since the last step."""
         return int(_FORM.unpack(self._shared)[1])
 
     def step(self, by_ms: float) -> None:
-        """Steps the wall clock, on from where it stands; the readings count from 0 again."""
+        """Steps the wall clock relative to its present shift, and resets the number of readings."""
         shift_ns = int((self.shift_ms + by_ms) * NS_PER_MS)
         self._shared[:_READINGS_AT] = struct.pack("=q", shift_ns)
         self._shared[_READINGS_AT:] = struct.pack("=q", 0)
 
     def close(self) -> None:
-        """Lets go of the control file; processes keep the shift that they have."""
+        """Closes the control file. Processes keep their present shift."""
         self._shared.close()
--- a/gladelane/lab/preload/syscalls.py
+++ b/gladelane/lab/preload/syscalls.py
@@ -5,8 +5,8 @@
     with faults.injecting(Fault(Call.CONNECT, errno.EADDRNOTAVAIL, rate=0.5)):
         ...  # calls fail meanwhile
 
-A span in which nothing was injected raises NothingInjectedError: a test of a fault that never came proves
-nothing. Several processes may share one control file; they then share faults and counts.
+If no fault was injected in such a block it raises NothingInjectedError, because a test without the fault
+proves nothing. Several processes may share a control file; they then share faults and counts.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 VARIABLE = "GLADELANE_FAULTS"
 VERSION = 2
-SHORT = 0  # in place of an errno: a transfer of one byte
+SHORT = 0  # instead of an errno: transfers one byte only
 RATE_UNITS = 2**32
 UNBOUNDED = -1
 _HEADER = struct.Struct("=II")
@@ -56,19 +56,19 @@
 
 
 class Scope(IntFlag):
-    """What a descriptor has to be for a fault to reach it."""
+    """Conditions on the descriptors that a fault affects."""
 
     ANY = 0
     TCP = 1
     UNIX = 2
     FILE = 4
     ACCEPTED = 8  # TCP connections that the process accepted
-    CONNECTED = 16  # and those that it dialled
-    UNIX_PEER = 32  # Unix sockets that it accepted or dialled
+    CONNECTED = 16  # TCP connections that the process opened
+    UNIX_PEER = 32  # Unix sockets that it accepted or opened
 
 
 class NothingInjectedError(AssertionError):
-    """A span with a fault ended and no call had failed by it."""
+    """A block with a fault ended, and the fault had affected no call."""
 
     def __init__(self, fault: Fault, made: int) -> None:
         super().__init__(f"{fault} was injected into none of {made} calls")
@@ -77,11 +77,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """How a kind of call fails while this is on.
+    """How a kind of system call fails while the fault is active.
 
-    `error` is an errno or SHORT, `rate` the share of calls that are disturbed, and `most` bounds how many
-    are. `port` is that of a listener, which what it accepted shares, or the one that was dialled; 0: any. The
-    same seed disturbs the same calls by number.
+    `error` is an errno or SHORT, `rate` the share of affected calls, and `most` the limit of their number.
+    `port` is that of a listener and its accepted connections, or the remote port of an opened connection;
+    0: any. The same seed affects the same calls by number.
     """
 
     call: Call
@@ -101,8 +101,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Counts:
-    """`made`: calls in scope since a fault was switched on; `injected`: of those that it disturbed;
-    `reached`: all calls of the kind that came by the library since the process started."""
+    """Numbers of calls. `made`: in scope since the fault was activated; `injected`: those that it affected.
+
+    `reached`: all calls of the kind that the library saw since the process started."""
 
     made: int
     injected: int
@@ -121,19 +122,19 @@
 
     @classmethod
     def create(cls, folder: Path) -> SystemCallFaults:
-        """Compiles the library into `folder`. Raises FileNotFoundError where the machine has no compiler."""
+        """Compiles the library into `folder`. Raises FileNotFoundError if there is no compiler."""
         return cls(compile_library("syscalls", folder), folder / "faults")
 
     def environment(self) -> dict[str, str]:
-        """What a process is to be started with."""
+        """The environment variables for a process."""
         return {"LD_PRELOAD": str(self._library), VARIABLE: str(self._path)}
 
     def counts(self, call: Call) -> Counts:
-        """How many calls there were since the fault was switched on, and how many it disturbed."""
+        """The numbers of calls since the fault was activated."""
         return Counts(*_COUNTS.unpack_from(self._shared, self._offset(call) + _ORDER.size))
 
     def start(self, fault: Fault) -> None:
-        """From now on; a fault of the same call that was on is replaced. Counts begin anew."""
+        """Activates a fault; it replaces one of the same call. Counts start from 0."""
         self.stop(fault.call)
         offset = self._offset(fault.call)
         reached = self.counts(fault.call).reached
@@ -141,16 +142,16 @@
         rate = min(int(fault.rate * RATE_UNITS), RATE_UNITS - 1)
         order = _ORDER.pack(1, fault.error, rate, int(fault.scope), fault.port, 0, fault.seed, fault.most)
         self._shared[offset + 4 : offset + _ORDER.size] = order[4:]
-        self._shared[offset : offset + 4] = order[:4]  # last: the library reads this first
+        self._shared[offset : offset + 4] = order[:4]  # written last, because the library reads it first
 
     def stop(self, call: Call) -> None:
-        """Calls of this kind fail no more."""
+        """Deactivates the fault of this call."""
         offset = self._offset(call)
         self._shared[offset : offset + 4] = b"\0\0\0\0"
 
     @contextmanager
     def injecting(self, *faults: Fault) -> Iterator[None]:
-        """Raises NothingInjectedError at the end of a span in which one of them disturbed no call."""
+        """Activates the faults for a block. Raises NothingInjectedError if one of them affected no call."""
         for fault in faults:
             self.start(fault)
         try:
--- a/gladelane/lab/settings_draw.py
+++ b/gladelane/lab/settings_draw.py
@@ -1,4 +1,4 @@
-"""Random settings in the form of the wire, and the load of their classes."""
+"""Random settings in wire form, and the load of their classes."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 def draw_classes(draws: Draws) -> list[dict[str, Any]]:
-    """Rows of the wire's `classes`, with what it files elsewhere by class under `_own`."""
+    """The rows of `classes` in wire form; `_own` has values of a class that stand elsewhere on the wire."""
     return [_draw_class(draws, place) for place in range(draws.rng.randint(1, 5))]
 
 
 def _draw_class(draws: Draws, place: int) -> dict[str, Any]:
     rng = draws.rng
-    # the first is safe: a deployment of side effects alone keeps nothing anywhere
+    # the first class is safe: with side effects only, nothing would ever be cached
     effect = "retryable" if place == 0 else rng.choice(["retryable", "dedup", "fragile"])
     write = place > 0 and rng.random() < (0.1 if effect == "retryable" else 0.8)
     deadline = draws.between(400.0, 7000.0)
@@ -44,7 +44,7 @@
 
 
 def draw_loads(draws: Draws, classes: Sequence[Mapping[str, Any]], flow: float) -> tuple[ClassLoad, ...]:
-    """What each class is asked for; `flow` is KB a second of one transfer."""
+    """The load of each class. `flow`: rate of one transfer in KB per second."""
     rng = draws.rng
     raw = [draws.between(0.1, 1.0) for _ in classes]
     loads = []
@@ -67,7 +67,7 @@
     weights: str,
     inlets: Mapping[str, float],
 ) -> dict[str, Any]:
-    """The settings, all but the kinds of servers. Takes `_own` out of each row of `classes`."""
+    """The settings without the kinds of servers. Removes `_own` from each row of `classes`."""
     rng = draws.rng
     family = _draw_family(draws, zones, hubs, directors, classes, flow, inlets)
     reports = rng.choice(["inline", "on_probe", "off"])
--- a/gladelane/lab/simdisk.py
+++ b/gladelane/lab/simdisk.py
@@ -1,10 +1,10 @@
-"""A disk in memory that forgets as real ones do, fails when told to, and crashes at any chosen operation.
+"""A simulated disk in memory: loses unsynced data like a real one, and injects failures and crashes.
 
-What was appended reaches the platter with `sync`, what became of names with `sync_folder`; at a crash the
-rest is lost, kept, kept in part, or turned to other bytes, as the variant says. A sync that fails drops
-what it was asked to store: the process still reads it, and a later sync says yes without having stored it, as
-Linux does with pages whose write-back failed. Everything a program does to a disk is counted, so a test goes
-through all crash points and all faults instead of drawing some.
+Appended bytes become durable with `sync`, changes of names with `sync_folder`. At a crash all other data is
+lost, preserved, preserved in part or garbled, according to the variant. A failed sync discards the data it
+should have stored: the process still reads it, and a later sync succeeds without storing it, as Linux does
+with pages whose write-back failed. All disk operations are counted, so that a test covers every crash point
+and every fault instead of a random selection.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 
 
 class Crash(BaseException):
-    """The process died here. Not an Exception: nothing may catch it and go on."""
+    """The process crashes here. Not an Exception, so that no handler continues after it."""
 
 
 class Lost(Enum):
-    """What becomes of bytes that were written and not synced."""
+    """What a crash does to written but unsynced bytes."""
 
     ALL = "all"
     HALF = "half"
     NOTHING = "nothing"
-    GARBLED = "garbled"  # their place is there, their content is not
+    GARBLED = "garbled"  # the size is right, the content is not
 
 
 class Operation(Enum):
-    """What a program does to a disk. OPEN: an append to a file that is not there yet."""
+    """The operations of a program on a disk. OPEN: an append that creates its file."""
 
     OPEN = "open"
     APPEND = "append"
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """Operations that fail with an error number while they are counted from `first` to `last`."""
+    """Makes operations of a kind fail with an error number; `first` and `last` bound the affected numbers."""
 
     error: int
     operations: frozenset[Operation] = EVERY_OPERATION
@@ -54,12 +54,12 @@
     last: int = 1 << 60
 
     def strikes(self, operation: Operation, number: int) -> bool:
-        """Whether this operation, the `number`th in all, fails."""
+        """Whether this operation fails, which has this number among all operations."""
         return operation in self.operations and self.first <= number <= self.last
 
 
 class _File:
-    """One file whatever its name: as the process reads it, and as the platter has it for sure."""
+    """The content of a file, independent of its name: as the process reads it, and as it is durable."""
 
     def __init__(self, data: bytes = b"") -> None:
         self.now = self.platter = data
@@ -89,7 +89,7 @@
         self.drop()
 
     def drop(self) -> None:
-        """What is not stored by now never will be, unless it is written again."""
+        """Discards what is not durable: it never will be, unless it is written again."""
         self._dirty, self._resized = [], False
 
     def after_crash(self, lost: Lost) -> bytes:
@@ -111,9 +111,13 @@
 
 
 class SimDisk:
-    """crash_at: dies at this operation, counted from 1, before it takes effect, or for `append` in its
-    middle; 0: never. capacity_bytes: after which appends fail with ENOSPC, half written. fault: what else
-    fails; may be changed at any time."""
+    """A disk with its files.
+
+    - `crash_at`: crashes at this operation, counted from 1, before it takes effect, or for `append` in its
+      middle; 0: never.
+    - `capacity_bytes`: beyond it appends fail with ENOSPC, half written.
+    - `fault`: further failures; may be changed at any time.
+    """
 
     def __init__(self, crash_at: int = 0, capacity_bytes: int = 1 << 60, fault: Fault | None = None) -> None:
         self.crash_at = crash_at
@@ -121,24 +125,26 @@
         self.fault = fault
         self.operations = 0
         self._now: dict[str, _File] = {}  # by the name that the process sees
-        self._stored: dict[str, _File] = {}  # by the name that the platter has for sure
-        self._changed: set[str] = set()  # names that a `sync_folder` would store
+        self._stored: dict[str, _File] = {}  # by the durable name
+        self._changed: set[str] = set()  # names that `sync_folder` would make durable
 
     def put(self, name: str, data: bytes) -> None:
-        """A file that was stored before the program began."""
+        """Adds a file that was durable before the program started."""
         self._now[name] = self._stored[name] = _File(data)
 
     def after_crash(self, lost: Lost, names_survive: bool) -> SimDisk:
-        """The disk that a new process finds after a power cut. names_survive: changes of names came through
-        without sync_folder."""
+        """The disk that a new process finds after a power failure.
+
+        `names_survive`: changes of names became durable without `sync_folder`."""
         disk = SimDisk()
         for name, file in (self._now if names_survive else self._stored).items():
             disk.put(name, file.after_crash(lost))
         return disk
 
     def after_kill(self) -> SimDisk:
-        """The disk that a new process finds when the process alone died: the system still has all that was
-        written, and still owes the platter what was not synced."""
+        """The disk that a new process finds when only the process crashed.
+
+        The operating system still has everything that was written, but unsynced data is not durable yet."""
         disk = SimDisk()
         copies = {id(file): file.copy() for file in (*self._now.values(), *self._stored.values())}
         disk._now = {name: copies[id(file)] for name, file in self._now.items()}
@@ -147,7 +153,7 @@
         return disk
 
     def copy(self) -> SimDisk:
-        """As it is now, for a start that finds an older disk than the one it left."""
+        """A copy of the present state, for a restart that finds an older disk than the process left."""
         return self.after_crash(Lost.NOTHING, names_survive=True)
 
     def _step(self, operation: Operation) -> None:
@@ -165,15 +171,15 @@
         raise OSError(self.fault.error, os.strerror(self.fault.error))
 
     def names(self) -> list[str]:
-        """The files, as the process sees them."""
+        """The names of the files, as the process sees them."""
         return sorted(self._now)
 
     def read(self, name: str) -> bytes:
-        """What the process sees of a file. Raises KeyError where there is none."""
+        """The content of a file, as the process sees it. Raises KeyError if there is none."""
         return self._now[name].now
 
     def append(self, name: str, data: bytes) -> None:
-        """Raises Crash, and OSError where the disk is full or a fault strikes."""
+        """Appends to a file. Raises Crash, and OSError if the disk is full or the fault applies."""
         self.operations += 1
         used = sum(len(file.now) for file in self._now.values())
         if name not in self._now and self.operations != self.crash_at and self._struck(Operation.OPEN):
@@ -196,16 +202,16 @@
         return self._now[name]
 
     def size(self, name: str) -> int:
-        """Bytes of a file. Raises KeyError where there is none."""
+        """The size of a file in bytes. Raises KeyError if there is none."""
         return len(self._now[name].now)
 
     def truncate(self, name: str, size: int) -> None:
-        """Cuts a file to `size` bytes. Raises Crash, OSError."""
+        """Truncates a file to `size` bytes. Raises Crash, OSError."""
         self._step(Operation.TRUNCATE)
         self._open(name).truncate(size)
 
     def sync(self, name: str) -> None:
-        """Stores what a file holds. Raises Crash, OSError."""
+        """Makes the content of a file durable. Raises Crash, OSError."""
         self.operations += 1
         if self.operations == self.crash_at:
             raise Crash
@@ -215,13 +221,13 @@
         self._now[name].sync()
 
     def replace(self, name: str, to: str) -> None:
-        """Gives a file another name, in place of what had it. Raises Crash, OSError."""
+        """Renames a file, replacing a file of the new name. Raises Crash, OSError."""
         self._step(Operation.REPLACE)
         self._now[to] = self._now.pop(name)
         self._changed.update((name, to))
 
     def remove(self, name: str) -> None:
-        """Raises Crash, and OSError where there is no such file or a fault strikes."""
+        """Removes a file. Raises Crash, and OSError if there is no such file or the fault applies."""
         self._step(Operation.REMOVE)
         if name not in self._now:
             raise FileNotFoundError(errno.ENOENT, "No such file", name)
@@ -229,7 +235,7 @@
         self._changed.add(name)
 
     def sync_folder(self) -> None:
-        """Stores the names of files. Raises Crash, OSError."""
+        """Makes the names of files durable. Raises Crash, OSError."""
         self.operations += 1
         if self.operations == self.crash_at:
             raise Crash
@@ -244,5 +250,5 @@
         self._changed.clear()
 
     def close(self) -> None:
-        """Nothing: the files are in memory."""
+        """No effect: the files are in memory."""
         pass
--- a/gladelane/lab/view_leases.py
+++ b/gladelane/lab/view_leases.py
@@ -1,14 +1,16 @@
-"""View leases and the lag monitor as state machines for `lab.modelcheck`, on the product's own decisions
-(`audit.view_lease`, `audit.lag_monitor`).
+"""View leases and the lag monitor as state machines for `lab.modelcheck`.
 
-The lease: a director asks, a control server answers, answers arrive late or never, the process sleeps, and
-its wall clock is set back. An attempt is decided at one moment and its first byte leaves at a later one. The
-invariant: no byte leaves after the moment up to which the server assumes the lease to last, counted from its
-own answer.
+The decisions are those of `audit.view_lease` and `audit.lag_monitor`.
 
-Escalation: three directors in two zones report to a monitor or do not, and learn of a purge and a new list or
-do not. The invariants: the share, the last director of a zone, faults of the source, and that no director
-that lacks nothing stays restricted. `Plant` names faults that the search must find.
+The lease: a director sends requests for renewal, a control server replies, replies arrive late or never, the
+process is suspended, and its wall clock is set back. An attempt is decided at one time and its first byte
+is sent at a later one. The invariant: no byte is sent after the expiry that the server assumes, counted
+from its reply.
+
+The escalation: three directors in two zones may report to a monitor, and may be notified of a purge and of
+a new list. The invariants concern the share of restricted directors, the last director of a zone, faults of
+the source, and that no director which lacks nothing stays restricted. `Plant` names faults that the search
+must find.
 """
 
 from __future__ import annotations
@@ -31,20 +33,20 @@
 
 
 class Plant(Enum):
-    """Faults that the searches have to find."""
+    """Planted faults that the searches have to find."""
 
     NONE = auto()
     # of the lease
-    WALL = auto()  # counted on a clock that steps
-    FROM_ANSWER = auto()  # counted from when the answer came
-    BY_REPORT = auto()  # renewed by asking
-    NO_RECHECK = auto()  # looked at when an attempt is decided, not at its first byte
+    WALL = auto()  # the lease is measured with a clock that is stepped
+    FROM_ANSWER = auto()  # the lease is counted from the arrival of the reply
+    BY_REPORT = auto()  # the request already renews the lease
+    NO_RECHECK = auto()  # the lease is checked when an attempt is decided, not at its first byte
     # of the escalation
     NO_SHARE = auto()
-    NO_LAST = auto()  # the last of a zone is quarantined like any other
-    NO_SOURCE = auto()  # what most lack is held against each
+    NO_LAST = auto()  # the last director of a zone may be quarantined
+    NO_SOURCE = auto()  # what a majority lacks counts against each director
     NEVER_BACK = auto()
-    APART = auto()  # who is ahead of the feed counts as behind
+    APART = auto()  # a director ahead of the purge log server counts as lagging
 
 
 LEASE_PLANTS = (Plant.WALL, Plant.FROM_ANSWER, Plant.BY_REPORT, Plant.NO_RECHECK)
@@ -56,9 +58,15 @@
 
 @dataclass
 class Holder:
-    """Ticks. wall: the wall clock is so far behind; asked: questions on their way, by when they were sent;
-    answers: likewise, with when the server answered; over: up to when the server assumes the lease to last;
-    decided: an attempt that waits for its connection."""
+    """A state of the lease. All times are in ticks.
+
+    - `wall`: by how much the wall clock was set back.
+    - `until`: when the lease of the director expires.
+    - `over`: when the lease expires by the assumption of the server.
+    - `asked`: requests in flight, by when they were sent.
+    - `answers`: replies in flight, by when the request was sent and when the server replied.
+    - `decided`: whether an attempt is waiting for its connection.
+    """
 
     plant: Plant = Plant.NONE
     now: int = 0
@@ -68,10 +76,10 @@
     asked: frozenset[int] = frozenset()
     answers: frozenset[tuple[int, int]] = frozenset()
     decided: bool = False
-    acted: bool = False  # just now
+    acted: bool = False  # a byte was sent in this step
 
     def key(self) -> object:
-        """What two states have in common when they are the same."""
+        """Identifies the state: states with the same key behave alike."""
         return (
             self.now,
             self.wall,
@@ -84,28 +92,28 @@
         )
 
     def clock(self) -> int:
-        """The clock by which the director counts its lease, in ticks."""
+        """The clock with which the director measures its lease, in ticks."""
         return self.now - (self.wall - 10 if self.plant is Plant.WALL else 0)
 
     def lease(self) -> ViewLease:
-        """The lease as the director has it."""
+        """The lease of the director."""
         lease = ViewLease()
         lease.expires_ms = self.until * TICK_MS
         return lease
 
     def granted(self, asked: int) -> int:
-        """The tick at which a lease ends whose question was sent at tick `asked`."""
+        """The tick at which a lease expires that was requested at tick `asked`."""
         lease = self.lease()
         lease.renew(asked * TICK_MS, LENGTH * TICK_MS)
-        return int(-(-lease.expires_ms // TICK_MS))  # up: a tick that has begun
+        return int(-(-lease.expires_ms // TICK_MS))  # rounded up: a started tick counts
 
     def may(self) -> bool:
-        """Whether the director may send now, by its own clock."""
+        """Whether the director may send now, according to its own clock."""
         return self.lease().permits(False, self.clock() * TICK_MS)
 
 
 def holder_steps(one: Holder, most: int = 6) -> Iterator[tuple[str, Holder]]:
-    """What can happen next, by name, up to tick `most`."""
+    """Every event that is possible in a state, with the state after it, up to tick `most`."""
     if one.acted:
         one = replace(one, acted=False)
     if one.now < most:
@@ -136,7 +144,7 @@
 
 
 def holder_broken(one: Holder) -> str | None:
-    """How the invariant is violated, or None."""
+    """How a state violates the invariant, or None."""
     if one.acted and one.now >= one.over:
         return f"acts at {one.now}, its lease expired at {one.over}"
     return None
@@ -151,10 +159,12 @@
 
 
 class _Planted(LagMonitor):
+    """The monitor with a planted fault."""
+
     plant = Plant.NONE
 
     def copy(self) -> _Planted:
-        """As deep as a search changes it."""
+        """A copy, as deep as a search modifies it."""
         other, versions = copy.copy(self), copy.copy(self.versions)
         other._directors = {name: copy.copy(state) for name, state in self._directors.items()}
         other.versions = versions
@@ -170,7 +180,7 @@
 
     def _look(self, now_ms: float, force: bool = False) -> None:
         del force
-        super()._look(now_ms, True)  # here all reports of a step have one moment
+        super()._look(now_ms, True)  # all reports of a step have the same time here
         if self.plant is Plant.NO_SOURCE:
             self.lacked_by_most = {}
 
@@ -187,9 +197,14 @@
 
 @dataclass
 class Scene:
-    """has: what each director has heard; announced: what is there to hear, by when; well: how many reports in
-    a row a director lacked nothing. elsewhere: the other server has the purge, so directors may know more
-    than this one."""
+    """A state of the escalation.
+
+    - `announced`: what directors should have been notified of, by when it was announced.
+    - `has`: what each director has been notified of.
+    - `heard`: when each director reported last.
+    - `well`: the number of successive reports in which a director lacked nothing.
+    - `elsewhere`: the other server has the purge, so directors may know more than this one.
+    """
 
     plant: Plant = Plant.NONE
     now: int = 0
@@ -202,10 +217,10 @@
     monitor: _Planted = field(default_factory=lambda: _Planted(POLICY, 0.0))
     elsewhere: bool = False
     moved_up: bool = False
-    moved: str = ""  # the director whose verdict came just now
+    moved: str = ""  # the director whose verdict was made in this step
 
     def copy(self) -> Scene:
-        """A state that can be changed without changing this one."""
+        """A copy that shares no mutable state."""
         return replace(
             self,
             announced=dict(self.announced),
@@ -220,7 +235,7 @@
         )
 
     def key(self) -> object:
-        """What two states have in common when they are the same."""
+        """Identifies the state: states with the same key behave alike."""
         return (
             self.now,
             tuple(sorted(self.announced.items())),
@@ -235,7 +250,7 @@
 
 
 def first_scene(plant: Plant) -> Scene:
-    """All directors have reported an empty view."""
+    """The first state, in which all directors have reported an empty view."""
     scene = Scene(plant)
     scene.monitor.plant = plant
     for name, zone in ZONES.items():
@@ -244,12 +259,12 @@
 
 
 def view_of(has: frozenset[str]) -> View:
-    """The view of a director that has heard of these."""
+    """The view of a director that has been notified of these."""
     return View("main", 2 if "list" in has else 1, "", (), "f:1=1" if "purges" in has else "")
 
 
 def scene_steps(scene: Scene, most: int = 3) -> Iterator[tuple[str, Scene]]:
-    """What can happen next, by name, up to step `most`."""
+    """Every event that is possible in a state, with the state after it, up to step `most`."""
     if scene.now < most:
         then = scene.copy()
         then.now += 1
@@ -291,17 +306,17 @@
 
 
 def _lacks(scene: Scene, name: str) -> bool:
-    """Whether a director has not heard of what was announced a while ago."""
+    """Whether a director lacks something that was announced in an earlier step."""
     return any(scene.now > at and news not in scene.has[name] for news, at in scene.announced.items())
 
 
 def scene_broken(scene: Scene) -> str | None:
-    """Which invariant is violated, or None."""
+    """Which invariant a state violates, or None."""
     name = scene.moved
     if not name:
         return None
     restricted = [one for one, stage in scene.stages.items() if stage >= Stage.RESTRICTED]
-    if len(restricted) > 1:  # of three, 0.4 of them
+    if len(restricted) > 1:  # the share 0.4 allows one of three
         return f"{', '.join(restricted)} are restricted at once"
     stage, has = scene.stages[name], scene.has[name]
     fresh = [one for one in ZONES if scene.now - scene.heard[one] < 2]
@@ -323,7 +338,7 @@
 
 
 def _reported_lacking(scene: Scene, news: str) -> list[str]:
-    """Who lacks something by what the monitor has heard."""
+    """The directors that lack something according to their reports."""
     found = []
     for one in ZONES:
         if scene.heard[one] > scene.announced[news] and news not in scene.has[one]:
@@ -332,7 +347,7 @@
 
 
 def searched(plant: Plant, most: int = 0) -> int | str:
-    """States, or what was found."""
+    """The number of states, or the violation that was found."""
     try:
         if plant in LEASE_PLANTS:
             start = [Holder(plant)]
@@ -344,7 +359,7 @@
 
 
 def searched_all(most_lease: int = 6, most_escalation: int = 3) -> dict[str, int | str]:
-    """Without a planted fault: the states of both machines, or what was found."""
+    """Searches without a planted fault: the numbers of states, or the violation that was found."""
     found: dict[str, int | str] = {}
     try:
         found["lease"] = search(
