--- a/gladelane/net/config.py
+++ b/gladelane/net/config.py
@@ -13,9 +13,7 @@
 
 import msgspec
 
-from ..discovery.events import KnownEvents
-from ..routing.events import Settings
-from ..settings_checks import (
+from ..deployment.checks import (
     MISSING,
     BadSetting,
     Field,
@@ -25,7 +23,9 @@
     read_fields,
     read_object,
 )
-from ..settings_wire import settings_from_wire
+from ..deployment.wire import settings_from_wire
+from ..discovery.events import KnownEvents
+from ..routing.events import Settings
 
 OPTIONAL_KEYS = frozenset({"ops"})  # GW_OPS names it too
 SEED = re.compile(r"[0-9a-fA-F]{1,64}")  # int() also takes signs, 0x and 1_0
@@ -104,10 +104,10 @@
 }
 _LIMITS = {
     "memory_mb": Field(Number(0, MOST_MEMORY_MB, above=True)),
-    "sockets": Field(Number(1, MOST_SOCKETS, whole=True)),
+    "sockets": Field(Number(1, MOST_SOCKETS, integer=True)),
 }
 _CONN_LIMITS = {
-    "max_streams": Field(Number(1, MOST_STREAMS, whole=True)),
+    "max_streams": Field(Number(1, MOST_STREAMS, integer=True)),
     "dial_timeout_ms": Field(Number(0, MOST_MS, above=True)),
     "conn_idle_ms": Field(Number(0, MOST_MS, above=True)),
 }
--- a/tests/fleet/test_audit.py
+++ b/tests/fleet/test_audit.py
@@ -452,9 +452,9 @@
 
             from gladelane.admin.maintenance import MaintenanceRegister
             from gladelane.admin.metrics import Metrics
+            from gladelane.deployment.wire import settings_from_wire
             from gladelane.purges.active_purges import ActivePurges
             from gladelane.routing.events import Settings
-            from gladelane.settings_wire import settings_from_wire
 
             self.settings: Settings = settings_from_wire(WIRE)
             self.rev, self.register, self.metrics, self.active = (
@@ -465,7 +465,7 @@
             )
             self.options = self
             self.strict: frozenset[str] = frozenset()
-            self.feeds = tuple(("127.0.0.1", port) for port in ports)
+            self.servers = tuple(("127.0.0.1", port) for port in ports)
 
         def known_endpoints(self) -> dict[str, Any]:
             return {}
