--- a/gladelane/lab/fleet/faults.py
+++ b/gladelane/lab/fleet/faults.py
@@ -24,6 +24,7 @@
     "store": ("store", ("save", "back", "slow", "renew")),  # copies kept, put back; slow; come up anew
     "drain": ("store", ("out", "in")),
     "purges": ("none", ("flood",)),  # so many in `for` seconds
+    "await": ("process", ("level",)),  # until these feeds have what any of them has; later steps wait as long
 }
 PROCESSES, STORES = ("directors", "feeds"), ("caches", "hub", "origin")
 NUMBER = r"\d+(?:\.\d+)?"
--- a/tests/fleet/test_rig.py
+++ b/tests/fleet/test_rig.py
@@ -18,16 +18,19 @@
 import pytest
 from harness import trial, until
 
+from gladelane.lab.fleet.audited import ON_TIME_MS, after_out, downtime_ms
 from gladelane.lab.fleet.day import full_service_after, play, spans
 from gladelane.lab.fleet.faults import FaultScheduleError, read_line
 from gladelane.lab.fleet.fleet import Life, Shape
 from gladelane.lab.fleet.ports import release_port, reserve_port
-from gladelane.lab.fleet.relay import SLOW_S, Relay, State
+from gladelane.lab.fleet.relay import SLOW_S, Relay, Reported, State
+from gladelane.lab.fleet.replicated import reach
 from gladelane.lab.fleet.rules import (
     Made,
     Purged,
     PurgeName,
     Ran,
+    Sent,
     Service,
     back_after,
     busiest,
@@ -35,6 +38,7 @@
     of_earlier_starts,
     stale,
 )
+from gladelane.lab.fleet.standstills import STEPS, TICK_MS, Standstills
 from gladelane.lab.fleet.stepped import stepped
 from gladelane.lab.processes import ROOT
 from gladelane.purges.scope import parse
@@ -313,3 +317,84 @@
     service.ask(9.0, 1.0)
     service.earn(9.0, 1.0)
     assert service.full_after(10.0, (8.0, 10.0), 20.0) == float("inf")
+
+
+def stood_still(*spans: tuple[float, float]) -> Standstills:
+    """A loop that turned for 10 s, at rest but for these."""
+    found = Standstills(lambda: 0.0)
+    for turn in range(2_000):
+        now = turn * TICK_MS
+        if not any(start < now < end for start, end in spans):
+            found.tick(now)
+    return found
+
+
+@pytest.mark.parametrize(("at_ms", "late_ms"), [
+    (900.0, 0.0), (1000.0, 0.0), (1000.0 + TICK_MS * STEPS, 0.0),  # at rest, and as it begins to stand still
+    (1200.0, 200.0), (1201.0, 201.0), (1200.0 + TICK_MS * (STEPS - 2), 200.0),  # in its first turns after that
+    (1200.0 + TICK_MS * STEPS, 0.0), (3000.0, 0.0),
+])  # fmt: skip
+def test_what_is_seen_right_after_a_standstill_may_be_as_late_as_that_and_nothing_else_is(
+    at_ms: float, late_ms: float
+) -> None:
+    found = stood_still((1000.0, 1200.0)).late_ms(at_ms)
+    assert (found == 0.0) == (late_ms == 0.0) and late_ms - 2 * TICK_MS * STEPS <= found <= late_ms
+
+
+def acted(at_ms: float, stage: int, standstills: Standstills) -> int:
+    """One attempt, of a director with a lease of 2 s from the 100th ms that was told of this stage at the 900th."""
+    link = SimpleNamespace(reported=[Reported(100.0, 110.0, 0), Reported(100.0, 900.0, stage)])
+    fleet: Any = SimpleNamespace(links={("d", "f"): link}, shape=Shape())
+    load: Any = SimpleNamespace(
+        attempts=[Sent("d", at_ms, "s", "", "film")], made=[], standstills=standstills
+    )
+    return after_out(fleet, load, 2000.0)
+
+
+@pytest.mark.parametrize(("stage", "until_ms"), [(0, 2100.0 + ON_TIME_MS), (5, 900.0 + ON_TIME_MS)])
+def test_an_attempt_seen_late_since_nothing_could_be_seen_is_no_attempt_after_the_lease(
+    stage: int, until_ms: float
+) -> None:
+    rest, last = stood_still(), until_ms - 10.0
+    held = stood_still((last - 20.0, last + 180.0))
+    assert acted(last, stage, rest) == 0 and acted(last + 180.0, stage, rest) == 1
+    assert acted(last + 180.0, stage, held) == 0
+    assert acted(last + 180.0 + STEPS * TICK_MS, stage, held) == 1, "it turned again: this came afterwards"
+    assert (
+        acted(last + 600.0, stage, stood_still((last + 400.0, last + 600.0))) == 1
+    ), "it came too late anyway"
+
+
+@pytest.mark.parametrize(("positions", "is_level"), [
+    (None, False), ({}, False), ({("d", 1): 7}, False), ({("d", 1): 6, ("e", 1): 2}, False),
+    ({("d", 1): 7, ("e", 1): 2}, True), ({("d", 1): 9, ("e", 1): 2, ("f", 1): 0}, True),
+])  # fmt: skip
+def test_a_feed_is_level_once_it_has_all_that_any_had(positions: Any, is_level: bool) -> None:
+    assert reach(positions, [None, {("d", 1): 7}, {("d", 1): 5, ("e", 1): 2}]) == is_level
+
+
+def test_time_in_which_no_process_of_a_director_answers_is_known() -> None:
+    never, twice = Life("a", 0, Path()), Life("b", 0, Path())
+    never.ups = [1.0]
+    twice.ups, twice.downs = [1.0, 4.5, 8.0], [4.0, 6.0]
+    fleet: Any = SimpleNamespace(directors=[never, twice])
+    assert downtime_ms(fleet) == 2500.0
+
+
+def test_a_line_stands_still_until_feeds_are_level_again() -> None:
+    """The one that lost its disk takes its time to start; the next step has to wait for it."""
+    line = "0 kill feeds:0 empty for 2; 0.2 await feeds:*; 0.3 kill feeds:1 empty; 0.5 purges 1"
+    figures = asyncio.run(play(line, Shape(directors=1, audit=True), 3, 2.0, table=None, look=noted))
+    at = {(what, detail): at for at, what, detail in figures["events"]}
+    first, second = (at["kill", text] for text in ("0 kill feeds:0 empty for 2", "0.3 kill feeds:1 empty"))
+    back = [moment for moment, what, detail in figures["events"] if (what, detail) == ("up", "feed-0")][1]
+    assert first + 2.0 < back < at["level", "0.2 await feeds:*"] < second
+    assert (
+        at["purges", "0.5 purges 1"] - at["level", "0.2 await feeds:*"] > 0.299
+    ), "the time between steps stays"
+    assert figures["asked"] > 0.8 * 250 * (3.0 + 2.0 + 2.0), "clients went on meanwhile"
+
+
+async def noted(fleet: Any, load: Any) -> dict[str, Any]:
+    del load
+    return {"events": fleet.events}
