--- a/benchmarks/audit.py
+++ b/benchmarks/audit.py
@@ -300,7 +300,12 @@
         name: caught(ledger)
         or bool(
             contradictions(
-                ledger, first["load"].attempts, first["load"].made, first["load"].purges, first["lists"]
+                ledger,
+                first["load"].attempts,
+                first["load"].made,
+                first["load"].purges,
+                first["lists"],
+                first["load"].standstills,
             )
         )
         for name, ledger in planted(first["ledger"], Random(seed)).items()
--- a/tests/fleet/test_rig.py
+++ b/tests/fleet/test_rig.py
@@ -18,7 +18,11 @@
 import pytest
 from harness import trial, until
 
-from gladelane.lab.fleet.audited import ON_TIME_MS, after_out, downtime_ms
+from gladelane.audit.activity_log import ActivityLog
+from gladelane.audit.audit_store import AuditStore
+from gladelane.audit.view import View, view_id
+from gladelane.audit.wire import Report
+from gladelane.lab.fleet.audited import ON_TIME_MS, SEEN_MS, Lists, after_out, contradictions, downtime_ms
 from gladelane.lab.fleet.day import full_service_after, play, spans
 from gladelane.lab.fleet.faults import FaultScheduleError, read_line
 from gladelane.lab.fleet.fleet import Life, Shape
@@ -365,6 +369,32 @@
     ), "it came too late anyway"
 
 
+def test_an_attempt_seen_late_since_nothing_could_be_seen_contradicts_no_view_under_which_it_was_sent() -> (
+    None
+):
+    """To a server that drained at the 1000th ms, of which its director knew at once."""
+    views = View("m", 1), View("m", 2)
+    log = ActivityLog("d", 1, view_id(views[0]), {}, 0.0)
+    for view, until_ms in ((views[1], 1000.0), (views[1], 9000.0)):
+        log.record_attempt("film")
+        log.close_interval(view_id(view), {}, until_ms)
+    store = AuditStore()
+    store.add(Report("d", 1, "z", 0.0, views[1], log.intervals(), {view_id(view): view for view in views}))
+    lists = Lists([
+        {"rev": rev, "pool": {"instances": [{"instanceId": "s", "lifecycle": life}]}}
+        for rev, life in ((1, "in_service"), (2, "terminating"))
+    ])  # fmt: skip
+
+    def found(at_ms: float, standstills: Standstills) -> list[str]:
+        return contradictions(store, [Sent("d", at_ms, "s", "", "film")], [], [], lists, standstills)
+
+    held = stood_still((980.0, 1180.0))
+    assert found(1000.0 + SEEN_MS, stood_still()) == [] and found(1180.0, stood_still()) != []
+    assert found(1180.0, held) == []
+    assert found(1180.0 + STEPS * TICK_MS, held) != [], "it turned again: this came afterwards"
+    assert found(1600.0, stood_still((1400.0, 1600.0))) != [], "it came too late anyway"
+
+
 @pytest.mark.parametrize(("positions", "is_level"), [
     (None, False), ({}, False), ({("d", 1): 7}, False), ({("d", 1): 6, ("e", 1): 2}, False),
     ({("d", 1): 7, ("e", 1): 2}, True), ({("d", 1): 9, ("e", 1): 2, ("f", 1): 0}, True),
