--- a/gladelane/lab/fleet/audited.py
+++ b/gladelane/lab/fleet/audited.py
@@ -35,11 +35,12 @@
 from ...control_plane.http import fetch
 from ...storage.files import Folder
 from .day import play
-from .fleet import TOKEN, Fleet, Shape
+from .fleet import TOKEN, Fleet
 from .load import Load
 from .relay import Reported
 from .replicated import positions_at
 from .rules import SLACK_MS, Made, Purged, Sent
+from .shape import Shape
 from .standstills import Standstills
 
 ON_TIME_MS = 50.0  # after a lease's end, for what was on its way to the server that saw it
--- a/gladelane/lab/fleet/replicated.py
+++ b/gladelane/lab/fleet/replicated.py
@@ -6,7 +6,8 @@
 from collections.abc import Iterable, Mapping
 
 from ...control_plane.http import HttpStatusError, fetch
-from .fleet import TOKEN, Life
+from .fleet import TOKEN
+from .process import Life
 
 Positions = Mapping[
     tuple[str, int], int
--- a/tests/fleet/test_rig.py
+++ b/tests/fleet/test_rig.py
@@ -25,8 +25,8 @@
 from gladelane.lab.fleet.audited import ON_TIME_MS, SEEN_MS, Lists, after_out, contradictions, downtime_ms
 from gladelane.lab.fleet.day import full_service_after, play, spans
 from gladelane.lab.fleet.faults import FaultScheduleError, read_line
-from gladelane.lab.fleet.fleet import Life, Shape
 from gladelane.lab.fleet.ports import release_port, reserve_port
+from gladelane.lab.fleet.process import Life
 from gladelane.lab.fleet.relay import SLOW_S, Relay, Reported, State
 from gladelane.lab.fleet.replicated import reach
 from gladelane.lab.fleet.rules import (
@@ -42,6 +42,7 @@
     of_earlier_starts,
     stale,
 )
+from gladelane.lab.fleet.shape import Shape
 from gladelane.lab.fleet.standstills import STEPS, TICK_MS, Standstills
 from gladelane.lab.fleet.stepped import stepped
 from gladelane.lab.processes import ROOT
