--- a/benchmarks/audit/tampered.py
+++ b/benchmarks/audit/tampered.py
@@ -15,6 +15,8 @@
     load, lists = metrics["load"], metrics["lists"]
 
     def is_noticed(store: AuditStore) -> bool:
-        return caught(store) or bool(contradictions(store, load.attempts, load.made, load.purges, lists))
+        return caught(store) or bool(
+            contradictions(store, load.attempts, load.made, load.purges, lists, load.standstills)
+        )
 
     return {name: is_noticed(store) for name, store in planted(metrics["ledger"], Random(seed)).items()}
--- a/benchmarks/operations/upgrades.py
+++ b/benchmarks/operations/upgrades.py
@@ -39,7 +39,7 @@
         await director.serving()
         ready_s.append(time.perf_counter() - began_s)
         await asyncio.sleep(BOTH_S)
-        memory_now_mb, descriptors_now = director.held()
+        memory_now_mb, descriptors_now = director.resource_usage()
         memory_mb, descriptors = max(memory_mb, memory_now_mb), max(descriptors, descriptors_now)
         director.all[-2].send_signal(signal.SIGTERM)
         await director.all[-2].wait()
--- a/tests/lab/test_deployment_parts.py
+++ b/tests/lab/test_deployment_parts.py
@@ -15,7 +15,7 @@
 from gladelane.lab.model.pipe import Pipe
 from gladelane.lab.model.stores import Build, Cache, Filled, Origin, Parent, Work
 from gladelane.lab.model.timeline import Timeline
-from gladelane.lab.virtual_sender import Sent, VirtualSender, VirtualWheel
+from gladelane.lab.virtual_sender import Sent, VirtualSender, VirtualTimers
 from gladelane.net.attempt_outcomes import AttemptOutcome
 from gladelane.net.config import ConnLimits
 from gladelane.net.director import Director
@@ -53,14 +53,14 @@
     found: list[Broken] = []
     cold = ColdFalls(found.append)
     cold.started("c0", 1000.0, LINK, RULE)
-    cold.told("d0", "c0", 1000.0)
-    cold.told("d1", "c0", 500.0)  # of an earlier start
-    assert cold.is_told("d0", "c0") and not cold.is_told("d1", "c0")
+    cold.notified("d0", "c0", 1000.0)
+    cold.notified("d1", "c0", 500.0)  # of an earlier start
+    assert cold.is_informed("d0", "c0") and not cold.is_informed("d1", "c0")
     fallen = False
     for number in range(requests):
         director = "d0" if number % 10 < told * 10 else "d1"
         at = 1000.0 + age_ms + number * gap_ms
-        fallen = fallen or cold.reached("c0", WORK_MS, cold.is_told(director, "c0"), at)
+        fallen = fallen or cold.reached("c0", WORK_MS, cold.is_informed(director, "c0"), at)
     assert (fallen, cold.falls, len(found)) == (falls > 0, falls, breaches)
     assert all(broken.rule == "cold" for broken in found)
     assert not cold.reached("c0", 1e9, True, 1500.0) or not falls  # it is down
@@ -189,9 +189,9 @@
     def __init__(self) -> None:
         self.line, self.world, self.finals = Timeline(), World(), list[FinalAnswer]()
         self.line.now = 1_000_000.0
-        wheel = VirtualWheel(lambda: self.line.now)
+        timers = VirtualTimers(lambda: self.line.now)
         plain = settings(parent_kind="", max_attempts=1)
-        self.director = Director(plain, 1, lambda: self.line.now, wheel, Endpoints(random.Random(1)), 10)
+        self.director = Director(plain, 1, lambda: self.line.now, timers, Endpoints(random.Random(1)), 10)
         limits = ConnLimits(4, 100.0, 9000.0)
         self.sender = VirtualSender("d0", self.director, self.line, self.world, self.world, limits)
         self.director.sender = self.sender
