--- a/benchmarks/audit/days.py
+++ b/benchmarks/audit/days.py
@@ -11,14 +11,14 @@
 NOT_ENFORCED = Day(
     "not enforced",
     "0.3 stop directors:0 for 3; 0.5 drain caches:0 out; 0.8 cut directors:1>feeds:* oneway for 5",
-    Shape(4, tenure_ms=1500.0, behind_ms=2000.0, enforce=False),
+    Shape(4, view_lease_ms=1500.0, behind_ms=2000.0, enforce=False),
     6.0,
 )
 
 
 def days(quick: bool) -> list[Day]:
     """The quick form's, with which the long form begins too."""
-    shape = Shape(QUICK_DIRECTORS if quick else DIRECTORS, tenure_ms=2000.0, behind_ms=4000.0)
+    shape = Shape(QUICK_DIRECTORS if quick else DIRECTORS, view_lease_ms=2000.0, behind_ms=4000.0)
     first = Day(
         "a sleeper, a straggler, a kill, a feed killed",
         "0.5 stop directors:0 for 4; 1 drain caches:0 out; 1.2 purges 20 for 1; "
--- a/benchmarks/audit/play.py
+++ b/benchmarks/audit/play.py
@@ -43,7 +43,7 @@
     def steps(self) -> list[Step]:
         """The faults, drawn as in the run."""
         shape = self.day.shape
-        counts = {"directors": shape.directors, "feeds": shape.feeds, "caches": CACHES}
+        counts = {"directors": shape.directors, "feeds": shape.control_servers, "caches": CACHES}
         return read_line(self.day.line, counts, Random(self.seed))
 
     def step_began_ms(self, step: Step) -> float:
--- a/gladelane/lab/fleet/audited.py
+++ b/gladelane/lab/fleet/audited.py
@@ -59,15 +59,17 @@
 class Lists:
     """Which servers were in service at each revision of the endpoint list."""
 
-    def __init__(self, notices: list[dict[str, Any]]) -> None:
+    def __init__(self, watch_events: list[dict[str, Any]]) -> None:
         self._by_rev: dict[int, frozenset[str]] = {}
         state: dict[str, str] = {}
-        for notice in notices:
-            pool = notice.get("pool")
+        for watch_event in watch_events:
+            pool = watch_event.get("pool")
             if pool is not None:
                 state = {} if pool.get("reset") else state
                 state |= {one["instanceId"]: one["lifecycle"] for one in pool["instances"]}
-            self._by_rev[notice["rev"]] = frozenset(n for n, life in state.items() if life == "in_service")
+            self._by_rev[watch_event["rev"]] = frozenset(
+                n for n, lifecycle in state.items() if lifecycle == "in_service"
+            )
 
     def used(self, rev: int, sent: Sent) -> bool:
         """Whether a view with this revision could have sent it."""
@@ -205,7 +207,7 @@
 
 async def asked(fleet: Fleet, number: int, target: str) -> dict[str, Any]:
     """Asks a control server. Raises OSError, HttpStatusError and TimeoutError."""
-    port = fleet.feeds[number].port
+    port = fleet.control_servers[number].port
     answer: dict[str, Any] = json.loads(await fetch("127.0.0.1", port, "GET", target, TOKEN))
     return answer
 
@@ -216,12 +218,12 @@
     await asyncio.gather(*(fleet.end(one, signal.SIGTERM) for one in fleet.directors))
     until = asyncio.get_running_loop().time() + REPLICATION_S
     while asyncio.get_running_loop().time() < until:
-        marks = [await positions_at(one) for one in fleet.feeds]
+        marks = [await positions_at(one) for one in fleet.control_servers]
         if all(one == marks[0] for one in marks):
             break
         await asyncio.sleep(0.1)
-    await asyncio.gather(*(fleet.end(one, signal.SIGTERM) for one in fleet.feeds))
-    return [await asyncio.to_thread(recovered_store, one.folder / "audit") for one in fleet.feeds]
+    await asyncio.gather(*(fleet.end(one, signal.SIGTERM) for one in fleet.control_servers))
+    return [await asyncio.to_thread(recovered_store, one.folder / "audit") for one in fleet.control_servers]
 
 
 def downtime_ms(fleet: Fleet) -> float:
@@ -267,11 +269,11 @@
         await asyncio.sleep(SETTLE_S)
         changes = moved(fleet)
         report_bytes = sum(relay.report_bytes for relay in fleet.links.values())
-        late, away_ms = after_out(fleet, load, shape.tenure_ms), downtime_ms(fleet)
+        late, away_ms = after_out(fleet, load, shape.view_lease_ms), downtime_ms(fleet)
         stores = await end_all(fleet)
         store = max(stores, key=lambda one: one.interval_count)
-        lists = Lists(fleet.world.board.notices)
-        stored = sum(path.stat().st_size for path in (fleet.feeds[0].folder / "audit").iterdir())
+        lists = Lists(fleet.world.discovery.notices)
+        stored = sum(path.stat().st_size for path in (fleet.control_servers[0].folder / "audit").iterdir())
         return {
             "attempts": len(load.attempts),
             "spans": store.interval_count,
@@ -307,39 +309,54 @@
     def changed(name: str, change: Callable[[list[ActivityInterval]], list[ActivityInterval]]) -> None:
         made = AuditStore()
         for report in store.missing_reports({}, 2**31):
-            spans = report.intervals
+            intervals = report.intervals
             if report.run_id == key:
-                spans = change(list(spans))
-            made.add(msgspec.structs.replace(report, spans=spans))
+                intervals = change(list(intervals))
+            made.add(msgspec.structs.replace(report, intervals=intervals))
         found[name] = made
 
     def each(
         change: Callable[[ActivityInterval], ActivityInterval],
     ) -> Callable[[list[ActivityInterval]], list[ActivityInterval]]:
-        return lambda spans: [change(span) if span.number == number else span for span in spans]
+        return lambda intervals: [
+            change(interval) if interval.number == number else interval for interval in intervals
+        ]
 
-    def more(span: ActivityInterval) -> ActivityInterval:
-        counts = copy.deepcopy(span.counts)
+    def more(interval: ActivityInterval) -> ActivityInterval:
+        counts = copy.deepcopy(interval.counts)
         next(iter(counts.values())).sent += 1
-        return msgspec.structs.replace(span, counts=counts)
+        return msgspec.structs.replace(interval, counts=counts)
 
-    other = next(name for name in store.views if name != _span(store, key, number).view)
+    other = next(name for name in store.views if name != _interval_of(store, key, number).view)
     changed("a count altered", each(more))
-    changed("a view altered", each(lambda span: msgspec.structs.replace(span, view=other)))
-    changed("a span dropped", lambda spans: [span for span in spans if span.number != number])
+    changed("a view altered", each(lambda interval: msgspec.structs.replace(interval, view=other)))
+    changed(
+        "a span dropped", lambda intervals: [interval for interval in intervals if interval.number != number]
+    )
     changed(
         "a span doubled, with other counts",
-        lambda spans: [*spans, *(more(span) for span in spans if span.number == number)],
+        lambda intervals: [
+            *intervals,
+            *(more(interval) for interval in intervals if interval.number == number),
+        ],
     )
     changed(
         "a span dated later",
-        each(lambda span: msgspec.structs.replace(span, from_ms=span.from_ms + 5e3, to_ms=span.to_ms + 5e3)),
+        each(
+            lambda interval: msgspec.structs.replace(
+                interval, from_ms=interval.from_ms + 5e3, to_ms=interval.to_ms + 5e3
+            )
+        ),
     )
     changed(
         "a span dated earlier",
-        each(lambda span: msgspec.structs.replace(span, from_ms=span.from_ms - 5e3, to_ms=span.to_ms - 5e3)),
+        each(
+            lambda interval: msgspec.structs.replace(
+                interval, from_ms=interval.from_ms - 5e3, to_ms=interval.to_ms - 5e3
+            )
+        ),
     )
-    changed("altered and sealed anew", each(lambda span: sealed("00", more(span))))
+    changed("altered and sealed anew", each(lambda interval: sealed("00", more(interval))))
     lied = copy.deepcopy(store)
     lied.views[other] = msgspec.structs.replace(lied.views[other], rev=lied.views[other].rev + 7)
     made = AuditStore()
@@ -352,15 +369,15 @@
 def _victim(store: AuditStore, rng: Random) -> tuple[RunId, int]:
     """A span in the middle that counted something."""
     able = [
-        (report.run_id, span.number)
+        (report.run_id, interval.number)
         for report in store.missing_reports({}, 2**31)
-        for span in report.intervals[1:-1]
-        if any(count.sent for count in span.counts.values())
+        for interval in report.intervals[1:-1]
+        if any(count.sent for count in interval.counts.values())
     ]
     return rng.choice(able)
 
 
-def _span(store: AuditStore, key: RunId, number: int) -> ActivityInterval:
+def _interval_of(store: AuditStore, key: RunId, number: int) -> ActivityInterval:
     report = next(store.missing_of(key, number - 1, 1))
     return report.intervals[0]
 
--- a/gladelane/lab/fleet/client_pool.py
+++ b/gladelane/lab/fleet/client_pool.py
@@ -43,12 +43,12 @@
                 least = self._clients[-1]
         if least is None:
             return None, False
-        client, held = least
-        held[0] += 1
+        client, in_flight = least
+        in_flight[0] += 1
         try:
             return await client.ask(fields, patience_s=patience_s), client.ended
         finally:
-            held[0] -= 1
+            in_flight[0] -= 1
 
     async def close(self) -> None:
         self._closed = True
--- a/gladelane/lab/fleet/cold.py
+++ b/gladelane/lab/fleet/cold.py
@@ -21,12 +21,12 @@
 from ..fake_server import Seen
 from ..processes import ROOT
 from .fleet import Fleet
-from .process import Life
+from .process import FleetProcess
 from .shape import Shape
 from .world import HUB_S, World, object_id
 
 COLD_FROM, MULTIPLE, LINK = 0.15, 3.0, 4.0
-PATIENCE_S, TOLD_S = 8.0, 30.0
+PATIENCE_S, NOTIFIED_S = 8.0, 30.0
 LEARNED = 12  # requests a director has served before the server starts: it knows the mean work of their class
 CLASS = "video-part"
 SERVERS = {Server.CACHE: "cache-0", Server.HUB: "depot"}
@@ -60,9 +60,9 @@
         super().__init__(sources, fill_s)
         self.asked_ms: list[float] = []
 
-    async def get(self, thing: PartKey, accept: float) -> float:
+    async def get(self, key: PartKey, accept: float) -> float:
         self.asked_ms.append(now_ms())
-        return await super().get(thing, accept)
+        return await super().get(key, accept)
 
 
 class ColdWorld(World):
@@ -73,7 +73,7 @@
         self.name = SERVERS[server]
         self.hub = counted = _Counted({"bank": self.origin}, HUB_S)
         self.caches = [FakeCacheStore({"depot": self.hub, "bank": self.origin})]
-        self.shelves = {"cache-0": self.caches[0], "depot": self.hub, "bank": self.origin}
+        self.stores = {"cache-0": self.caches[0], "depot": self.hub, "bank": self.origin}
         self.arrived = counted.asked_ms if server is Server.HUB else list[float]()
         self.watch = self._note
 
@@ -90,13 +90,13 @@
         self.arrived.clear()
         spare = {**self.instance(self.name), "instanceId": "spare", "lifecycle": "terminating"}
         spare["hostPort"] = "127.0.0.1:1"
-        self.board.tell({"pool": {"instances": [self.instance(self.name), spare]}})
+        self.discovery.tell({"pool": {"instances": [self.instance(self.name), spare]}})
         return self.started[self.name]
 
 
 def settings_for(plan: Plan) -> dict[str, Any]:
     """What differs from the example's."""
-    told = json.loads((ROOT / "example" / "config.json").read_text())["settings"]
+    example = json.loads((ROOT / "example" / "config.json").read_text())["settings"]
     hub = plan.server is Server.HUB
     family = {
         "seats_by_zone": [0, plan.directors],
@@ -110,7 +110,7 @@
         "fall_multiple": MULTIPLE,
         "fall_ms": plan.window_ms,
     }
-    return {"family_info": told["family_info"] | family, "rules": told["rules"] | rules}
+    return {"family_info": example["family_info"] | family, "rules": example["rules"] | rules}
 
 
 class _Asking:
@@ -123,7 +123,7 @@
         self.numbers = itertools.count(1)
         self.tasks: set[asyncio.Task[None]] = set()
 
-    async def ask(self, one: Life) -> None:
+    async def ask(self, one: FleetProcess) -> None:
         number = next(self.numbers)
         fields = {
             "c": CLASS,
@@ -157,21 +157,21 @@
 
 def fleet_flow() -> float:
     """One transfer's pace in the example's settings, kB/s."""
-    told = json.loads((ROOT / "example" / "config.json").read_text())["settings"]
-    return float(told["family_info"]["one_flow_kb_per_s"])
+    example = json.loads((ROOT / "example" / "config.json").read_text())["settings"]
+    return float(example["family_info"]["one_flow_kb_per_s"])
 
 
 def _fleet(folder: Path, world: World, plan: Plan) -> Fleet:
     """With ports of its own: runs beside each other are not to choose the same, nor one run one twice."""
     while True:
-        fleet = Fleet(folder, world, Shape(plan.directors, feeds=0, warm=False), SystemRandom())
-        ports = {port for one in fleet.directors for port in (one.port, one.door)}
+        fleet = Fleet(folder, world, Shape(plan.directors, control_servers=0, warm=False), SystemRandom())
+        ports = {port for one in fleet.directors for port in (one.port, one.admin_port)}
         if len(ports) == 2 * plan.directors:
             return fleet
 
 
-async def _told(fleet: Fleet, one: Life, listed: int) -> None:
-    async with asyncio.timeout(TOLD_S):
+async def _wait_until_notified(fleet: Fleet, one: FleetProcess, listed: int) -> None:
+    async with asyncio.timeout(NOTIFIED_S):
         while (await fleet.stats(one)).get("hosts_listed") != listed:
             await asyncio.sleep(0.02)
 
@@ -194,9 +194,9 @@
         asking = _Asking(plan, fleet)
         for _ in range(LEARNED):
             await asking.all(1)
-        listed = len(world.shelves) + 1  # with the spare one, which tells who has heard of the start
+        listed = len(world.stores) + 1  # with the spare one, which tells who has heard of the start
         ramp = Ramp(plan.requests, world.restart(), COLD_FROM, plan.warm_ms, plan.window_ms)
-        await asyncio.gather(*(_told(fleet, one, listed) for one in fleet.directors))
+        await asyncio.gather(*(_wait_until_notified(fleet, one, listed) for one in fleet.directors))
         await asking.all(1)
         await asyncio.sleep(plan.idle_s)
         await asking.all(plan.at_once)
--- a/gladelane/lab/fleet/commands.py
+++ b/gladelane/lab/fleet/commands.py
@@ -9,14 +9,16 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from ..processes import ROOT
-from .process import Life
+from .process import FleetProcess
 from .stepped import STEPS as CLOCK_STEPS
 
 if TYPE_CHECKING:
     from .fleet import Fleet
 
-FEED = "from gladelane.cli import main; main()"
-STEPPED_FEED = f"from gladelane.lab.fleet.stepped import install_steps; install_steps(); {FEED}"
+CONTROL_SERVER = "from gladelane.cli import main; main()"
+STEPPED_CONTROL_SERVER = (
+    f"from gladelane.lab.fleet.stepped import install_steps; install_steps(); {CONTROL_SERVER}"
+)
 START_WAIT_MS = 3000  # for which a director that starts waits for purges
 REPORT_MS = 400  # between a director's reports to the audit
 
@@ -28,39 +30,45 @@
     environment: dict[str, str]
 
 
-def feed_command(fleet: Fleet, feed: Life, is_first_start: bool) -> Command:
+def control_server_command(fleet: Fleet, control_server: FleetProcess, is_first_start: bool) -> Command:
     """How a control server is started."""
     shape = fleet.shape
-    peers = [f"127.0.0.1:{fleet.links[feed.name, o.name].port}" for o in fleet.feeds if o is not feed]
+    peers = [
+        f"127.0.0.1:{fleet.links[control_server.name, o.name].port}"
+        for o in fleet.control_servers
+        if o is not control_server
+    ]
     options = {
-        "--name": feed.name,
-        "--dir": feed.folder / "purges",
+        "--name": control_server.name,
+        "--dir": control_server.folder / "purges",
         "--tokens": fleet.folder / "tokens",
-        "--listen": f"127.0.0.1:{feed.port}",
+        "--listen": f"127.0.0.1:{control_server.port}",
         "--copies": min(shape.copies, 1 + len(peers)),
     }
     if shape.marks:
-        options["--mark"] = fleet.folder / f"{feed.name}.mark"
+        options["--mark"] = fleet.folder / f"{control_server.name}.mark"
     if shape.audit:
         options |= {
-            "--audit": feed.folder / "audit",
-            "--tenure-ms": shape.tenure_ms,
+            "--audit": control_server.folder / "audit",
+            "--tenure-ms": shape.view_lease_ms,
             "--behind-ms": shape.behind_ms,
             "--share": shape.share,
         }
     if shape.owners:
-        options |= {"--keeper": feed.folder / "keeper", "--lease-ms": shape.lease_ms}
-    program = STEPPED_FEED if shape.feed_clocks else FEED
+        options |= {"--keeper": control_server.folder / "keeper", "--lease-ms": shape.lease_ms}
+    program = STEPPED_CONTROL_SERVER if shape.control_server_clocks else CONTROL_SERVER
     arguments = [sys.executable, "-c", program, "purge", "serve"]
     arguments += [word for option, value in options.items() for word in (option, str(value))]
     arguments += [word for peer in peers for word in ("--peer", peer)]
     if is_first_start:
         arguments.append("--first")
-    clock_steps = dict(zip(fleet.feeds, shape.feed_clocks, strict=False)).get(feed, "")
+    clock_steps = dict(zip(fleet.control_servers, shape.control_server_clocks, strict=False)).get(
+        control_server, ""
+    )
     return Command(arguments, {**os.environ, CLOCK_STEPS: clock_steps})
 
 
-def director_command(fleet: Fleet, director: Life) -> Command:
+def director_command(fleet: Fleet, director: FleetProcess) -> Command:
     """How a director is started; writes its files."""
     config = fleet.folder / f"{director.name}.json"
     operator = fleet.folder / f"{director.name}.json5"
@@ -72,15 +80,15 @@
     return Command([sys.executable, "-m", "gladelane"], {**os.environ, **files})
 
 
-def _director_config(fleet: Fleet, director: Life) -> dict[str, Any]:
+def _director_config(fleet: Fleet, director: FleetProcess) -> dict[str, Any]:
     """The example's, for this fleet."""
     config: dict[str, Any] = json.loads((ROOT / "example" / "config.json").read_text())
     config |= {
         "name": fleet.names.get(director.name, director.name),
         "listen": f"127.0.0.1:{director.port}",
-        "known": fleet.world.board.known(),
+        "known": fleet.world.discovery.known(),
         "board": f"127.0.0.1:{fleet.links[director.name, 'board'].port}",
-        "ops": f"127.0.0.1:{director.door}",
+        "ops": f"127.0.0.1:{director.admin_port}",
     }
     config["settings"] |= {"balancers": fleet.shape.directors, "me": fleet.directors.index(director)}
     config["settings"] |= fleet.settings.get(director.name, {})
@@ -88,32 +96,35 @@
     return config
 
 
-def _operator_file(fleet: Fleet, director: Life) -> dict[str, Any]:
+def _operator_file(fleet: Fleet, director: FleetProcess) -> dict[str, Any]:
     shape = fleet.shape
     recovery: dict[str, Any] = {"every_s": 1}
     if shape.warm:
         recovery["dir"] = str(director.folder / "warm")
     operator: dict[str, Any] = {"recovery": recovery}
-    if fleet.feeds:
+    if fleet.control_servers:
         operator["purges"] = _purge_options(fleet, director)
     if shape.audit:
         operator["fleet"] = {
             "alone": shape.alone,
-            "board_ms": shape.board_ms,
+            "board_ms": shape.endpoint_list_timeout_ms,
             "report_ms": REPORT_MS,
             "enforce": shape.enforce,
         }
-        if shape.trail:
+        if shape.has_activity_log:
             operator["fleet"]["dir"] = str(director.folder / "trail")
     if shape.owners:
         operator["owners"] = {"length_ms": shape.lease_ms, "shards": shape.shards}
     return operator | fleet.changes.get(director.name, {})
 
 
-def _purge_options(fleet: Fleet, director: Life) -> dict[str, Any]:
+def _purge_options(fleet: Fleet, director: FleetProcess) -> dict[str, Any]:
     shape = fleet.shape
     return {
-        "feeds": [f"127.0.0.1:{fleet.links[director.name, feed.name].port}" for feed in fleet.feeds],
+        "feeds": [
+            f"127.0.0.1:{fleet.links[director.name, control_server.name].port}"
+            for control_server in fleet.control_servers
+        ],
         "token_file": str(fleet.folder / "tokens"),
         "dir": str(director.folder / "purges"),
         "delay_ms": shape.delay_ms,
@@ -126,6 +137,6 @@
     }
 
 
-def log_path(fleet: Fleet, one: Life) -> Path:
+def log_path(fleet: Fleet, one: FleetProcess) -> Path:
     """Where the standard error of a process and its successors goes."""
     return fleet.folder / f"{one.name}.log"
--- a/gladelane/lab/fleet/day.py
+++ b/gladelane/lab/fleet/day.py
@@ -25,7 +25,7 @@
 WARM_UP_S, BEFORE_S = 3.0, 2.0
 Look = Callable[[Fleet, Load], Awaitable[dict[str, Any]]]  # at the end, while all still runs
 APART_S = 3.0  # between faults that are timed apart
-SENT_AGAIN_S = 6.0  # for feeds that came back to have what directors know: `purges/backfill.py`
+BACKFILL_S = 6.0  # for feeds that came back to have what directors know: `purges/backfill.py`
 LOOK_S = 0.2
 LEVEL_S = 60.0  # many times what feeds take to come back and to replicate, on a busy machine as well
 SETTLE_S = 0.3  # before the next fault, which no longer counts
@@ -44,7 +44,7 @@
     """The line's seconds count from the end of the warm-up, and stand still during `await`. purges: during
     the warm-up. The same seed asks for the same things at the same moments and strikes the same processes;
     what the machine makes of it may differ."""
-    counts = {"directors": shape.directors, "feeds": shape.feeds, "caches": CACHES}
+    counts = {"directors": shape.directors, "feeds": shape.control_servers, "caches": CACHES}
     steps = read_line(line, counts, Random(seed))
     with tempfile.TemporaryDirectory(prefix="gl", dir=memory()) as name:
         world = World()
@@ -91,8 +91,8 @@
         if step.word == "await":
             with load.prolonged():
                 await wait_until_level(fleet, step)
-            took_s = loop.time() - (began_loop + step.at)
-            waited_s, seconds = waited_s + took_s, seconds + took_s
+            elapsed_s = loop.time() - (began_loop + step.at)
+            waited_s, seconds = waited_s + elapsed_s, seconds + elapsed_s
         elif step.word == "purges":
             fleet.note(step.word, step.text)
             striking.append(asyncio.create_task(load.purge(int(step.how), step.last or 1.0)))
@@ -111,16 +111,17 @@
     await load.settle()
     await wait_for_purges(fleet, load)
     full = {
-        span.text: round(full_service_after(span, fleet, load, began), 2) for span in spans(steps, seconds)
+        period.text: round(full_service_after(period, fleet, load, began), 2)
+        for period in fault_periods(steps, seconds)
     }
     old = stale(load.made, load.purges, fleet.shape.delay_ms)
     usual = busiest(world.origin.asked, began_loop - BEFORE_S, began_loop)
     peak = busiest(world.origin.asked, began_loop, began_loop + seconds)
     directors = await asyncio.gather(*(fleet.stats(one) for one in fleet.directors))
-    feeds = await asyncio.gather(*(fleet.status(one) for one in fleet.feeds))
-    standing = await asyncio.gather(*(fleet.standing(one) for one in fleet.feeds))
+    statuses = await asyncio.gather(*(fleet.status(one) for one in fleet.control_servers))
+    active_purges = await asyncio.gather(*(fleet.active_purges(one) for one in fleet.control_servers))
     answered = {name_of(purge) for purge in load.purges}
-    latest = {told["name"]: told["epoch"] for told in feeds if told}
+    latest = {reply["name"]: reply["epoch"] for reply in statuses if reply}
     strict = [made for made in old if made.cls in fleet.shape.strict]
     return {
         **{
@@ -140,7 +141,7 @@
         "answers": len(load.made),
         "purges": len(load.purges),
         "purges_of_earlier_starts": len(of_earlier_starts(load.purges, latest)),
-        "purges_missing": max((len(answered - known) for known in standing), default=0),
+        "purges_missing": max((len(answered - known) for known in active_purges), default=0),
         "stale_strict": len(strict),
         "stale_other": len(old) - len(strict),
         "doubles": len(doubles(world.ran, CLASSES["answer-submit"].window_ms)),
@@ -148,25 +149,25 @@
         "rules_broken": len(load.broken),
         "full_service_s": max(full.values(), default=0.0),
         "full_by_fault": full,
-        "full_by_phase_s": max((told.get("full_service_ms", 0) for told in directors), default=0) / 1000.0,
+        "full_by_phase_s": max((reply.get("full_service_ms", 0) for reply in directors), default=0) / 1000.0,
         "origin_usual": usual,
         "origin_peak": peak,
         "origin_peak_over_usual": round(peak / max(usual, 1), 2),
         "pushed_over": world.pushed_over(peak),
         "after_drain": world.after_drain,
-        "warm": sum(told.get("warm_start", 0) for told in directors),
-        "phases": [told.get("phase", 0) for told in directors],
-        "reseeded": sum(told.get("reseeded", 0) for told in directors),
-        "standing": [told.get("standing", -1) for told in feeds],
-        "horizon_open": [told.get("horizon_ms", -1.0) > 0.0 for told in feeds],
-        "killed": sum(bool(one.held_up) for one in fleet.directors),
+        "warm": sum(reply.get("warm_start", 0) for reply in directors),
+        "phases": [reply.get("phase", 0) for reply in directors],
+        "reseeded": sum(reply.get("reseeded", 0) for reply in directors),
+        "standing": [reply.get("standing", -1) for reply in statuses],
+        "horizon_open": [reply.get("horizon_ms", -1.0) > 0.0 for reply in statuses],
+        "killed": sum(bool(one.unresponsive_periods) for one in fleet.directors),
         "kills": fleet.counts["kills"],
         "disk_faults": fleet.counts["disk_faults"],
-        "failed_starts": [text for one in (*fleet.directors, *fleet.feeds) for text in one.failed],
+        "failed_starts": [text for one in (*fleet.directors, *fleet.control_servers) for text in one.failed],
     }
 
 
-class Span(NamedTuple):
+class FaultPeriod(NamedTuple):
     """From a fault up to the next one that is timed apart. Seconds of the line; struck: when each process was
     struck last."""
 
@@ -176,33 +177,33 @@
     struck: dict[tuple[str, int], float]
 
 
-def spans(steps: list[Step], seconds: float) -> list[Span]:
+def fault_periods(steps: list[Step], seconds: float) -> list[FaultPeriod]:
     """What ends or stops processes, each from its moment up to the next; those too close for full service in
     between count as one, from the last."""
-    found: list[Span] = []
+    found: list[FaultPeriod] = []
     for step in steps:
         if step.word not in ("kill", "term", "stop"):
             continue
         struck = dict.fromkeys(step.whom, step.at)
         if found and step.at - found[-1].at < APART_S:
-            found[-1] = Span(found[-1].text, step.at, seconds, {**found[-1].struck, **struck})
+            found[-1] = FaultPeriod(found[-1].text, step.at, seconds, {**found[-1].struck, **struck})
             continue
         if found:
             found[-1] = found[-1]._replace(until=step.at)
-        found.append(Span(step.text, step.at, seconds, struck))
+        found.append(FaultPeriod(step.text, step.at, seconds, struck))
     return found
 
 
-def full_service_after(span: Span, fleet: Fleet, load: Load, began_s: float) -> float:
+def full_service_after(period: FaultPeriod, fleet: Fleet, load: Load, began_s: float) -> float:
     """Seconds until all that clients ask for is served as before, by the directors that were struck as well:
     the others alone mostly do the work of all, so what clients see would always be full at once. The struck
     ones count together, from when the last of them is back: alone, each is asked for too little to tell a
     share. One that was stopped is back when it is resumed: what it was asked shortly before, it may answer in
     time still. Infinite: not within the span."""
     before = began_s - BEFORE_S, began_s
-    fault_s, until_s = began_s + span.at, began_s + span.until - SETTLE_S
+    fault_s, until_s = began_s + period.at, began_s + period.until - SETTLE_S
     of_all_s = load.service.full_after(fault_s, before, until_s)
-    struck = {fleet.of(whom): at for whom, at in span.struck.items() if whom[0] == "directors"}
+    struck = {fleet.of(whom): at for whom, at in period.struck.items() if whom[0] == "directors"}
     if not struck:
         return of_all_s
     back_s = max(
@@ -217,10 +218,10 @@
 async def wait_until_level(fleet: Fleet, step: Step) -> None:
     """Each of these feeds answers and has all intervals that any of them had when this began. Raises
     TimeoutError."""
-    feeds = [fleet.of(whom) for whom in step.whom]
-    wanted = [await positions_at(one) for one in feeds]
+    control_servers = [fleet.of(whom) for whom in step.whom]
+    wanted = [await positions_at(one) for one in control_servers]
     async with asyncio.timeout(LEVEL_S):
-        while not all([reach(await positions_at(one), wanted) for one in feeds]):
+        while not all([reach(await positions_at(one), wanted) for one in control_servers]):
             await asyncio.sleep(LOOK_S)
     fleet.note("level", step.text)
 
@@ -229,9 +230,9 @@
     """Feeds that came back have had the time in which directors send them what they lack, however long their
     start took; ends as soon as nothing is missing."""
     answered = {name_of(purge) for purge in load.purges}
-    last_start_s = max((one.ups[-1] for one in fleet.feeds if len(one.ups) > 1), default=0.0)
-    while time.time() < last_start_s + SENT_AGAIN_S:
-        standing = await asyncio.gather(*(fleet.standing(one) for one in fleet.feeds))
-        if all(answered <= known for known in standing):
+    last_start_s = max((one.ups[-1] for one in fleet.control_servers if len(one.ups) > 1), default=0.0)
+    while time.time() < last_start_s + BACKFILL_S:
+        active_purges = await asyncio.gather(*(fleet.active_purges(one) for one in fleet.control_servers))
+        if all(answered <= known for known in active_purges):
             return
         await asyncio.sleep(LOOK_S)
--- a/gladelane/lab/fleet/fault_injector.py
+++ b/gladelane/lab/fleet/fault_injector.py
@@ -10,14 +10,14 @@
 
 from .faults import Step
 from .folders import NO_LIMIT, damage_folder, limit_file_size, save_folder
-from .process import Life
+from .process import FleetProcess
 from .relay import Relay, State
 
 if TYPE_CHECKING:
     from .fleet import Fleet
 
 SLOW_FILL_S = 0.25  # of a server that is slow
-KEPT_FOLDERS = ("kept", "torn", "readonly")  # after these a process finds the folder of the one before it
+PRESERVING_WAYS = ("kept", "torn", "readonly")  # after these a process finds the folder of the one before it
 
 
 class FaultInjector:
@@ -44,7 +44,7 @@
             case "cut":
                 self._cut_links(step)
             case "board":
-                self._disturb_board(step)
+                self._disturb_discovery(step)
             case "store" | "drain":
                 await asyncio.gather(*(self._change_server(whom, step) for whom in step.whom))
 
@@ -69,7 +69,7 @@
             one = self._fleet.of(whom)
             self._fleet.counts[signal.SIGSTOP.name] += 1
             one.stop()
-            one.hold_up()
+            one.begin_unresponsive_period()
         self._later(step.last, partial(self._resume_processes, step))
 
     def _resume_processes(self, step: Step) -> None:
@@ -77,33 +77,33 @@
             one = self._fleet.of(whom)
             self._fleet.counts[signal.SIGCONT.name] += 1
             one.resume()
-            one.end_hold_up()
+            one.end_unresponsive_period()
 
-    async def _restart(self, one: Life, step: Step) -> None:
+    async def _restart(self, one: FleetProcess, step: Step) -> None:
         """Ends a process, does to its folder what the step says, and starts it."""
         fleet = self._fleet
         number = signal.SIGKILL if step.word == "kill" else signal.SIGTERM
         fleet.counts["kills"] += number is signal.SIGKILL
         await fleet.end(one, number)
-        one.kept = step.how in KEPT_FOLDERS
+        one.has_former_folder = step.how in PRESERVING_WAYS
         if step.last:
             await asyncio.sleep(step.last)
         if step.how == "readonly":
             await self._start_readonly(one)
         elif step.how != "kept":
             fleet.counts["disk_faults"] += 1
-            await asyncio.to_thread(damage_folder, one, step.how, fleet.feeds)
-        await fleet.again(one)
+            await asyncio.to_thread(damage_folder, one, step.how, fleet.control_servers)
+        await fleet.restart(one)
 
     # --- disks
 
-    async def _start_readonly(self, one: Life) -> None:
+    async def _start_readonly(self, one: FleetProcess) -> None:
         """The folder's lock cannot be opened for writing: a start that fails, and one that does not."""
         lock = one.folder / "purges" / "LOCK"
         self._fleet.counts["disk_faults"] += 1
         lock.unlink(missing_ok=True)
         lock.mkdir(parents=True)
-        await self._fleet.again(one)
+        await self._fleet.restart(one)
         if one.up:  # it runs all the same: the next life finds it complete
             await self._fleet.end(one, signal.SIGKILL)
         lock.rmdir()
@@ -128,11 +128,11 @@
     def _name(self, whom: tuple[str, int]) -> str:
         return "board" if whom[0] == "board" else self._fleet.of(whom).name
 
-    def _disturb_board(self, step: Step) -> None:
+    def _disturb_discovery(self, step: Step) -> None:
         world = self._fleet.world
         if step.how == "late":
-            world.hold_board(True)
-            self._later(step.last, lambda: world.hold_board(False))
+            world.hold_discovery(True)
+            self._later(step.last, lambda: world.hold_discovery(False))
             return
         relays = [relay for (_, far), relay in self._fleet.links.items() if far == "board"]
         for relay in relays:
@@ -144,7 +144,7 @@
     async def _change_server(self, whom: tuple[str, int], step: Step) -> None:
         world = self._fleet.world
         name = {"hub": "depot", "origin": "bank"}.get(whom[0], f"cache-{whom[1]}")
-        store = world.shelves[name]
+        store = world.stores[name]
         match step.how:
             case "save":
                 world.saved[name] = dict(store.copies)
--- a/gladelane/lab/fleet/fleet.py
+++ b/gladelane/lab/fleet/fleet.py
@@ -17,11 +17,11 @@
 from ...control_plane.http import HttpStatusError, fetch
 from ..processes import ROOT
 from .client_pool import Pool
-from .commands import Command, director_command, feed_command, log_path
+from .commands import Command, control_server_command, director_command, log_path
 from .fault_injector import FaultInjector
 from .faults import Step
 from .ports import release_port, reserve_port
-from .process import Life
+from .process import FleetProcess
 from .relay import Relay
 from .rules import PurgeName
 from .shape import Shape
@@ -43,11 +43,14 @@
         self.folder, self.world, self.shape, self.rng = folder, world, shape, rng
         ports = Random()  # not of the run's seed: runs beside this one may have the same
         self.directors = [
-            Life(f"director-{n}", reserve_port(ports), folder / f"director-{n}", door=reserve_port(ports))
+            FleetProcess(
+                f"director-{n}", reserve_port(ports), folder / f"director-{n}", admin_port=reserve_port(ports)
+            )
             for n in range(shape.directors)
         ]
-        self.feeds = [
-            Life(f"feed-{n}", reserve_port(ports), folder / f"feed-{n}") for n in range(shape.feeds)
+        self.control_servers = [
+            FleetProcess(f"feed-{n}", reserve_port(ports), folder / f"feed-{n}")
+            for n in range(shape.control_servers)
         ]
         self.links: dict[tuple[str, str], Relay] = {}
         self.events: list[tuple[float, str, str]] = []
@@ -63,20 +66,20 @@
     def note(self, what: str, detail: str = "") -> None:
         self.events.append((round(time.monotonic() - self.began, 3), what, detail))
 
-    def of(self, whom: tuple[str, int]) -> Life:
-        return (self.directors if whom[0] == "directors" else self.feeds)[whom[1]]
+    def of(self, whom: tuple[str, int]) -> FleetProcess:
+        return (self.directors if whom[0] == "directors" else self.control_servers)[whom[1]]
 
     async def start(self) -> None:
         (self.folder / "tokens").write_text(f"lab {TOKEN}\n")
-        for one in (*self.directors, *self.feeds):
-            for other in self.feeds:
+        for one in (*self.directors, *self.control_servers):
+            for other in self.control_servers:
                 if one is not other:
                     await self._link(one.name, other.name, other.port)
         for one in self.directors:
-            await self._link(one.name, "board", self.world.board_port)
-        for one in (*self.feeds, *self.directors):
+            await self._link(one.name, "board", self.world.discovery_port)
+        for one in (*self.control_servers, *self.directors):
             one.folder.mkdir()
-        await asyncio.gather(*(self._start(one, is_first_start=True) for one in self.feeds))
+        await asyncio.gather(*(self._start(one, is_first_start=True) for one in self.control_servers))
         await asyncio.gather(*(self._start(one) for one in self.directors))
 
     async def _link(self, near: str, far: str, port: int) -> None:
@@ -85,19 +88,19 @@
 
     # --- lives
 
-    def command(self, director: Life) -> Command:
+    def command(self, director: FleetProcess) -> Command:
         """How a director is started, for a process beside it."""
         return director_command(self, director)
 
-    async def again(self, one: Life) -> None:
+    async def restart(self, one: FleetProcess) -> None:
         """Starts one that has ended."""
         await self._start(one)
 
-    async def _start(self, one: Life, is_first_start: bool = False) -> None:
+    async def _start(self, one: FleetProcess, is_first_start: bool = False) -> None:
         """Until it answers, or has ended with an error."""
         one.starts += 1
-        if one in self.feeds:
-            command = feed_command(self, one, is_first_start)
+        if one in self.control_servers:
+            command = control_server_command(self, one, is_first_start)
         else:
             command = director_command(self, one)
         process = await self._spawn(one, command)
@@ -110,7 +113,7 @@
             one.failed.append(tail[0] if tail else "")
             self.note("start failed", f"{one.name}: {one.failed[-1][:200]}")
 
-    async def _spawn(self, one: Life, command: Command) -> subprocess.Popen[bytes]:
+    async def _spawn(self, one: FleetProcess, command: Command) -> subprocess.Popen[bytes]:
         """In a thread, as all that touches folders: the clients' loop must not stand still for a disk."""
         folder = self.program.get(one.name, ROOT)
         arguments, environment = command
@@ -121,11 +124,13 @@
                 )
         return process
 
-    async def _is_answering(self, one: Life, process: subprocess.Popen[bytes]) -> bool:
+    async def _is_answering(self, one: FleetProcess, process: subprocess.Popen[bytes]) -> bool:
         """Waits until the process answers; false where it ends first or another takes its place."""
-        is_feed = one in self.feeds
+        is_control_server = one in self.control_servers
         while process.poll() is None and one.process is process:
-            if await (self._feed_answers(one) if is_feed else self._director_answers(one)):
+            if await (
+                self._control_server_answers(one) if is_control_server else self._director_answers(one)
+            ):
                 if one.process is process and process.poll() is None:
                     one.up = True
                     one.ups.append(time.time())
@@ -134,13 +139,13 @@
             await asyncio.sleep(LOOK_S)
         return False
 
-    async def _feed_answers(self, one: Life) -> bool:
+    async def _control_server_answers(self, one: FleetProcess) -> bool:
         with contextlib.suppress(OSError, TimeoutError, HttpStatusError):
             await fetch("127.0.0.1", one.port, "GET", "/status", TOKEN, within_s=1.0)
             return True
         return False
 
-    async def _director_answers(self, one: Life) -> bool:
+    async def _director_answers(self, one: FleetProcess) -> bool:
         with contextlib.suppress(OSError):
             pool = Pool(one.port)
             await pool.reach()
@@ -148,10 +153,10 @@
             return True
         return False
 
-    def log(self, one: Life) -> str:
+    def log(self, one: FleetProcess) -> str:
         return log_path(self, one).read_text(errors="replace")
 
-    async def end(self, one: Life, number: signal.Signals) -> None:
+    async def end(self, one: FleetProcess, number: signal.Signals) -> None:
         async with one.spawning:
             process, one.up = one.process, False
             one.downs.append(time.time())
@@ -164,7 +169,7 @@
         if process is not None and process.poll() is None:
             process.send_signal(number)
             if number is signal.SIGKILL:
-                one.hold_up(0.0)
+                one.begin_unresponsive_period(0.0)
             with contextlib.suppress(subprocess.TimeoutExpired):
                 await asyncio.to_thread(process.wait, GONE_S)
         if client is not None:
@@ -176,44 +181,39 @@
 
     # --- asking
 
-    async def stats(self, one: Life) -> dict[str, int]:
+    async def stats(self, one: FleetProcess) -> dict[str, int]:
         """What the admin endpoint says; empty where nobody answers."""
         with contextlib.suppress(*ASK_ERRORS):
-            text = (await fetch("127.0.0.1", one.door, "GET", "/stats", within_s=ASK_S)).decode()
+            text = (await fetch("127.0.0.1", one.admin_port, "GET", "/stats", within_s=ASK_S)).decode()
             pairs = (line.removeprefix("director.").partition("=") for line in text.splitlines())
             return {name: int(value) for name, _, value in pairs}
         return {}
 
-    async def status(self, one: Life) -> dict[str, Any]:
+    async def status(self, one: FleetProcess) -> dict[str, Any]:
         with contextlib.suppress(*ASK_ERRORS):
-            status: dict[str, Any] = json.loads(await self._ask_feed(one, "/status"))
+            status: dict[str, Any] = json.loads(await self._ask_control_server(one, "/status"))
             return status
         return {}
 
-    async def standing(self, one: Life) -> set[PurgeName]:
+    async def active_purges(self, one: FleetProcess) -> set[PurgeName]:
         """The purges that stand at a feed; empty where it does not answer."""
         with contextlib.suppress(*ASK_ERRORS):
-            purges = json.loads(await self._ask_feed(one, "/purges"))
+            purges = json.loads(await self._ask_control_server(one, "/purges"))
             return {PurgeName(issuer, epoch, seq) for issuer, epoch, seq, *_ in purges}
         return set()
 
-    async def _ask_feed(self, feed: Life, target: str) -> bytes:
-        return await fetch("127.0.0.1", feed.port, "GET", target, TOKEN, within_s=ASK_S)
+    async def _ask_control_server(self, control_server: FleetProcess, target: str) -> bytes:
+        return await fetch("127.0.0.1", control_server.port, "GET", target, TOKEN, within_s=ASK_S)
 
     async def close(self) -> None:
         self._fault_injector.close()
-        for one in (*self.directors, *self.feeds):
+        for one in (*self.directors, *self.control_servers):
             if one.process is not None and one.process.poll() is None:
                 one.process.kill()
                 await asyncio.to_thread(one.process.wait)
             if one.client is not None:
                 await one.client.close()
             release_port(one.port)
-            release_port(one.door)
+            release_port(one.admin_port)
         for relay in self.links.values():
             await relay.close()
-
-
-def kept_port(rng: Random) -> int:
-    """A port for as long as this process runs."""
-    return reserve_port(rng)
--- a/gladelane/lab/fleet/folders.py
+++ b/gladelane/lab/fleet/folders.py
@@ -8,24 +8,24 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from .process import Life
+from .process import FleetProcess
 
 TORN_BYTES = 7  # of the last write, which ended half way
 NO_LIMIT = -1
 
 
-def _saved_folder(one: Life) -> Path:
+def _saved_folder(one: FleetProcess) -> Path:
     return one.folder.with_name(f"{one.name}.saved")
 
 
-def save_folder(one: Life) -> None:
+def save_folder(one: FleetProcess) -> None:
     """Copies the folder, for one that comes back older."""
     copy = _saved_folder(one)
     shutil.rmtree(copy, ignore_errors=True)
     shutil.copytree(one.folder, copy, ignore=shutil.ignore_patterns("tmp", "LOCK"))
 
 
-def damage_folder(one: Life, how: str, feeds: Sequence[Life]) -> None:
+def damage_folder(one: FleetProcess, how: str, control_servers: Sequence[FleetProcess]) -> None:
     """`how`: torn, empty, older (as it was saved) or swapped (with a copy of another control server's)."""
     if how == "torn":
         for path in one.folder.rglob("*.log"):
@@ -33,7 +33,7 @@
         return
     source = one
     if how == "swapped":
-        source = next(other for other in feeds if other is not one)
+        source = next(other for other in control_servers if other is not one)
     shutil.rmtree(one.folder)
     one.folder.mkdir()
     saved = _saved_folder(one)
@@ -44,7 +44,7 @@
         shutil.copytree(source.folder, one.folder, dirs_exist_ok=True, ignore=left_out)
 
 
-def limit_file_size(one: Life, most_bytes: int) -> bool:
+def limit_file_size(one: FleetProcess, most_bytes: int) -> bool:
     """A file that may not grow is a full disk to whoever writes; root's rights do not change that. Returns
     whether there was a process to limit."""
     if one.process is None or one.process.poll() is not None:
--- a/gladelane/lab/fleet/load.py
+++ b/gladelane/lab/fleet/load.py
@@ -19,7 +19,7 @@
 from ..fake_server import Seen
 from ..processes import ROOT
 from .fleet import TOKEN, Fleet
-from .process import Life
+from .process import FleetProcess
 from .rules import Made, Purged, Sent, Service
 from .standstills import Standstills
 from .world import OBJECTS, group_of, object_id
@@ -27,7 +27,7 @@
 CLASSES = read_config((ROOT / "example" / "config.json").read_bytes()).settings.classes
 PATIENCE_S = 2.5
 WRITES = 0.06  # of all requests
-LOOK_AGAIN_S = (0.15, 0.45)
+NEXT_LOOK_S = (0.15, 0.45)
 LATE_REPEAT_S = 2.3  # after a write whose director was killed, when its client asks again there
 ANSWER_GRACE_MS = 500.0
 
@@ -105,14 +105,14 @@
             self._watching.cancel()
         self.monitor.close(now_ms())
 
-    async def _director(self) -> Life | None:
+    async def _director(self) -> FleetProcess | None:
         """One that listens. Where none does, clients look again at moments of their own, not all at once."""
         until = time.monotonic() + PATIENCE_S
         while time.monotonic() < until:
             ready = [one for one in self.fleet.directors if one.up and one.client is not None]
             if ready:
                 return self.rng.choice(ready)
-            await asyncio.sleep(self.rng.uniform(*LOOK_AGAIN_S))
+            await asyncio.sleep(self.rng.uniform(*NEXT_LOOK_S))
         return None
 
     async def _request(self, due_ms: float) -> None:
@@ -130,12 +130,12 @@
         if code is None and killed and write:
             await asyncio.sleep(max(LATE_REPEAT_S - (now_ms() - due_ms) / 1000.0, 0.0))
             # a director that lost its folder cannot know the key: nobody is to ask there past the window
-            if one.up and one.client is not None and one.kept and self.fleet.shape.warm:
+            if one.up and one.client is not None and one.has_former_folder and self.fleet.shape.warm:
                 self.counts["late_repeats"] += 1
                 await self._ask(one, cls, n, part, key, now_ms())
 
     async def _ask(
-        self, one: Life, cls: str, n: int, part: int, key: str, due_ms: float
+        self, one: FleetProcess, cls: str, n: int, part: int, key: str, due_ms: float
     ) -> tuple[int | None, bool]:
         """The answer's code, if one came, and whether its director was killed meanwhile."""
         client, spec, sent = one.client, CLASSES[cls], now_ms()
@@ -161,7 +161,7 @@
             service.ask(due_ms / 1000.0, spec.worth)
         answer = await client.ask(fields, patience_s=PATIENCE_S)
         now = now_ms()
-        killed = one.was_held_up(sent, now)
+        killed = one.was_unresponsive(sent, now)
         if answer is None:
             self.monitor.withdrawn(one.name, number)
             self.counts["lost_by_kill" if killed else "lost"] += 1
@@ -196,28 +196,34 @@
             key = f"k{self.rng.getrandbits(64):x}"
             asked_ms = now_ms()  # of the first try: a later one may be told of a purge that stands since then
             while True:
-                feed = self.rng.choice(self.fleet.feeds)
+                control_server = self.rng.choice(self.fleet.control_servers)
                 try:
-                    told = json.loads(
+                    reply = json.loads(
                         await fetch(
-                            "127.0.0.1", feed.port, "POST", "/purges", TOKEN, body, {"Idempotency-Key": key}
+                            "127.0.0.1",
+                            control_server.port,
+                            "POST",
+                            "/purges",
+                            TOKEN,
+                            body,
+                            {"Idempotency-Key": key},
                         )
                     )
                     break
                 except (OSError, HttpStatusError, TimeoutError):
                     self.counts["purges_again"] += 1
                     await asyncio.sleep(0.05)
-            told_ms = now_ms()
-            at_ms = min(max(told["at_ms"], asked_ms), told_ms)  # the feed's clock may be wrong
+            answered_ms = now_ms()
+            at_ms = min(max(reply["at_ms"], asked_ms), answered_ms)  # the feed's clock may be wrong
             self.purges.append(
                 Purged(
                     at_ms,
-                    parse(told["scope"]),
-                    told_ms,
-                    told["issuer"],
-                    told["epoch"],
-                    told["seq"],
-                    told["at_ms"],
+                    parse(reply["scope"]),
+                    answered_ms,
+                    reply["issuer"],
+                    reply["epoch"],
+                    reply["seq"],
+                    reply["at_ms"],
                 )
             )
             await asyncio.sleep(seconds / count)
--- a/gladelane/lab/fleet/owned.py
+++ b/gladelane/lab/fleet/owned.py
@@ -29,8 +29,8 @@
     works."""
 
     at: float
-    keeper: int
-    held: dict[str, tuple[str, int]]
+    lease_server: int
+    granted: dict[str, tuple[str, int]]
     numbers: dict[str, int]
 
 
@@ -58,8 +58,10 @@
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.looks: list[Look] = []
-        self.calls: list[list[Call]] = [[] for _ in fleet.feeds]  # by keeper
-        self._tasks = [asyncio.create_task(self._look(number)) for number in range(len(fleet.feeds))]
+        self.calls: list[list[Call]] = [[] for _ in fleet.control_servers]  # by keeper
+        self._tasks = [
+            asyncio.create_task(self._look(number)) for number in range(len(fleet.control_servers))
+        ]
 
     async def _look(self, number: int) -> None:
         while True:
@@ -70,11 +72,11 @@
             await asyncio.sleep(LOOK_S)
 
     async def _ask(self, number: int) -> Look:
-        port = self.fleet.feeds[number].port
-        told = json.loads(await fetch("127.0.0.1", port, "GET", "/leases", TOKEN, within_s=ANSWER_S))
-        held = {o["work"]: (o["holder"], o["number"]) for o in told["owners"] if o["holder"]}
-        numbers = {o["work"]: o["number"] for o in told["owners"]}
-        return Look(time.time(), number, held, numbers)
+        port = self.fleet.control_servers[number].port
+        reply = json.loads(await fetch("127.0.0.1", port, "GET", "/leases", TOKEN, within_s=ANSWER_S))
+        granted = {o["work"]: (o["holder"], o["number"]) for o in reply["owners"] if o["holder"]}
+        numbers = {o["work"]: o["number"] for o in reply["owners"]}
+        return Look(time.time(), number, granted, numbers)
 
     async def stop(self) -> None:
         for task in self._tasks:
@@ -88,27 +90,31 @@
         latest: dict[int, Look] = {}
         found: dict[str, list[tuple[float, str, int]]] = defaultdict(list)
         for look in sorted(self.looks):
-            latest[look.keeper] = look
+            latest[look.lease_server] = look
             votes: dict[str, Counter[tuple[str, int]]] = defaultdict(Counter)
             for one in latest.values():
-                for work, grant in one.held.items():
+                for work, grant in one.granted.items():
                     votes[work][grant] += 1
             for work, counted in votes.items():
                 (holder, number), count = counted.most_common(1)[0]
-                if 2 * count > len(self.fleet.feeds) and (not found[work] or found[work][-1][2] < number):
+                if 2 * count > len(self.fleet.control_servers) and (
+                    not found[work] or found[work][-1][2] < number
+                ):
                     found[work].append((look.at, holder, number))
         return found
 
-    def held_now(self) -> int:
+    def granted_count(self) -> int:
         """Works that a majority of keepers says are held, by what each said last."""
         return len(self.holders())
 
     def holders(self) -> dict[str, str]:
         """Who holds each work now: what a majority of keepers says, by what each said last."""
-        latest = {look.keeper: look for look in sorted(self.looks)}
-        votes = Counter((work, grant) for look in latest.values() for work, grant in look.held.items())
+        latest = {look.lease_server: look for look in sorted(self.looks)}
+        votes = Counter((work, grant) for look in latest.values() for work, grant in look.granted.items())
         return {
-            work: holder for (work, (holder, _)), count in votes.items() if 2 * count > len(self.fleet.feeds)
+            work: holder
+            for (work, (holder, _)), count in votes.items()
+            if 2 * count > len(self.fleet.control_servers)
         }
 
     async def look_now(self) -> None:
@@ -126,16 +132,20 @@
         wrong: list[str] = []
         by: dict[tuple[str, int], dict[str, set[int]]] = defaultdict(lambda: defaultdict(set))
         for look in sorted(self.looks):
-            for work, (holder, number) in look.held.items():
-                by[work, number][holder].add(look.keeper)
+            for work, (holder, number) in look.granted.items():
+                by[work, number][holder].add(look.lease_server)
         for (work, number), holders in by.items():
             # candidates that claim one number at once part the keepers: that is no fault
-            many = [keepers for keepers in holders.values() if 2 * len(keepers) > len(self.fleet.feeds)]
-            granted = [keeper for keepers in holders.values() for keeper in keepers]
+            many = [
+                lease_servers
+                for lease_servers in holders.values()
+                if 2 * len(lease_servers) > len(self.fleet.control_servers)
+            ]
+            granted = [lease_server for lease_servers in holders.values() for lease_server in lease_servers]
             if len(many) > 1 or len(granted) > len(set(granted)):
                 wrong.append(f"{work} {number}: {dict(holders)}")
-        for work, told in self.owners().items():
-            numbers = [number for _, _, number in told]
+        for work, owners in self.owners().items():
+            numbers = [number for _, _, number in owners]
             if numbers != sorted(set(numbers)):
                 wrong.append(f"{work}: {numbers}")
         return wrong
@@ -144,9 +154,9 @@
         """For each work that one of these had when they ended: seconds until another had it, infinite where
         none has."""
         found = []
-        for told in self.owners().values():
-            before = [one for one in told if one[0] <= ended]
-            after = [one for one in told if one[0] > ended]
+        for owners in self.owners().values():
+            before = [one for one in owners if one[0] <= ended]
+            after = [one for one in owners if one[0] > ended]
             if before and before[-1][1] in holders:
                 found.append(after[0][0] - ended if after else math.inf)
         return found
--- a/gladelane/lab/fleet/process.py
+++ b/gladelane/lab/fleet/process.py
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class HeldUp:
+class UnresponsivePeriod:
     """A period in which a process answers nothing, Unix ms."""
 
     start_ms: float
@@ -24,7 +24,7 @@
 
 
 @dataclass(eq=False)
-class Life:
+class FleetProcess:
     """One process and its successors. up: it answers; kept: it found the folder of the one before it. ups and
     downs: when one began to answer and when one was ended; stops and resumes: when one was sent SIGSTOP and,
     if it lived on until then, SIGCONT. Unix s."""
@@ -34,10 +34,10 @@
     folder: Path
     process: subprocess.Popen[bytes] | None = None
     up: bool = False
-    kept: bool = True
+    has_former_folder: bool = True
     starts: int = 0
     client: Pool | None = None
-    door: int = 0
+    admin_port: int = 0
     failed: list[str] = field(default_factory=list)
     spawning: asyncio.Lock = field(default_factory=asyncio.Lock)
     ups: list[float] = field(default_factory=list)
@@ -45,7 +45,7 @@
     stops: list[float] = field(default_factory=list)
     resumes: list[float] = field(default_factory=list)
     stopped: subprocess.Popen[bytes] | None = None  # the process that stands still, until it is resumed
-    held_up: list[HeldUp] = field(default_factory=list)
+    unresponsive_periods: list[UnresponsivePeriod] = field(default_factory=list)
 
     def stop(self) -> None:
         """SIGSTOP, if a process runs."""
@@ -62,16 +62,16 @@
                 self.resumes.append(time.time())
         self.stopped = None
 
-    def hold_up(self, until_ms: float = math.inf) -> None:
+    def begin_unresponsive_period(self, until_ms: float = math.inf) -> None:
         """From now on what it had open may never be answered, or late."""
         now_ms = time.time() * 1000.0
-        self.held_up.append(HeldUp(now_ms, max(until_ms, now_ms + NOTICED_MS)))
+        self.unresponsive_periods.append(UnresponsivePeriod(now_ms, max(until_ms, now_ms + NOTICED_MS)))
 
-    def end_hold_up(self) -> None:
+    def end_unresponsive_period(self) -> None:
         """It runs again, and has some time to catch up."""
-        for period in self.held_up:
+        for period in self.unresponsive_periods:
             period.end_ms = min(period.end_ms, time.time() * 1000.0 + NOTICED_MS)
 
-    def was_held_up(self, sent_ms: float, now_ms: float) -> bool:
+    def was_unresponsive(self, sent_ms: float, now_ms: float) -> bool:
         """Whether a request that was open for so long was open at a process that was killed or stopped."""
-        return any(one.start_ms <= now_ms and sent_ms <= one.end_ms for one in self.held_up)
+        return any(one.start_ms <= now_ms and sent_ms <= one.end_ms for one in self.unresponsive_periods)
--- a/gladelane/lab/fleet/relay.py
+++ b/gladelane/lab/fleet/relay.py
@@ -22,8 +22,8 @@
     OPEN = "open"
     CLOSED = "closed"  # connections are reset, new ones refused
     SILENT = "silent"  # nothing passes and nobody is told
-    ONEWAY = "oneway"  # what the near end says arrives, the far end's answers do not
-    MUTE = "mute"  # the far end's words arrive, what the near end says does not
+    REPLIES_BLOCKED = "oneway"  # what the near end says arrives, the far end's answers do not
+    REQUESTS_BLOCKED = "mute"  # the far end's words arrive, what the near end says does not
     SLOW = "slow"
     HALFWAY = "halfway"  # connections are reset in the middle of an answer
 
@@ -112,7 +112,9 @@
         passed = 0
         with suppress(OSError):
             while data := await reader.read(READ_BYTES):
-                while self.state is State.SILENT or self.state is (State.ONEWAY if back else State.MUTE):
+                while self.state is State.SILENT or self.state is (
+                    State.REPLIES_BLOCKED if back else State.REQUESTS_BLOCKED
+                ):
                     await self._healed.wait()
                 if self.state is State.SLOW:
                     await asyncio.sleep(SLOW_S)
--- a/gladelane/lab/fleet/replicated.py
+++ b/gladelane/lab/fleet/replicated.py
@@ -7,17 +7,17 @@
 
 from ...control_plane.http import HttpStatusError, fetch
 from .fleet import TOKEN
-from .process import Life
+from .process import FleetProcess
 
 Positions = Mapping[
     tuple[str, int], int
 ]  # by director and start: the last interval up to which all are there
 
 
-async def positions_at(feed: Life) -> Positions | None:
+async def positions_at(control_server: FleetProcess) -> Positions | None:
     """None: it does not answer."""
     try:
-        answer = await fetch("127.0.0.1", feed.port, "GET", "/fleet/marks", TOKEN)
+        answer = await fetch("127.0.0.1", control_server.port, "GET", "/fleet/marks", TOKEN)
         return {(director, start): upto for director, start, upto in json.loads(answer).get("marks", [])}
     except (OSError, HttpStatusError, TimeoutError):
         return None
--- a/gladelane/lab/fleet/rules.py
+++ b/gladelane/lab/fleet/rules.py
@@ -49,7 +49,7 @@
 
     at_ms: float
     scope: Scope
-    told_ms: float = 0.0
+    answered_ms: float = 0.0
     issuer: str = ""
     epoch: int = 0
     seq: int = 0
@@ -84,11 +84,11 @@
 def stale(made: list[Made], purges: list[Purged], delay_ms: float) -> list[Made]:
     """Answers asked for more than the delay after a purge was answered, from a copy older than it."""
     index, place, found = Index(), 0, []
-    ordered = sorted(purges, key=lambda purge: max(purge.at_ms, purge.told_ms))
+    ordered = sorted(purges, key=lambda purge: max(purge.at_ms, purge.answered_ms))
     for answer in sorted(made, key=lambda answer: answer.sent_ms):
         while place < len(ordered):
             purge = ordered[place]
-            if max(purge.at_ms, purge.told_ms) + delay_ms > answer.sent_ms:
+            if max(purge.at_ms, purge.answered_ms) + delay_ms > answer.sent_ms:
                 break
             index.add(purge.scope, purge.at_ms)
             place += 1
@@ -130,7 +130,7 @@
     A share, no rate: arrivals are random, and what is asked for in two spans of HELD_S differs by more than
     the twentieth that is looked for."""
 
-    SHARE, HELD_S, STEP_S = 0.95, 2.0, 0.1
+    SHARE, PERIOD_S, STEP_S = 0.95, 2.0, 0.1
 
     def __init__(self) -> None:
         self._asked: list[tuple[float, float]] = []  # when due, worth
@@ -144,12 +144,12 @@
             joined._earned += service._earned
         return joined
 
-    def ask(self, due_s: float, worth: float) -> None:
-        self._asked.append((due_s, worth))
+    def ask(self, due_s: float, weight: float) -> None:
+        self._asked.append((due_s, weight))
 
-    def earn(self, due_s: float, worth: float) -> None:
+    def earn(self, due_s: float, weight: float) -> None:
         """What was asked for then was answered in time."""
-        self._earned.append((due_s, worth))
+        self._earned.append((due_s, weight))
 
     def full_after(self, fault: float, before: tuple[float, float], until: float) -> float:
         """Seconds from a fault to the first moment from which 95 % of the share before is kept for 2 s;
@@ -157,13 +157,13 @@
         asked, earned = RunningSum(self._asked), RunningSum(self._earned)
 
         def share(start: float, end: float) -> float:
-            worth = asked.between(start, end)
-            return earned.between(start, end) / worth if worth else 0.0
+            weight = asked.between(start, end)
+            return earned.between(start, end) / weight if weight else 0.0
 
         wanted = self.SHARE * share(*before)
         moment = fault
-        while moment + self.HELD_S <= until:
-            if share(moment, moment + self.HELD_S) >= wanted > 0.0:
+        while moment + self.PERIOD_S <= until:
+            if share(moment, moment + self.PERIOD_S) >= wanted > 0.0:
                 return moment - fault
             moment += self.STEP_S
         return float("inf")
--- a/gladelane/lab/fleet/shape.py
+++ b/gladelane/lab/fleet/shape.py
@@ -11,7 +11,7 @@
     each feed, how its wall clock is wrong (`stepped`)."""
 
     directors: int = 12
-    feeds: int = 2
+    control_servers: int = 2
     copies: int = 2
     marks: bool = False
     warm: bool = True
@@ -22,13 +22,13 @@
     strict: tuple[str, ...] = ("question-item",)
     audit: bool = False
     alone: str = "out"
-    board_ms: float = 0.0
-    tenure_ms: float = 3000.0
+    endpoint_list_timeout_ms: float = 0.0
+    view_lease_ms: float = 3000.0
     behind_ms: float = 8000.0
     share: float = 0.25
-    trail: bool = True  # each director has a folder for its trail
+    has_activity_log: bool = True  # each director has a folder for its trail
     enforce: bool = True
     owners: bool = False  # feeds are keepers, directors own shards of orders
     lease_ms: float = 1500.0
     shards: int = 8
-    feed_clocks: tuple[str, ...] = ()
+    control_server_clocks: tuple[str, ...] = ()
--- a/gladelane/lab/fleet/standstills.py
+++ b/gladelane/lab/fleet/standstills.py
@@ -39,6 +39,6 @@
         place = bisect_right(self._ticks, at_ms)
         if place == 0:
             return 0.0
-        took_ms = at_ms - self._ticks[max(place - STEPS, 0)]
+        elapsed_ms = at_ms - self._ticks[max(place - STEPS, 0)]
         # at rest a tick may be late by nearly another one, since it waits for the turn that runs then
-        return took_ms - TICK_MS * STEPS if took_ms > 2.0 * TICK_MS * STEPS else 0.0
+        return elapsed_ms - TICK_MS * STEPS if elapsed_ms > 2.0 * TICK_MS * STEPS else 0.0
--- a/gladelane/lab/fleet/world.py
+++ b/gladelane/lab/fleet/world.py
@@ -32,25 +32,25 @@
 
 class World:
     def __init__(self) -> None:
-        self.board = FakeDiscovery()
+        self.discovery = FakeDiscovery()
         self.origin = FakeCacheStore()
         self.hub = FakeCacheStore({"bank": self.origin}, HUB_S)
         self.caches = [
             FakeCacheStore({"depot": self.hub, "bank": self.origin}, CACHE_S) for _ in range(CACHES)
         ]
-        self.shelves = {"depot": self.hub, "bank": self.origin}
-        self.shelves |= {f"cache-{n}": shelf for n, shelf in enumerate(self.caches)}
-        self.standins: dict[str, FakeServer] = {}
+        self.stores = {"depot": self.hub, "bank": self.origin}
+        self.stores |= {f"cache-{n}": store for n, store in enumerate(self.caches)}
+        self.fake_servers: dict[str, FakeServer] = {}
         self.addresses: dict[str, str] = {}
-        self.started: dict[str, float] = dict.fromkeys(self.shelves, 0.0)
-        self.lifecycle: dict[str, str] = dict.fromkeys(self.shelves, "in_service")
+        self.started: dict[str, float] = dict.fromkeys(self.stores, 0.0)
+        self.lifecycle: dict[str, str] = dict.fromkeys(self.stores, "in_service")
         self.saved: dict[str, dict[PartKey, float]] = {}
         self.ran: list[Ran] = []
         self.at_once: Counter[str] = Counter()
         self.most_at_once: Counter[str] = Counter()
         self.drained_ms: dict[str, float] = {}
         self.after_drain = 0  # requests to a drained cache past the second that directors have
-        self.board_port = 0
+        self.discovery_port = 0
         self.orders: list[tuple[str, float, str]] = []  # to drop copies: to whom, when, what
         self.watch: Callable[[str, Seen], None] = lambda _name, _seen: None  # hears of each attempt
         self._late: list[dict[str, Any]] = []
@@ -58,25 +58,26 @@
 
     async def start(self) -> None:
         groups = {object_id(n): group_of(n) for n in range(OBJECTS)}
-        for name, shelf in self.shelves.items():
-            self.standins[name] = standin = FakeServer(name, lambda seen, name=name: self._answer(name, seen))  # type: ignore[misc]
-            shelf.groups = groups
-            standin.drop = partial(self._drop, name)
-            self.addresses[name] = await standin.listen(Family.V4)
-        self.board_port = int((await self.board.start()).rpartition(":")[2])
-        self.board.tell(
+        for name, store in self.stores.items():
+            fake_server = FakeServer(name, partial(self._answer, name))
+            self.fake_servers[name] = fake_server
+            store.groups = groups
+            fake_server.drop = partial(self._drop, name)
+            self.addresses[name] = await fake_server.listen(Family.V4)
+        self.discovery_port = int((await self.discovery.start()).rpartition(":")[2])
+        self.discovery.tell(
             {
                 "pool": {
                     "generation": 1,
                     "reset": True,
-                    "instances": [self.instance(name) for name in self.shelves],
+                    "instances": [self.instance(name) for name in self.stores],
                 }
             }
         )
 
     def _drop(self, name: str, order: str) -> None:
         self.orders.append((name, now_ms(), order))
-        self.shelves[name].drop(order)
+        self.stores[name].drop(order)
 
     def instance(self, name: str) -> dict[str, Any]:
         kind = {"depot": "parent", "bank": "origin"}.get(name, "standard")
@@ -99,13 +100,13 @@
         if key:
             self.ran.append(Ran(key, now_ms()))
             return "served digest=d,dated=0,remark=h", b"\x00"
-        return self._held(name, seen)
+        return self._answer_counted(name, seen)
 
-    async def _held(self, name: str, seen: Seen) -> Said:
+    async def _answer_counted(self, name: str, seen: Seen) -> Said:
         self.at_once[name] += 1
         self.most_at_once[name] = max(self.most_at_once[name], self.at_once[name])
         try:
-            return await self.shelves[name].answer(seen)
+            return await self.stores[name].answer(seen)
         finally:
             self.at_once[name] -= 1
 
@@ -113,18 +114,18 @@
 
     def tell(self, name: str) -> None:
         """The board says how it is now; held back while the board is late."""
-        notice = {"pool": {"instances": [self.instance(name)]}}
+        watch_event = {"pool": {"instances": [self.instance(name)]}}
         if self._holding:
-            self._late.append(notice)
+            self._late.append(watch_event)
         else:
-            self.board.tell(notice)
+            self.discovery.tell(watch_event)
 
-    def hold_board(self, on: bool) -> None:
+    def hold_discovery(self, on: bool) -> None:
         self._holding = on
         if not on:
             late, self._late = self._late, []
-            for notice in late:
-                self.board.tell(notice)
+            for watch_event in late:
+                self.discovery.tell(watch_event)
 
     def drain(self, name: str, out: bool) -> None:
         self.lifecycle[name] = "terminating" if out else "in_service"
@@ -136,23 +137,23 @@
 
     async def renew(self, name: str) -> None:
         """Its process dies and comes up anew with the copies that were saved, or none."""
-        standin, address = self.standins[name], self.addresses[name]
-        await standin.set(address, Fault.REFUSED)
+        fake_server, address = self.fake_servers[name], self.addresses[name]
+        await fake_server.set(address, Fault.REFUSED)
         self.lifecycle[name] = "terminated"
         self.tell(name)
         await asyncio.sleep(0.3)
-        self.shelves[name].copies = dict(self.saved.get(name, {}))
-        await standin.set(address, Fault.NONE)
+        self.stores[name].copies = dict(self.saved.get(name, {}))
+        await fake_server.set(address, Fault.NONE)
         self.lifecycle[name], self.started[name] = "in_service", now_ms()
         self.tell(name)
 
     def pushed_over(self, per_s: int) -> list[str]:
         """Servers that were asked for more than they bear. per_s: the origin's busiest second."""
-        most = dict.fromkeys(self.shelves, CACHE_MOST) | {"depot": HUB_MOST}
+        most = dict.fromkeys(self.stores, CACHE_MOST) | {"depot": HUB_MOST}
         pushed = [name for name, count in self.most_at_once.items() if count > most[name]]
         return pushed + (["bank"] if per_s > ORIGIN_PER_S else [])
 
     async def close(self) -> None:
-        await self.board.close()
-        for standin in self.standins.values():
-            await standin.close()
+        await self.discovery.close()
+        for fake_server in self.fake_servers.values():
+            await fake_server.close()
--- a/tests/fleet/test_audit.py
+++ b/tests/fleet/test_audit.py
@@ -30,13 +30,14 @@
 from gladelane.audit.wire import Report, ReportReply
 from gladelane.control_plane.http import HttpStatusError, fetch
 from gladelane.lab.fleet.audited import asked, play_audited
-from gladelane.lab.fleet.fleet import TOKEN, Fleet, kept_port
+from gladelane.lab.fleet.fleet import TOKEN, Fleet
 from gladelane.lab.fleet.load import Load
+from gladelane.lab.fleet.ports import reserve_port
 from gladelane.lab.fleet.relay import State
 from gladelane.lab.fleet.shape import Shape
 from gladelane.lab.processes import ROOT
 
-SHORT = {"tenure_ms": 2000.0, "behind_ms": 4000.0}
+SHORT = {"view_lease_ms": 2000.0, "behind_ms": 4000.0}
 WAIT_S = 60.0  # many times what it takes
 # of six directors' 15 s each: three are killed up to a report's time and a timeout after their last checkpoint
 UNKNOWN_OF_KILLED = 3 * (0.4 * REPORT_JITTER[1] + REPORT_TIMEOUT_S) / (6 * 15.0)
@@ -161,7 +162,7 @@
             5.0,
             0,
             None,
-            {"directors": 3, "enforce": False, "tenure_ms": 1500.0},
+            {"directors": 3, "enforce": False, "view_lease_ms": 1500.0},
         )
     )
     assert figures["acted_after_out"] > 10 and figures["contradictions"] == []
@@ -184,7 +185,9 @@
 
 def test_a_list_that_nobody_vouches_for_any_more_is_not_acted_on_where_the_board_has_a_tenure() -> None:
     line = "0.5 cut directors:*>board silent for 6; 1 drain caches:0 out; 6.2 drain caches:0 in"
-    bound, free = (run(line, 8.0, 0, None, board_ms=board, directors=3) for board in (2500.0, 0.0))
+    bound, free = (
+        run(line, 8.0, 0, None, endpoint_list_timeout_ms=board, directors=3) for board in (2500.0, 0.0)
+    )
     assert free["after_drain"] > 20 and bound["after_drain"] < 0.5 * free["after_drain"]
     assert (
         bound["most_out_at_once"] == free["most_out_at_once"] == 0
@@ -224,7 +227,7 @@
 
 async def expect(fleet: Fleet, part: str, *digests: str) -> None:
     body = json.dumps({"part": part, "digests": digests}).encode()
-    await fetch("127.0.0.1", fleet.feeds[0].port, "POST", "/fleet/expect", TOKEN, body)
+    await fetch("127.0.0.1", fleet.control_servers[0].port, "POST", "/fleet/expect", TOKEN, body)
 
 
 async def stage_of(fleet: Fleet, director: str, number: int = 0) -> str:
@@ -245,9 +248,20 @@
 
     async def scene() -> None:
         async with fleet_of(
-            tmp_path, directors=6, feeds=2, audit=True, tenure_ms=2000.0, behind_ms=3000.0, share=0.5
+            tmp_path,
+            directors=6,
+            control_servers=2,
+            audit=True,
+            view_lease_ms=2000.0,
+            behind_ms=3000.0,
+            share=0.5,
         ) as fleet:
-            feed = ["--feed", f"127.0.0.1:{fleet.feeds[0].port}", "--tokens", str(tmp_path / "tokens")]
+            feed = [
+                "--feed",
+                f"127.0.0.1:{fleet.control_servers[0].port}",
+                "--tokens",
+                str(tmp_path / "tokens"),
+            ]
 
             async def stages() -> dict[str, str]:
                 told = {name: await stage_of(fleet, name) for name in (f"director-{n}" for n in range(6))}
@@ -322,7 +336,7 @@
 ) -> None:
     async def scene() -> None:
         async with fleet_of(
-            tmp_path, directors=3, feeds=2, audit=True, tenure_ms=2000.0, behind_ms=3000.0
+            tmp_path, directors=3, control_servers=2, audit=True, view_lease_ms=2000.0, behind_ms=3000.0
         ) as fleet:
             # a director's folder, copied: another process of its name, elsewhere
             one, twin = fleet.directors[0], fleet.directors[2]
@@ -334,15 +348,15 @@
             await asyncio.to_thread(shutil.rmtree, twin.folder / "trail")
             os.rename(twin.folder / "copied", twin.folder / "trail")
             fleet.names["director-2"] = "director-0"
-            await fleet.again(twin)
+            await fleet.restart(twin)
             # and a feed that hears neither its peer nor of purges
             cut = [fleet.links["feed-1", "feed-0"], fleet.links["feed-0", "feed-1"]]
             for relay in cut:
                 relay.set(State.CLOSED)
             load = Load(fleet, random.Random(3))
-            fleet_feeds, fleet.feeds = fleet.feeds, fleet.feeds[:1]
+            fleet_feeds, fleet.control_servers = fleet.control_servers, fleet.control_servers[:1]
             await load.purge(5, 0.5)
-            fleet.feeds = fleet_feeds
+            fleet.control_servers = fleet_feeds
             await asyncio.sleep(4.0)  # longer than the time that a director may lag
 
             def says(text: str) -> Callable[[dict[str, Any]], bool]:
@@ -377,7 +391,7 @@
 ) -> None:
     async def scene() -> None:
         rng = random.Random(5)
-        async with fleet_of(tmp_path, directors=0, feeds=2, audit=True) as fleet:
+        async with fleet_of(tmp_path, directors=0, control_servers=2, audit=True) as fleet:
             view = View("m", 1)
             trails = [ActivityLog(f"d{n}", 1, view_id(view), {}, 1000.0) for n in range(5)]
             for trail in trails:
@@ -392,7 +406,7 @@
                 told = Report(
                     trail.director, 1, "z", 0.0, view, trail.intervals()[n : n + 4], {view_id(view): view}
                 )
-                feed = rng.choice(fleet.feeds)
+                feed = rng.choice(fleet.control_servers)
                 call = asyncio.ensure_future(
                     fetch(
                         "127.0.0.1",
@@ -406,7 +420,7 @@
                 )
                 if rng.random() < 0.1:  # between storing and answering, or a little before or after
                     await asyncio.sleep(rng.uniform(0.0, 0.004))
-                    await struck(fleet, f"0 kill feeds:{fleet.feeds.index(feed)}")
+                    await struck(fleet, f"0 kill feeds:{fleet.control_servers.index(feed)}")
                 try:
                     answered.append(msgspec.json.decode(await call, type=ReportReply))
                 except (OSError, HttpStatusError, TimeoutError):
@@ -486,8 +500,8 @@
             return True
 
     async def scene() -> None:
-        async with fleet_of(tmp_path, directors=0, feeds=1, audit=True) as fleet:
-            feed = fleet.feeds[0]
+        async with fleet_of(tmp_path, directors=0, control_servers=1, audit=True) as fleet:
+            feed = fleet.control_servers[0]
             told: Any = Told([feed.port])
             clock = lambda: time.time() * 1000.0  # noqa: E731
             services = [
@@ -506,7 +520,7 @@
             await until(lambda: holds() == 0, WAIT_S)
             before_s = await asyncio.to_thread(time_imports, 2)
             began = time.monotonic()
-            await fleet.again(feed)
+            await fleet.restart(feed)
             back = time.monotonic()
             await until(lambda: holds() == 200, WAIT_S)
             took = time.monotonic() - back
@@ -521,8 +535,13 @@
 @pytest.mark.parametrize("word", ["audit", "versions"])
 def test_a_feed_that_takes_no_reports_says_so(tmp_path: Path, word: str) -> None:
     async def scene() -> None:
-        async with fleet_of(tmp_path, directors=0, feeds=1) as fleet:
-            feed = ["--feed", f"127.0.0.1:{fleet.feeds[0].port}", "--tokens", str(tmp_path / "tokens")]
+        async with fleet_of(tmp_path, directors=0, control_servers=1) as fleet:
+            feed = [
+                "--feed",
+                f"127.0.0.1:{fleet.control_servers[0].port}",
+                "--tokens",
+                str(tmp_path / "tokens"),
+            ]
             code, text = await said("fleet", word, *(["--at", "now"] if word == "audit" else []), *feed)
             assert code == 1 and "404" in text
 
@@ -531,7 +550,7 @@
 
 def test_an_upgrade_is_two_starts_of_one_director_and_the_trails_folder_goes_over(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with fleet_of(tmp_path, directors=1, feeds=1, audit=True) as fleet:
+        async with fleet_of(tmp_path, directors=1, control_servers=1, audit=True) as fleet:
             one, file = fleet.directors[0], tmp_path / "director-0.json5"
             told = json.loads(file.read_text())
             told["purges"]["dir"] = ""  # one folder of purges cannot be open twice
@@ -544,7 +563,7 @@
             await struck(fleet, "0 term directors:0")
             command, env = fleet.command(one)
             raw = json.loads((tmp_path / "director-0.json").read_text())
-            raw["ops"] = f"127.0.0.1:{kept_port(random.Random(9))}"
+            raw["ops"] = f"127.0.0.1:{reserve_port(random.Random(9))}"
             (tmp_path / "newer.json").write_text(json.dumps(raw))
             with open(tmp_path / "newer.log", "wb") as log:
                 newer = await asyncio.create_subprocess_exec(
--- a/tests/fleet/test_audit_pure.py
+++ b/tests/fleet/test_audit_pure.py
@@ -21,6 +21,7 @@
 from gladelane.audit.view import ALL_PARTS, Order, Part, View, compare, compare_part, relevant_parts, view_id
 from gladelane.audit.view_lease import MissingParts, Stage, Verdict, ViewLease
 from gladelane.audit.wire import ExpectedDigests, Report
+from gladelane.lab.fleet.audited import caught, planted
 from gladelane.lab.view_leases import ESCALATION_PLANTS, LEASE_PLANTS, searched, searched_all
 
 views = st.builds(
@@ -207,6 +208,18 @@
     assert change is None or any(wrong.what == "doubled" for wrong in find_inconsistencies(ledger))
 
 
+def test_each_planted_alteration_is_caught_in_the_store() -> None:
+    log = ActivityLog("d", 1, view_name(0), {"film": 2.0}, 10_000.0)
+    for turn in range(1, 7):
+        log.record_attempt("film")
+        log.close_interval(view_name(turn), {"film": [turn, 0, 0]}, 10_000.0 + turn * 10.0)
+    store = AuditStore()
+    store.add(report(log))
+    altered = planted(store, random.Random(1))
+    assert len(altered) == 8 and not caught(store)
+    assert [name for name, one in altered.items() if not caught(one)] == []
+
+
 def test_views_under_wrong_names_and_moments_after_the_report_are_seen() -> None:
     trail, _ = trail_of(3, random.Random(1))
     lied = report(trail)
--- a/tests/fleet/test_coming_back.py
+++ b/tests/fleet/test_coming_back.py
@@ -21,11 +21,11 @@
 from gladelane.lab.client import Answer
 from gladelane.lab.fake_server import Fault
 from gladelane.lab.fleet.client_pool import Pool
-from gladelane.lab.fleet.commands import FEED
+from gladelane.lab.fleet.commands import CONTROL_SERVER
 from gladelane.lab.fleet.day import play
 from gladelane.lab.fleet.faults import read_line
 from gladelane.lab.fleet.fleet import TOKEN, Fleet
-from gladelane.lab.fleet.process import Life
+from gladelane.lab.fleet.process import FleetProcess
 from gladelane.lab.fleet.shape import Shape
 from gladelane.lab.fleet.world import World
 
@@ -180,7 +180,7 @@
 def test_feeds_whose_clocks_are_wrong_or_stepped_make_no_answer_stale(
     clocks: tuple[str, ...], feeds: int, line: str
 ) -> None:
-    shape = {"directors": 3, "feeds": feeds, "copies": feeds, "feed_clocks": clocks}
+    shape = {"directors": 3, "control_servers": feeds, "copies": feeds, "control_server_clocks": clocks}
     figures = run(SAVED + line, 7.0, 10, **shape)
     assert figures["stale_other"] == 0 and figures["purges"] >= 40, figures
     assert figures["failed"] < 0.02 * figures["asked"], figures
@@ -240,12 +240,14 @@
 
 
 async def struck(fleet: Fleet, line: str) -> None:
-    for step in read_line(line, {"directors": len(fleet.directors), "feeds": len(fleet.feeds)}, Random(1)):
+    for step in read_line(
+        line, {"directors": len(fleet.directors), "feeds": len(fleet.control_servers)}, Random(1)
+    ):
         await fleet.strike(step)
 
 
 async def asked_until_attempted(
-    director: Life, fields: dict[str, str], attempts: Callable[[], int]
+    director: FleetProcess, fields: dict[str, str], attempts: Callable[[], int]
 ) -> asyncio.Future[Answer | None]:
     """The request of which an attempt has begun at the origin. One that is refused before any attempt is asked
     again: a director whose process stood still for over 0.1 s sheds load, and nothing is known of the key then."""
@@ -267,8 +269,8 @@
     """Without the folder it is: what a killed director was asked before, nobody knows."""
 
     async def scene() -> None:
-        async with fleet_of(tmp_path, directors=1, feeds=0, warm=kept) as fleet:
-            one, bank = fleet.directors[0], fleet.world.standins["bank"]
+        async with fleet_of(tmp_path, directors=1, control_servers=0, warm=kept) as fleet:
+            one, bank = fleet.directors[0], fleet.world.fake_servers["bank"]
             await bank.set(fleet.world.addresses["bank"], Fault.STALL)
             fields = {"c": "answer-submit", "i": "00000000000000a1", "d": "1500", "o": "00000000000000ff", "chunk": "0", "tag": "1",
                       "m": "4", "k": "5c" * 16}  # fmt: skip
@@ -298,7 +300,12 @@
 
 async def said(*words: str) -> tuple[int, str]:
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-c", FEED, *words, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT
+        sys.executable,
+        "-c",
+        CONTROL_SERVER,
+        *words,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.STDOUT,
     )
     text = (await process.communicate())[0].decode()
     return process.returncode or 0, text
@@ -307,7 +314,7 @@
 async def seeded(fleet: Fleet, doors: list[str]) -> bool:
     """Whether all feeds have the purges of before from the director that lived, and all directors know of the
     loss."""
-    standing = [await fleet.standing(feed) for feed in fleet.feeds]
+    standing = [await fleet.active_purges(feed) for feed in fleet.control_servers]
     _, text = await said("fleet", "status", "--json", *doors)
     told = json.loads(text)
     return all(standing) and all(told.get(door, {}).get("purges_known_since_ms", 0) > 0 for door in doors)
@@ -315,9 +322,14 @@
 
 def test_the_runbook_for_lost_state_command_by_command(tmp_path: Path) -> None:
     async def scene() -> None:
-        async with fleet_of(tmp_path, directors=2, feeds=2) as fleet:
-            doors = [f"127.0.0.1:{one.door}" for one in fleet.directors]
-            feed = ["--feed", f"127.0.0.1:{fleet.feeds[0].port}", "--tokens", str(tmp_path / "tokens")]
+        async with fleet_of(tmp_path, directors=2, control_servers=2) as fleet:
+            doors = [f"127.0.0.1:{one.admin_port}" for one in fleet.directors]
+            feed = [
+                "--feed",
+                f"127.0.0.1:{fleet.control_servers[0].port}",
+                "--tokens",
+                str(tmp_path / "tokens"),
+            ]
             code, text = await said("purge", "send", "group:3", *feed)
             assert code == 0 and "group:3" in text
             code, text = await said("purge", "vouch", "--all", *feed)
@@ -341,7 +353,7 @@
                 if code == 0:
                     break
             assert code == 0 and text.count("full") >= 2 and text.count(" all ") == 2, text
-            status = await fleet.status(fleet.feeds[1])
+            status = await fleet.status(fleet.control_servers[1])
             assert (
                 all("lab: ticket 4711" in loss[4] for loss in status["losses"]) and status["horizon_ms"] == 0
             )
--- a/tests/fleet/test_owners.py
+++ b/tests/fleet/test_owners.py
@@ -19,7 +19,7 @@
 from gladelane.lab.fleet.fleet import Fleet
 from gladelane.lab.fleet.load import Load
 from gladelane.lab.fleet.owned import Call, Watch, followed, majority_late_s, ordered, orders, settled
-from gladelane.lab.fleet.process import Life
+from gladelane.lab.fleet.process import FleetProcess
 
 SHARDS = 8
 WAIT_S = 30.0  # many times what it takes
@@ -35,7 +35,7 @@
 
     async def whole() -> tuple[float, int]:
         async with fleet_of(
-            folder, directors=directors, feeds=3, copies=1, owners=owners, shards=SHARDS
+            folder, directors=directors, control_servers=3, copies=1, owners=owners, shards=SHARDS
         ) as fleet:
             load, watch = Load(fleet, random.Random(4)), Watch(fleet)
             try:
@@ -52,9 +52,9 @@
     return asyncio.run(whole())
 
 
-async def busiest(fleet: Fleet, watch: Watch) -> Life:
+async def busiest(fleet: Fleet, watch: Watch) -> FleetProcess:
     """The director with the most shards, once all are held. Who has which hangs on who started first."""
-    await until(lambda: watch.held_now() == SHARDS, WAIT_S)
+    await until(lambda: watch.granted_count() == SHARDS, WAIT_S)
     holder, _ = Counter(watch.holders().values()).most_common(1)[0]
     return next(one for one in fleet.directors if one.name == holder)
 
@@ -68,7 +68,7 @@
             left = time.time()
             await fleet.end(leaver, signal.SIGTERM)
             await followed(watch, left, leaver.name)
-            await fleet.again(leaver)
+            await fleet.restart(leaver)
 
 
 def test_a_purge_is_ordered_once_a_server_where_each_shard_has_one_owner(tmp_path: Path) -> None:
@@ -80,7 +80,12 @@
         owners = {told[-1][1] for told in watch.owners().values()}
         assert len(owners) >= (3 if watch.owners() else 0)
         if watch.owners():
-            feed = ["--feed", f"127.0.0.1:{fleet.feeds[0].port}", "--tokens", str(fleet.folder / "tokens")]
+            feed = [
+                "--feed",
+                f"127.0.0.1:{fleet.control_servers[0].port}",
+                "--tokens",
+                str(fleet.folder / "tokens"),
+            ]
             code, text = await said("fleet", "owners", *feed)
             assert code == 0 and "orders-000" in text and "director-" in text
 
@@ -112,7 +117,7 @@
         await asyncio.sleep(1.0)
         sleeper.process.send_signal(signal.SIGCONT)
         gaps.extend(await followed(watch, began, killed.name))
-        await fleet.again(killed)
+        await fleet.restart(killed)
         await purging
         # one that leaves on purpose gives back what it has: nobody waits for its leases to run out
         leaver = await busiest(fleet, watch)
@@ -123,7 +128,7 @@
         assert leaver.name not in watch.holders().values()
         gone = ended - leaving
         left.extend(gap - gone for gap in await followed(watch, leaving, leaver.name))
-        await fleet.again(leaver)
+        await fleet.restart(leaver)
 
     mean, missing = scene(tmp_path, act)
     assert missing == 0 and mean < 2.5, mean
@@ -137,7 +142,7 @@
         before = {work: told[-1][2] for work, told in watch.owners().items()}
         await struck(fleet, "0 kill feeds:0-1 empty for 5")
         # a majority lost its disks: what stands is told by the third, and numbers go on from there
-        await until(lambda: watch.held_now() == SHARDS, WAIT_S)
+        await until(lambda: watch.granted_count() == SHARDS, WAIT_S)
         assert all(told[-1][2] >= before[work] for work, told in watch.owners().items())
         await load.purge(5, 0.5)
 
@@ -158,7 +163,7 @@
 
         def learnt() -> bool:
             """Whether every keeper's last answer since then names all works."""
-            numbers = {look.keeper: look.numbers for look in sorted(watch.looks) if look.at > restarted}
+            numbers = {look.lease_server: look.numbers for look in sorted(watch.looks) if look.at > restarted}
             return len(numbers) == 3 and all(len(known) == SHARDS for known in numbers.values())
 
         await until(learnt, WAIT_S)
@@ -183,7 +188,7 @@
 
 def test_an_even_number_of_keepers_is_refused_at_the_start(tmp_path: Path) -> None:
     async def whole() -> None:
-        async with fleet_of(tmp_path, directors=1, feeds=2, owners=True) as fleet:
+        async with fleet_of(tmp_path, directors=1, control_servers=2, owners=True) as fleet:
             assert (
                 fleet.directors[0].failed
                 and "owners: 2 feeds; expected an odd number" in fleet.directors[0].failed[0]
--- a/tests/fleet/test_rig.py
+++ b/tests/fleet/test_rig.py
@@ -23,10 +23,10 @@
 from gladelane.audit.view import View, view_id
 from gladelane.audit.wire import Report
 from gladelane.lab.fleet.audited import ON_TIME_MS, SEEN_MS, Lists, after_out, contradictions, downtime_ms
-from gladelane.lab.fleet.day import full_service_after, play, spans
+from gladelane.lab.fleet.day import fault_periods, full_service_after, play
 from gladelane.lab.fleet.faults import FaultScheduleError, read_line
 from gladelane.lab.fleet.ports import release_port, reserve_port
-from gladelane.lab.fleet.process import Life
+from gladelane.lab.fleet.process import FleetProcess
 from gladelane.lab.fleet.relay import SLOW_S, Relay, Reported, State
 from gladelane.lab.fleet.replicated import reach
 from gladelane.lab.fleet.rules import (
@@ -89,11 +89,11 @@
         COUNTS,
         Random(1),
     )
-    assert [(span.text[:13], span.at, span.until) for span in spans(steps, 9.0)] == [
+    assert [(span.text[:13], span.at, span.until) for span in fault_periods(steps, 9.0)] == [
         ("1 kill direct", 1.5, 6.0),
         ("6 stop direct", 6.0, 9.0),
     ]
-    assert [span.struck for span in spans(steps, 9.0)] == [
+    assert [span.struck for span in fault_periods(steps, 9.0)] == [
         {("directors", 0): 1.0, ("directors", 1): 1.5},
         {("directors", 2): 6.0},
     ]
@@ -118,7 +118,7 @@
 STOP_AT_S, STOP_FOR_S = 1.0, 2.0
 
 
-def run_with_a_stop(life: Life, in_time_s: float) -> tuple[Any, Any]:
+def run_with_a_stop(life: FleetProcess, in_time_s: float) -> tuple[Any, Any]:
     """A fleet of one director that was stopped and its load: on waking it answers in time what was asked in the last
     `in_time_s` of the stop."""
     stop_s = BEGAN_S + STOP_AT_S
@@ -140,23 +140,27 @@
     tmp_path: Path, in_time_s: float
 ) -> None:
     """What was asked shortly before it is resumed may be answered within its latency objective."""
-    life = Life("director-0", 1, tmp_path)
+    life = FleetProcess("director-0", 1, tmp_path)
     fleet, load = run_with_a_stop(life, in_time_s)
-    (span,) = spans(read_line(f"{STOP_AT_S} stop directors:0 for {STOP_FOR_S}", COUNTS, Random(1)), 9.0)
+    (span,) = fault_periods(
+        read_line(f"{STOP_AT_S} stop directors:0 for {STOP_FOR_S}", COUNTS, Random(1)), 9.0
+    )
     assert full_service_after(span, fleet, load, BEGAN_S) == pytest.approx(STOP_FOR_S, abs=0.01)
 
 
 def test_a_stopped_director_that_is_never_resumed_is_never_back(tmp_path: Path) -> None:
-    life = Life("director-0", 1, tmp_path)
+    life = FleetProcess("director-0", 1, tmp_path)
     fleet, load = run_with_a_stop(life, STOP_FOR_S)  # its share looks full all the while
     life.resumes.clear()
-    (span,) = spans(read_line(f"{STOP_AT_S} stop directors:0 for {STOP_FOR_S}", COUNTS, Random(1)), 9.0)
+    (span,) = fault_periods(
+        read_line(f"{STOP_AT_S} stop directors:0 for {STOP_FOR_S}", COUNTS, Random(1)), 9.0
+    )
     assert full_service_after(span, fleet, load, BEGAN_S) == math.inf
 
 
 def test_a_process_is_dated_when_it_is_stopped_and_resumed_and_its_successor_is_not(tmp_path: Path) -> None:
     command = [sys.executable, "-c", "import time; time.sleep(60)"]
-    life = Life("director-0", 1, tmp_path)
+    life = FleetProcess("director-0", 1, tmp_path)
     life.stop()
     life.resume()
     assert life.stops == life.resumes == []  # nothing runs
@@ -187,7 +191,7 @@
 ) -> None:
     """Clients alone see full service at once: two of three directors are enough for them."""
     line = f"1 stop directors:0 for {delay_s}" if kind == "stop" else f"1 kill directors:0 kept for {delay_s}"
-    figures = asyncio.run(play(line, Shape(3, feeds=0), 3, 9.0, per_s=120.0))
+    figures = asyncio.run(play(line, Shape(3, control_servers=0), 3, 9.0, per_s=120.0))
     assert delay_s <= figures["full_service_s"] < delay_s + 4.0, figures
     assert figures["full_service_s"] > 0.0, figures
 
@@ -227,7 +231,7 @@
     assert await asked(State.OPEN) == 1000 and len(heard) == 1
     assert await asked(State.CLOSED) in (0, -2) and len(heard) == 1
     assert await asked(State.SILENT, 0.3) == -1 and len(heard) == 1
-    assert await asked(State.ONEWAY, 0.3) == -1
+    assert await asked(State.REPLIES_BLOCKED, 0.3) == -1
     await until(lambda: len(heard) == 3, 30.0)  # what the silent link held has come, too
     began = time.monotonic()
     assert await asked(State.SLOW) == 1000 and time.monotonic() - began >= 2 * SLOW_S
@@ -405,7 +409,7 @@
 
 
 def test_time_in_which_no_process_of_a_director_answers_is_known() -> None:
-    never, twice = Life("a", 0, Path()), Life("b", 0, Path())
+    never, twice = FleetProcess("a", 0, Path()), FleetProcess("b", 0, Path())
     never.ups = [1.0]
     twice.ups, twice.downs = [1.0, 4.5, 8.0], [4.0, 6.0]
     fleet: Any = SimpleNamespace(directors=[never, twice])
