--- a/gladelane/lab/fleet/__init__.py
+++ b/gladelane/lab/fleet/__init__.py
@@ -1,6 +1,7 @@
-"""Many real processes of the program on loopback, relays between them, faults by name from one seed and one
-line.
+"""Runs many real processes of the program on loopback and injects faults from a schedule.
 
-`faults` reads the line (pure), `relay` is a link that can be cut, `rules` watches answers and attempts,
-`world` has the servers, `fleet` the processes, `load` the clients and operators, `day` plays one line and
-gives its figures."""
+A fault schedule is a line of text; with a seed it determines the faults of a run. `faults` parses it (pure),
+`fault_injector` carries it out, `relay` is a link that can be cut, `world` has the fake servers, `fleet`
+the processes, `load` the clients and operators, `rules` checks replies and attempts, and `day` plays a
+schedule and returns its metrics.
+"""
--- a/gladelane/lab/fleet/audited.py
+++ b/gladelane/lab/fleet/audited.py
@@ -1,9 +1,8 @@
-"""A run of a fleet whose audit is compared to independent observations: of the fake servers, of the links and
-of the fake discovery server.
+"""Compares the audit of a run with independent observations of fake servers, links and the discovery server.
 
-No code of the product judges here: attempts are those that fake servers saw, leases those whose questions and
-answers passed the relays, endpoint lists those that the discovery server sent. The audit itself is read from
-the control servers' folders once the run has ended.
+The product is not trusted here: attempts are those that fake servers received, leases those whose requests
+and replies passed the relays, endpoint lists those that the discovery server sent. The audit is read from
+the folders of the control servers after the run.
 """
 
 from __future__ import annotations
@@ -43,21 +42,21 @@
 from .shape import Shape
 from .standstills import Standstills
 
-ON_TIME_MS = 50.0  # after a lease's end, for what was on its way to the server that saw it
-SEEN_MS = 60.0  # at most between a director's decision and its observation at the server
+ON_TIME_MS = 50.0  # after the expiry of a lease, for attempts in flight to a fake server
+SEEN_MS = 60.0  # at most between a decision of a director and its observation at a fake server
 SETTLE_S = 1.2
-REPLICATION_S = 30.0  # many times what it takes
+REPLICATION_S = 30.0  # much longer than needed
 
 
 def recovered_store(folder: Path) -> AuditStore:
-    """Reads the folder of a control server that has ended."""
+    """Reads the audit from the folder of a control server that has ended."""
     store = AuditStore()
     ReportLog(Folder(folder), store).close()
     return store
 
 
 class Lists:
-    """Which servers were in service at each revision of the endpoint list."""
+    """The servers in service at each revision of the endpoint list."""
 
     def __init__(self, watch_events: list[dict[str, Any]]) -> None:
         self._by_rev: dict[int, frozenset[str]] = {}
@@ -72,12 +71,13 @@
             )
 
     def used(self, rev: int, sent: Sent) -> bool:
-        """Whether a view with this revision could have sent it."""
+        """Whether an attempt is possible under a view with this revision."""
         serving = self._by_rev.get(rev, frozenset())
         return sent.store in serving and (not sent.source or sent.source in serving)
 
 
 def covering(rows: list[AuditRow], at_ms: float, late_ms: float = 0.0) -> list[AuditRow]:
+    """The rows whose interval may contain an observation at this time, at most `late_ms` late."""
     return [row for row in rows if row.from_ms - SEEN_MS <= at_ms <= row.to_ms + SEEN_MS + late_ms]
 
 
@@ -89,9 +89,14 @@
     lists: Lists,
     standstills: Standstills,
 ) -> list[str]:
-    """Attempts and answers that the audit's views could not have produced, or that it assigns to no interval
-    though their director was running; and directors that sent more than their intervals count. What was seen
-    after this process stood still may have come under an earlier view."""
+    """Attempts and replies that contradict the audit.
+
+    - attempts and replies that are impossible under the recorded views;
+    - attempts in no interval although the director was running;
+    - directors that sent more than their intervals count.
+
+    Observations after a stall of this process may belong to an earlier view.
+    """
     found: list[str] = []
     rows = {name: rows_between(store, name, 0.0, 2.0**53) for name in directors(store)}
     froms = {name: [row.from_ms for row in found_rows] for name, found_rows in rows.items()}
@@ -124,7 +129,7 @@
 def outdated(
     store: AuditStore, near: Callable[[str, float], list[AuditRow]], made: list[Made], purges: list[Purged]
 ) -> list[str]:
-    """Answers from a copy older than a purge that every view knew under which they may have been sent."""
+    """Replies from a copy older than a purge that all views knew under which they may have been sent."""
     found = []
     for answer in made:
         candidates = near(answer.director, answer.sent_ms)
@@ -145,14 +150,16 @@
 
 
 def after_out(fleet: Fleet, load: Load, lease_ms: float) -> int:
-    """How many attempts, and answers of strict classes, came from directors without a lease or quarantined.
-    What was seen after this process stood still counts from when it may have come."""
+    """The number of attempts and of strict-class replies by directors without a lease or in quarantine.
+
+    Observations after a stall of this process count from the earliest time when they may have arrived.
+    """
     reported: dict[str, list[Reported]] = defaultdict(list)
     for (near, _), relay in fleet.links.items():
         reported[near] += relay.reported
     for reports in reported.values():
         reports.sort(key=lambda one: one.answered_ms)
-    strict = fleet.shape.strict if fleet.shape.alone == "strict" else ()  # else nothing may go on
+    strict = fleet.shape.strict if fleet.shape.alone == "strict" else ()  # otherwise no class may continue
     acts = [
         (sent.director, sent.at_ms)
         for sent in load.attempts
@@ -166,7 +173,7 @@
         place = bisect_right(reports, came - ON_TIME_MS, key=lambda one: one.answered_ms)
         since = reports[place : bisect_right(reports, at, key=lambda one: one.answered_ms)]
         granted = [one for one in reports[:place] if one.stage < Stage.QUARANTINED][-4:]
-        # what came a moment before the act may have been heard before it
+        # a reply from shortly before the act may have been received before it
         granted += [one for one in since if one.stage < Stage.QUARANTINED]
         within = any(came <= one.asked_ms + lease_ms + ON_TIME_MS for one in granted)
         out = (
@@ -179,7 +186,7 @@
 
 
 def moved(fleet: Fleet) -> dict[str, list[tuple[float, int]]]:
-    """When each director was notified of another stage, as its links saw it."""
+    """When each director was notified of another stage, as seen by its links."""
     found: dict[str, list[tuple[float, int]]] = defaultdict(list)
     for (near, _), relay in fleet.links.items():
         found[near] += [(one.answered_ms, one.stage) for one in relay.reported]
@@ -195,7 +202,7 @@
 
 
 def most_out(changes: dict[str, list[tuple[float, int]]]) -> int:
-    """The most directors that were restricted or worse at one moment."""
+    """The largest number of directors that were restricted or worse at the same time."""
     events = sorted((at, name, stage) for name, stages in changes.items() for at, stage in stages)
     restricted: set[str] = set()
     most = 0
@@ -206,15 +213,17 @@
 
 
 async def asked(fleet: Fleet, number: int, target: str) -> dict[str, Any]:
-    """Asks a control server. Raises OSError, HttpStatusError and TimeoutError."""
+    """Queries a control server. Raises OSError, HttpStatusError and TimeoutError."""
     port = fleet.control_servers[number].port
     answer: dict[str, Any] = json.loads(await fetch("127.0.0.1", port, "GET", target, TOKEN))
     return answer
 
 
 async def end_all(fleet: Fleet) -> list[AuditStore]:
-    """Ends the directors, which send their final reports, waits until the control servers have replicated
-    them, ends those, and reads what they have stored."""
+    """Ends all processes and reads what the control servers have stored.
+
+    Directors end first and send their final reports; the control servers end once they have replicated them.
+    """
     await asyncio.gather(*(fleet.end(one, signal.SIGTERM) for one in fleet.directors))
     until = asyncio.get_running_loop().time() + REPLICATION_S
     while asyncio.get_running_loop().time() < until:
@@ -227,7 +236,7 @@
 
 
 def downtime_ms(fleet: Fleet) -> float:
-    """For how long directors that were ended were away until their next process answered."""
+    """The total time from the end of a director until its next process replied."""
     gaps_s = [
         min((up for up in one.ups if up >= down), default=down) - down
         for one in fleet.directors
@@ -237,7 +246,7 @@
 
 
 def unknown_share(store: AuditStore, excused_ms: float = 0.0) -> float:
-    """The share of unknown time between each director's first and last report, beyond what is excused."""
+    """The share of unknown time between the first and last report of each director, beyond `excused_ms`."""
     unknown_ms = total_ms = 0.0
     for name in directors(store):
         for row in rows_between(store, name, 0.0, 2.0**53):
@@ -249,7 +258,7 @@
 
 
 def same(one: AuditStore, other: AuditStore) -> bool:
-    """Whether two control servers ended up with the same intervals."""
+    """Whether two control servers have the same intervals."""
     return one.positions() == other.positions() and one.interval_count == other.interval_count
 
 
@@ -262,7 +271,7 @@
     purges: int = 0,
     look: Callable[[Fleet, Load], Any] | None = None,
 ) -> Any:
-    """As `day.play`, with what the audit found."""
+    """As `day.play`, with the comparison of the audit. `look`: further metrics of the running fleet."""
 
     async def seen(fleet: Fleet, load: Load) -> dict[str, Any]:
         extra = await look(fleet, load) if look is not None else {}
@@ -298,11 +307,11 @@
     return play(line, replace(shape, audit=True), seed, seconds, per_s, purges, look=seen)
 
 
-# --- planted faults: reports altered, dropped, doubled, dated wrongly
+# --- planted faults: altered, dropped, doubled and wrongly dated reports
 
 
 def planted(store: AuditStore, rng: Random) -> dict[str, AuditStore]:
-    """The same reports with one thing wrong in each."""
+    """Copies of a store with one alteration in each, by name."""
     found: dict[str, AuditStore] = {}
     key, number = _victim(store, rng)
 
@@ -367,7 +376,7 @@
 
 
 def _victim(store: AuditStore, rng: Random) -> tuple[RunId, int]:
-    """A span in the middle that counted something."""
+    """A random interval with attempts that is neither the first nor the last of its report."""
     able = [
         (report.run_id, interval.number)
         for report in store.missing_reports({}, 2**31)
@@ -383,9 +392,10 @@
 
 
 def caught(store: AuditStore) -> bool:
+    """Whether the verification of a store finds an alteration."""
     return any(wrong.what != "missing" for wrong in find_inconsistencies(store))
 
 
 def p99(values: list[float]) -> float:
-    """0 for none."""
+    """The 99th percentile; 0 without values."""
     return quantiles(values, n=100)[98] if len(values) > 1 else (values[0] if values else 0.0)
--- a/gladelane/lab/fleet/client_pool.py
+++ b/gladelane/lab/fleet/client_pool.py
@@ -1,4 +1,4 @@
-"""The clients' connections to one director."""
+"""The connections of the clients to one director."""
 
 from __future__ import annotations
 
@@ -6,35 +6,36 @@
 
 from ..client import Answer, Client
 
-ON_ONE, CONNECTIONS = (
-    12,
-    16,
-)  # requests open on a connection before a further one is made; connections at most
+ON_ONE = 12  # requests in flight on a connection before another one is opened
+CONNECTIONS = 16  # at most
 
 
 class Pool:
-    """Connections to one director, few requests on each: a director turns away more than 32. One that idles
-    is closed by it; a request that met the close is asked again on a new one, as the protocol lets clients
-    do."""
+    """Connections to one director, with few requests on each, because a director rejects more than 32.
+
+    The director closes idle connections. A request that coincides with the close is retried on a new
+    connection, as the protocol allows.
+    """
 
     def __init__(self, port: int) -> None:
         self._port = port
-        self._clients: list[tuple[Client, list[int]]] = []  # with the number of requests open
+        self._clients: list[tuple[Client, list[int]]] = []  # with the number of requests in flight
         self._closed = False
 
     async def reach(self) -> None:
-        """One connection. Raises OSError."""
+        """Opens a connection. Raises OSError."""
         client = await Client.to("127.0.0.1", self._port)
-        self._clients.append((client, [0]))  # the list may have been made anew meanwhile
+        self._clients.append((client, [0]))  # the list may have been replaced meanwhile
 
     async def ask(self, fields: dict[str, str], patience_s: float) -> Answer | None:
+        """Sends a request; None if no reply comes in time."""
         answer, ended = await self._ask(fields, patience_s)
         if answer is None and ended and not self._closed:
             answer, _ = await self._ask(fields, patience_s)
         return answer
 
     async def _ask(self, fields: dict[str, str], patience_s: float) -> tuple[Answer | None, bool]:
-        """And whether the connection ended under it."""
+        """The reply, and whether the connection was closed meanwhile."""
         self._clients = [entry for entry in self._clients if not entry[0].ended]
         least = min(self._clients, key=lambda entry: entry[1][0], default=None)
         if least is None or (least[1][0] >= ON_ONE and len(self._clients) < CONNECTIONS):
@@ -51,6 +52,7 @@
             in_flight[0] -= 1
 
     async def close(self) -> None:
+        """Closes all connections."""
         self._closed = True
         for client, _ in self._clients:
             await client.close()
--- a/gladelane/lab/fleet/cold.py
+++ b/gladelane/lab/fleet/cold.py
@@ -1,8 +1,7 @@
-"""Real directors before one real server that has just started, counted where requests arrive.
+"""Real directors in front of a server that has just started; requests are counted on arrival.
 
-All servers are warm until one of them, a cache or a hub, comes up anew; the board tells all directors at
-once.
-Each request is for another object, so every one that reaches a cache is a fill.
+All servers are warm until one of them, a cache or a hub, restarts; the discovery server notifies all
+directors at once. Each request is for another object, so every request that reaches a cache is a fill.
 """
 
 from __future__ import annotations
@@ -27,15 +26,18 @@
 
 COLD_FROM, MULTIPLE, LINK = 0.15, 3.0, 4.0
 PATIENCE_S, NOTIFIED_S = 8.0, 30.0
-LEARNED = 12  # requests a director has served before the server starts: it knows the mean work of their class
+LEARNED = 12  # requests per director before the restart, from which it learns the mean work of their class
 CLASS = "video-part"
 SERVERS = {Server.CACHE: "cache-0", Server.HUB: "depot"}
 
 
 @dataclass(frozen=True)
 class Plan:
-    """requests: N when the server starts. Each director is asked for one request when all have been told, and
-    after idle_s for `at_once` more in one moment; from then on for `per_s` a second, for flood_s."""
+    """The load on a server after its restart.
+
+    `requests`: the initial number N of the recovery. Each director gets one request once all were notified,
+    after `idle_s` `at_once` more at the same time, and from then on `per_s` per second for `flood_s`.
+    """
 
     server: Server
     directors: int
@@ -49,12 +51,12 @@
 
     @property
     def work_ms(self) -> float:
-        """Of a request."""
+        """The work of a request."""
         return LINK * COLD_FROM * MULTIPLE * self.window_ms / self.requests
 
 
 class _Counted(FakeCacheStore):
-    """A hub that notes when it was asked for a fill."""
+    """A hub that records the times of its fills."""
 
     def __init__(self, sources: Mapping[str, FakeCacheStore], fill_s: float) -> None:
         super().__init__(sources, fill_s)
@@ -66,7 +68,7 @@
 
 
 class ColdWorld(World):
-    """One cache, one hub and the origin; `arrived`: when requests reached the server that starts."""
+    """One cache, one hub and the origin. `arrived`: when requests reached the restarted server, Unix ms."""
 
     def __init__(self, server: Server) -> None:
         super().__init__()
@@ -82,10 +84,11 @@
             self.arrived.append(now_ms())
 
     def instance(self, name: str) -> dict[str, Any]:
+        """As in World, with an equal weight for all."""
         return {**super().instance(name), "weight": LINK}
 
     def restart(self) -> float:
-        """The server is a new process, and the directors are told; when, Unix ms."""
+        """Restarts the server and notifies the directors; returns the time, Unix ms."""
         self.started[self.name] = now_ms()
         self.arrived.clear()
         spare = {**self.instance(self.name), "instanceId": "spare", "lifecycle": "terminating"}
@@ -95,7 +98,7 @@
 
 
 def settings_for(plan: Plan) -> dict[str, Any]:
-    """What differs from the example's."""
+    """The settings that differ from the example."""
     example = json.loads((ROOT / "example" / "config.json").read_text())["settings"]
     hub = plan.server is Server.HUB
     family = {
@@ -114,7 +117,7 @@
 
 
 class _Asking:
-    """Clients of all directors."""
+    """The clients of all directors."""
 
     def __init__(self, plan: Plan, fleet: Fleet) -> None:
         self.plan, self.fleet = plan, fleet
@@ -156,13 +159,13 @@
 
 
 def fleet_flow() -> float:
-    """One transfer's pace in the example's settings, kB/s."""
+    """The rate of one transfer in the settings of the example, kB/s."""
     example = json.loads((ROOT / "example" / "config.json").read_text())["settings"]
     return float(example["family_info"]["one_flow_kb_per_s"])
 
 
 def _fleet(folder: Path, world: World, plan: Plan) -> Fleet:
-    """With ports of its own: runs beside each other are not to choose the same, nor one run one twice."""
+    """A fleet with distinct random ports, also beside other runs."""
     while True:
         fleet = Fleet(folder, world, Shape(plan.directors, control_servers=0, warm=False), SystemRandom())
         ports = {port for one in fleet.directors for port in (one.port, one.admin_port)}
@@ -177,11 +180,13 @@
 
 
 async def play(folder: Path, plan: Plan, seed: int, program: Path | None = None) -> Measured:
-    """program: the folder of another version, to measure it in the same way. Raises RuntimeError where a
-    director did not start."""
+    """Plays a plan. `program`: the folder of another version to measure.
+
+    Raises RuntimeError if a director does not start.
+    """
     world = ColdWorld(plan.server)
     fleet = _fleet(folder, world, plan)
-    fleet.seed = f"{seed:016x}"  # one for all directors: their numbers make their draws differ
+    fleet.seed = f"{seed:016x}"  # shared by all directors, whose random draws differ by their numbers
     for one in fleet.directors:
         fleet.settings[one.name] = settings_for(plan)
         if program is not None:
@@ -194,7 +199,7 @@
         asking = _Asking(plan, fleet)
         for _ in range(LEARNED):
             await asking.all(1)
-        listed = len(world.stores) + 1  # with the spare one, which tells who has heard of the start
+        listed = len(world.stores) + 1  # the spare instance shows that a director was notified
         ramp = Ramp(plan.requests, world.restart(), COLD_FROM, plan.warm_ms, plan.window_ms)
         await asyncio.gather(*(_wait_until_notified(fleet, one, listed) for one in fleet.directors))
         await asking.all(1)
--- a/gladelane/lab/fleet/commands.py
+++ b/gladelane/lab/fleet/commands.py
@@ -1,4 +1,4 @@
-"""Command lines, environments and configuration files of a fleet's processes."""
+"""Command lines, environments and configuration files of the processes of a fleet."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 STEPPED_CONTROL_SERVER = (
     f"from gladelane.lab.fleet.stepped import install_steps; install_steps(); {CONTROL_SERVER}"
 )
-START_WAIT_MS = 3000  # for which a director that starts waits for purges
-REPORT_MS = 400  # between a director's reports to the audit
+START_WAIT_MS = 3000  # for which a starting director waits for purges
+REPORT_MS = 400  # between the reports of a director to the audit
 
 
 class Command(NamedTuple):
-    """A process to start: its arguments, and its whole environment."""
+    """The arguments and the complete environment of a process to start."""
 
     arguments: list[str]
     environment: dict[str, str]
 
 
 def control_server_command(fleet: Fleet, control_server: FleetProcess, is_first_start: bool) -> Command:
-    """How a control server is started."""
+    """The command of a control server."""
     shape = fleet.shape
     peers = [
         f"127.0.0.1:{fleet.links[control_server.name, o.name].port}"
@@ -69,7 +69,7 @@
 
 
 def director_command(fleet: Fleet, director: FleetProcess) -> Command:
-    """How a director is started; writes its files."""
+    """The command of a director; writes its configuration files."""
     config = fleet.folder / f"{director.name}.json"
     operator = fleet.folder / f"{director.name}.json5"
     config.write_text(json.dumps(_director_config(fleet, director)))
@@ -81,7 +81,7 @@
 
 
 def _director_config(fleet: Fleet, director: FleetProcess) -> dict[str, Any]:
-    """The example's, for this fleet."""
+    """The configuration of the example, adapted to this fleet."""
     config: dict[str, Any] = json.loads((ROOT / "example" / "config.json").read_text())
     config |= {
         "name": fleet.names.get(director.name, director.name),
@@ -138,5 +138,5 @@
 
 
 def log_path(fleet: Fleet, one: FleetProcess) -> Path:
-    """Where the standard error of a process and its successors goes."""
+    """The file for the standard error of a process and its successors."""
     return fleet.folder / f"{one.name}.log"
--- a/gladelane/lab/fleet/day.py
+++ b/gladelane/lab/fleet/day.py
@@ -1,4 +1,4 @@
-"""One run: a fleet, its load, a line of faults, and one table of what happened and what it came to."""
+"""Plays one run of a fleet with its load and a fault schedule, and returns its metrics."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 from .world import CACHES, World
 
 WARM_UP_S, BEFORE_S = 3.0, 2.0
-Look = Callable[[Fleet, Load], Awaitable[dict[str, Any]]]  # at the end, while all still runs
-APART_S = 3.0  # between faults that are timed apart
-BACKFILL_S = 6.0  # for feeds that came back to have what directors know: `purges/backfill.py`
+Look = Callable[[Fleet, Load], Awaitable[dict[str, Any]]]  # called at the end, while all processes still run
+APART_S = 3.0  # the least time between faults whose recovery is measured separately
+BACKFILL_S = 6.0  # until restarted control servers have the purges of the directors (`purges/backfill.py`)
 LOOK_S = 0.2
-LEVEL_S = 60.0  # many times what feeds take to come back and to replicate, on a busy machine as well
-SETTLE_S = 0.3  # before the next fault, which no longer counts
+LEVEL_S = 60.0  # much longer than a restart with replication, also on a busy machine
+SETTLE_S = 0.3  # before the next fault; not part of the measurement
 
 
 async def play(
@@ -41,9 +41,12 @@
     table: Path | None = None,
     look: Look | None = None,
 ) -> dict[str, Any]:
-    """The line's seconds count from the end of the warm-up, and stand still during `await`. purges: during
-    the warm-up. The same seed asks for the same things at the same moments and strikes the same processes;
-    what the machine makes of it may differ."""
+    """Plays a fault schedule.
+
+    Its seconds count from the end of the warm-up and exclude the time of `await`. `purges` are sent during
+    the warm-up. With the same seed the requests, their times and the affected processes are the same; the
+    results may differ.
+    """
     counts = {"directors": shape.directors, "feeds": shape.control_servers, "caches": CACHES}
     steps = read_line(line, counts, Random(seed))
     with tempfile.TemporaryDirectory(prefix="gl", dir=memory()) as name:
@@ -67,8 +70,11 @@
 
 
 def memory() -> str | None:
-    """A folder in memory, where there is one: processes are killed here, never the machine, so nothing hangs
-    on what was synced; a slow disk under some hundred syncs a second would only make runs differ."""
+    """A folder in memory, if the machine has one.
+
+    Runs kill processes, never the machine, so durability on disk does not matter; a slow disk with some
+    hundred syncs per second would only add variance.
+    """
     return "/dev/shm" if os.access("/dev/shm", os.W_OK) else None
 
 
@@ -168,8 +174,10 @@
 
 
 class FaultPeriod(NamedTuple):
-    """From a fault up to the next one that is timed apart. Seconds of the line; struck: when each process was
-    struck last."""
+    """The time from a fault to the next one that is measured separately, in seconds of the schedule.
+
+    `struck`: when the last fault of each process was.
+    """
 
     text: str
     at: float
@@ -178,8 +186,10 @@
 
 
 def fault_periods(steps: list[Step], seconds: float) -> list[FaultPeriod]:
-    """What ends or stops processes, each from its moment up to the next; those too close for full service in
-    between count as one, from the last."""
+    """The periods after faults that end or suspend processes.
+
+    Faults that are less than APART_S apart have one period, which starts with the last one.
+    """
     found: list[FaultPeriod] = []
     for step in steps:
         if step.word not in ("kill", "term", "stop"):
@@ -195,11 +205,13 @@
 
 
 def full_service_after(period: FaultPeriod, fleet: Fleet, load: Load, began_s: float) -> float:
-    """Seconds until all that clients ask for is served as before, by the directors that were struck as well:
-    the others alone mostly do the work of all, so what clients see would always be full at once. The struck
-    ones count together, from when the last of them is back: alone, each is asked for too little to tell a
-    share. One that was stopped is back when it is resumed: what it was asked shortly before, it may answer in
-    time still. Infinite: not within the span."""
+    """Seconds until requests are served as before, also by the affected directors; infinity if never.
+
+    All directors together often recover at once, because the unaffected ones take over the load. Therefore
+    the affected ones are measured too: together, because each has too few requests for a share, and from
+    when the last of them is back. A suspended director is back when it is resumed, since it may still
+    answer requests from shortly before in time.
+    """
     before = began_s - BEFORE_S, began_s
     fault_s, until_s = began_s + period.at, began_s + period.until - SETTLE_S
     of_all_s = load.service.full_after(fault_s, before, until_s)
@@ -216,8 +228,10 @@
 
 
 async def wait_until_level(fleet: Fleet, step: Step) -> None:
-    """Each of these feeds answers and has all intervals that any of them had when this began. Raises
-    TimeoutError."""
+    """Waits until each of these control servers has all intervals that any of them had at the call.
+
+    Raises TimeoutError.
+    """
     control_servers = [fleet.of(whom) for whom in step.whom]
     wanted = [await positions_at(one) for one in control_servers]
     async with asyncio.timeout(LEVEL_S):
@@ -227,8 +241,10 @@
 
 
 async def wait_for_purges(fleet: Fleet, load: Load) -> None:
-    """Feeds that came back have had the time in which directors send them what they lack, however long their
-    start took; ends as soon as nothing is missing."""
+    """Waits for the backfill of restarted control servers, at most BACKFILL_S from their last start.
+
+    Returns as soon as no purge is missing.
+    """
     answered = {name_of(purge) for purge in load.purges}
     last_start_s = max((one.ups[-1] for one in fleet.control_servers if len(one.ups) > 1), default=0.0)
     while time.time() < last_start_s + BACKFILL_S:
--- a/gladelane/lab/fleet/fault_injector.py
+++ b/gladelane/lab/fleet/fault_injector.py
@@ -1,4 +1,4 @@
-"""Carries out the steps of a fault schedule on the processes, links and servers of a fleet."""
+"""Executes the steps of a fault schedule on the processes, links and servers of a fleet."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 if TYPE_CHECKING:
     from .fleet import Fleet
 
-SLOW_FILL_S = 0.25  # of a server that is slow
-PRESERVING_WAYS = ("kept", "torn", "readonly")  # after these a process finds the folder of the one before it
+SLOW_FILL_S = 0.25  # of a slow server
+PRESERVING_WAYS = ("kept", "torn", "readonly")  # these ways leave the folder to the next process
 
 
 class FaultInjector:
-    """The faults of one fleet. What a step lasts for goes on beside it."""
+    """Injects the faults of one fleet. A step with a duration is ended later, in the background."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def strike(self, step: Step) -> None:
-        """Carries a step out."""
+        """Executes a step."""
         fleet = self._fleet
         fleet.note(step.word, step.text)
         match step.word:
@@ -49,7 +49,7 @@
                 await asyncio.gather(*(self._change_server(whom, step) for whom in step.whom))
 
     def close(self) -> None:
-        """Ends what is still going on."""
+        """Cancels the pending ends of steps."""
         for task in list(self._tasks):
             task.cancel()
 
@@ -80,7 +80,7 @@
             one.end_unresponsive_period()
 
     async def _restart(self, one: FleetProcess, step: Step) -> None:
-        """Ends a process, does to its folder what the step says, and starts it."""
+        """Ends a process, damages its folder as the step says, and starts it again."""
         fleet = self._fleet
         number = signal.SIGKILL if step.word == "kill" else signal.SIGTERM
         fleet.counts["kills"] += number is signal.SIGKILL
@@ -98,13 +98,13 @@
     # --- disks
 
     async def _start_readonly(self, one: FleetProcess) -> None:
-        """The folder's lock cannot be opened for writing: a start that fails, and one that does not."""
+        """Starts a process whose lock file cannot be opened for writing, then removes the fault."""
         lock = one.folder / "purges" / "LOCK"
         self._fleet.counts["disk_faults"] += 1
         lock.unlink(missing_ok=True)
         lock.mkdir(parents=True)
         await self._fleet.restart(one)
-        if one.up:  # it runs all the same: the next life finds it complete
+        if one.up:  # it started nevertheless; the next process finds the folder complete
             await self._fleet.end(one, signal.SIGKILL)
         lock.rmdir()
 
@@ -155,12 +155,12 @@
             case "out" | "in":
                 world.drain(name, step.how == "out")
             case "slow":
-                slow = world.hub if name == "bank" else store  # what comes from there takes its way back
+                slow = world.hub if name == "bank" else store  # fills from the origin pass through the hub
                 usual_s, slow.fill_s = slow.fill_s, SLOW_FILL_S
                 self._later(step.last, lambda: setattr(slow, "fill_s", usual_s))
 
 
 def heal(relays: Iterable[Relay]) -> None:
-    """Ends the fault of these links."""
+    """Opens these links again."""
     for relay in relays:
         relay.set(State.OPEN)
--- a/gladelane/lab/fleet/faults.py
+++ b/gladelane/lab/fleet/faults.py
@@ -1,10 +1,11 @@
-"""The line that says what happens in a run: steps, each at its second, by names. Pure.
+"""Parses fault schedules: lines of text with the faults of a run, each at its time. Pure.
 
     2 save feeds:*; 3 kill feeds:* empty; 3 kill directors:90% empty; 4 cut directors:0-3>feeds:* for 2
 
-A step is a moment in seconds, a word, whom it strikes, how, and for how long. Whom: `directors`, `feeds`,
-`caches`, `hub`, `origin` or `board`, with `:N`, `:N-M`, `:*` or `:P%` (so many, by the seed); a link is
-`FROM>TO`."""
+A step has a time in seconds, a word, its targets, a way, and a duration. Targets are `directors`, `feeds`
+(the control servers), `caches`, `hub`, `origin` or `board` (the discovery server), with `:N`, `:N-M`, `:*`
+or `:P%` (a random selection by the seed). A link is `FROM>TO`.
+"""
 
 from __future__ import annotations
 
@@ -12,19 +13,19 @@
 from dataclasses import dataclass
 from random import Random
 
-#: word -> what it may strike, and the ways there are; the first is what an empty one means
+#: word -> the kind of its targets, and its ways; the first way is the default
 WORDS: dict[str, tuple[str, tuple[str, ...]]] = {
     "kill": ("process", ("kept", "empty", "older", "torn", "swapped", "readonly")),
     "term": ("process", ("kept",)),
     "stop": ("process", ("kept",)),
-    "save": ("process", ("kept",)),  # copies the folders, for `older`
-    "full": ("process", ("kept",)),  # the disk takes nothing more
+    "save": ("process", ("kept",)),  # saves the folders, for `older`
+    "full": ("process", ("kept",)),  # the disk is full
     "cut": ("link", ("closed", "silent", "oneway", "mute", "slow", "halfway")),
     "board": ("board", ("late", "restart")),
-    "store": ("store", ("save", "back", "slow", "renew")),  # copies kept, put back; slow; come up anew
+    "store": ("store", ("save", "back", "slow", "renew")),  # saves or restores copies; slow; restarts
     "drain": ("store", ("out", "in")),
-    "purges": ("none", ("flood",)),  # so many in `for` seconds
-    "await": ("process", ("level",)),  # until these feeds have what any of them has; later steps wait as long
+    "purges": ("none", ("flood",)),  # the way is their number, sent during the duration
+    "await": ("process", ("level",)),  # until these control servers have replicated; delays later steps
 }
 PROCESSES, STORES = ("directors", "feeds"), ("caches", "hub", "origin")
 NUMBER = r"\d+(?:\.\d+)?"
@@ -33,12 +34,16 @@
 
 
 class FaultScheduleError(ValueError):
-    """The step and what was expected."""
+    """A step cannot be parsed; the message has the step and what was expected."""
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """at, last: seconds. whom: (kind, number) of processes and stores; links: pairs of those."""
+    """A step of a schedule.
+
+    `at` and `last` (its duration) are in seconds. `whom` has (kind, number) of processes and stores,
+    `links` pairs of those.
+    """
 
     at: float
     word: str
@@ -50,7 +55,7 @@
 
 
 def read_line(line: str, counts: dict[str, int], rng: Random) -> list[Step]:
-    """Steps by their moments. counts: how many there are of each kind. Raises FaultScheduleError."""
+    """The steps ordered by time. `counts`: the number of targets of each kind. Raises FaultScheduleError."""
     steps = [_step(text.strip(), counts, rng) for text in line.split(";") if text.strip()]
     return sorted(steps, key=lambda step: step.at)
 
--- a/gladelane/lab/fleet/fleet.py
+++ b/gladelane/lab/fleet/fleet.py
@@ -1,5 +1,4 @@
-"""The processes of a run: directors and feeds, each its own, with folders that faults change between two
-lives."""
+"""The processes of a run: directors and control servers, with folders that faults may damage."""
 
 from __future__ import annotations
 
@@ -30,18 +29,21 @@
 TOKEN = "token-of-a-run-in-the-laboratory"
 START_S = 30.0
 GONE_S = 6.0  # for SIGTERM
-LOOK_S = 0.02  # between two looks whether a process that starts answers
-LEAVING_S = 0.05  # after which a director that ends takes no requests of this run
-ASK_S = 2.0  # for an answer to a question about a process
+LOOK_S = 0.02  # between two checks whether a started process replies
+LEAVING_S = 0.05  # after which a director that was ended gets no further requests of this run
+ASK_S = 2.0  # for the reply to a query about a process
 ASK_ERRORS = (OSError, TimeoutError, HttpStatusError, ValueError)
 
 
 class Fleet:
-    """`events`: what happened, in s since the start, for the table."""
+    """The processes of a run and the links between them.
+
+    `events`: what happened, in seconds since the start.
+    """
 
     def __init__(self, folder: Path, world: World, shape: Shape, rng: Random) -> None:
         self.folder, self.world, self.shape, self.rng = folder, world, shape, rng
-        ports = Random()  # not of the run's seed: runs beside this one may have the same
+        ports = Random()  # not from the seed of the run, which concurrent runs may share
         self.directors = [
             FleetProcess(
                 f"director-{n}", reserve_port(ports), folder / f"director-{n}", admin_port=reserve_port(ports)
@@ -55,21 +57,24 @@
         self.links: dict[tuple[str, str], Relay] = {}
         self.events: list[tuple[float, str, str]] = []
         self.counts: Counter[str] = Counter()
-        self.changes: dict[str, dict[str, Any]] = {}  # of a director's operator file
-        self.settings: dict[str, dict[str, Any]] = {}  # of a director's own
-        self.seed = ""  # hexadecimal, of all directors; the example's where it is empty
-        self.names: dict[str, str] = {}  # of directors that claim another's
+        self.changes: dict[str, dict[str, Any]] = {}  # to a director's operator file
+        self.settings: dict[str, dict[str, Any]] = {}  # of single directors
+        self.seed = ""  # of all directors, hexadecimal; if empty that of the example
+        self.names: dict[str, str] = {}  # of directors that use the name of another one
         self.program: dict[str, Path] = {}  # folders of other versions of the program
         self.began = time.monotonic()
         self._fault_injector = FaultInjector(self)
 
     def note(self, what: str, detail: str = "") -> None:
+        """Records an event."""
         self.events.append((round(time.monotonic() - self.began, 3), what, detail))
 
     def of(self, whom: tuple[str, int]) -> FleetProcess:
+        """The process that a fault schedule names."""
         return (self.directors if whom[0] == "directors" else self.control_servers)[whom[1]]
 
     async def start(self) -> None:
+        """Starts the links and all processes."""
         (self.folder / "tokens").write_text(f"lab {TOKEN}\n")
         for one in (*self.directors, *self.control_servers):
             for other in self.control_servers:
@@ -86,18 +91,18 @@
         relay = self.links[near, far] = Relay(port)
         await relay.start()
 
-    # --- lives
+    # --- starts and ends
 
     def command(self, director: FleetProcess) -> Command:
-        """How a director is started, for a process beside it."""
+        """The command of a director, for a test that starts another process like it."""
         return director_command(self, director)
 
     async def restart(self, one: FleetProcess) -> None:
-        """Starts one that has ended."""
+        """Starts a process that has ended."""
         await self._start(one)
 
     async def _start(self, one: FleetProcess, is_first_start: bool = False) -> None:
-        """Until it answers, or has ended with an error."""
+        """Starts a process; returns when it replies or has ended with an error."""
         one.starts += 1
         if one in self.control_servers:
             command = control_server_command(self, one, is_first_start)
@@ -114,18 +119,18 @@
             self.note("start failed", f"{one.name}: {one.failed[-1][:200]}")
 
     async def _spawn(self, one: FleetProcess, command: Command) -> subprocess.Popen[bytes]:
-        """In a thread, as all that touches folders: the clients' loop must not stand still for a disk."""
+        """Starts the command in a thread: disk access must not block the event loop of the clients."""
         folder = self.program.get(one.name, ROOT)
         arguments, environment = command
-        with open(log_path(self, one), "ab") as log:  # noqa: ASYNC230  the file is in the cache
-            async with one.spawning:  # who ends it meanwhile waits until there is something to end
+        with open(log_path(self, one), "ab") as log:  # noqa: ASYNC230  the file is cached
+            async with one.spawning:  # `end` waits until there is a process to end
                 process = one.process = await asyncio.to_thread(
                     subprocess.Popen, arguments, cwd=folder, env=environment, stderr=log
                 )
         return process
 
     async def _is_answering(self, one: FleetProcess, process: subprocess.Popen[bytes]) -> bool:
-        """Waits until the process answers; false where it ends first or another takes its place."""
+        """Waits until the process replies; false if it ends first or another one replaces it."""
         is_control_server = one in self.control_servers
         while process.poll() is None and one.process is process:
             if await (
@@ -154,14 +159,16 @@
         return False
 
     def log(self, one: FleetProcess) -> str:
+        """The standard error of a process and its predecessors. Raises OSError."""
         return log_path(self, one).read_text(errors="replace")
 
     async def end(self, one: FleetProcess, number: signal.Signals) -> None:
+        """Ends a process by a signal and waits for its exit."""
         async with one.spawning:
             process, one.up = one.process, False
             one.downs.append(time.time())
         if number is signal.SIGKILL:
-            one.process = None  # whoever waits for its start need not
+            one.process = None  # `_is_answering` stops waiting for it
         client, one.client = one.client, None
         if number is signal.SIGTERM:
             await asyncio.sleep(LEAVING_S)
@@ -182,7 +189,7 @@
     # --- asking
 
     async def stats(self, one: FleetProcess) -> dict[str, int]:
-        """What the admin endpoint says; empty where nobody answers."""
+        """The metrics of a director's admin endpoint; empty if it does not reply."""
         with contextlib.suppress(*ASK_ERRORS):
             text = (await fetch("127.0.0.1", one.admin_port, "GET", "/stats", within_s=ASK_S)).decode()
             pairs = (line.removeprefix("director.").partition("=") for line in text.splitlines())
@@ -190,13 +197,14 @@
         return {}
 
     async def status(self, one: FleetProcess) -> dict[str, Any]:
+        """The status of a control server; empty if it does not reply."""
         with contextlib.suppress(*ASK_ERRORS):
             status: dict[str, Any] = json.loads(await self._ask_control_server(one, "/status"))
             return status
         return {}
 
     async def active_purges(self, one: FleetProcess) -> set[PurgeName]:
-        """The purges that stand at a feed; empty where it does not answer."""
+        """The active purges of a control server; empty if it does not reply."""
         with contextlib.suppress(*ASK_ERRORS):
             purges = json.loads(await self._ask_control_server(one, "/purges"))
             return {PurgeName(issuer, epoch, seq) for issuer, epoch, seq, *_ in purges}
@@ -206,6 +214,7 @@
         return await fetch("127.0.0.1", control_server.port, "GET", target, TOKEN, within_s=ASK_S)
 
     async def close(self) -> None:
+        """Kills all processes, closes the links and releases the ports."""
         self._fault_injector.close()
         for one in (*self.directors, *self.control_servers):
             if one.process is not None and one.process.poll() is None:
--- a/gladelane/lab/fleet/folders.py
+++ b/gladelane/lab/fleet/folders.py
@@ -1,4 +1,4 @@
-"""What happens to the folder of a process between two of its lives, and to a disk that is full. Blocks."""
+"""Faults of the folder of a process between two starts, and of a full disk. The functions block."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from .process import FleetProcess
 
-TORN_BYTES = 7  # of the last write, which ended half way
+TORN_BYTES = 7  # cut from the end of each log, as by an incomplete write
 NO_LIMIT = -1
 
 
@@ -19,14 +19,14 @@
 
 
 def save_folder(one: FleetProcess) -> None:
-    """Copies the folder, for one that comes back older."""
+    """Saves a copy of the folder, from which an older state can be restored."""
     copy = _saved_folder(one)
     shutil.rmtree(copy, ignore_errors=True)
     shutil.copytree(one.folder, copy, ignore=shutil.ignore_patterns("tmp", "LOCK"))
 
 
 def damage_folder(one: FleetProcess, how: str, control_servers: Sequence[FleetProcess]) -> None:
-    """`how`: torn, empty, older (as it was saved) or swapped (with a copy of another control server's)."""
+    """Damages a folder. `how`: torn, empty, older (as saved) or swapped (with another control server's)."""
     if how == "torn":
         for path in one.folder.rglob("*.log"):
             os.truncate(path, max(path.stat().st_size - TORN_BYTES, 0))
@@ -45,8 +45,10 @@
 
 
 def limit_file_size(one: FleetProcess, most_bytes: int) -> bool:
-    """A file that may not grow is a full disk to whoever writes; root's rights do not change that. Returns
-    whether there was a process to limit."""
+    """Simulates a full disk by a limit on the size of files, which applies to root as well.
+
+    Returns whether there was a running process.
+    """
     if one.process is None or one.process.poll() is not None:
         return False
     resource.prlimit(one.process.pid, resource.RLIMIT_FSIZE, (most_bytes, NO_LIMIT))
--- a/gladelane/lab/fleet/load.py
+++ b/gladelane/lab/fleet/load.py
@@ -1,4 +1,4 @@
-"""Clients and operators of a run: an open loop of requests from one seed, and purges."""
+"""The clients and operators of a run: an open loop of random requests, and purges."""
 
 from __future__ import annotations
 
@@ -28,20 +28,25 @@
 PATIENCE_S = 2.5
 WRITES = 0.06  # of all requests
 NEXT_LOOK_S = (0.15, 0.45)
-LATE_REPEAT_S = 2.3  # after a write whose director was killed, when its client asks again there
+LATE_REPEAT_S = 2.3  # after which a client retries a write at a director that was killed meanwhile
 ANSWER_GRACE_MS = 500.0
 
 
 class Load:
-    """`lost_by_kill`: held by a process that was killed or stopped; `lost`: by none. `late_s`: by how much a
-    request was asked after its moment at most, which is the doing of the machine alone."""
+    """Sends the requests of a run and records their results.
+
+    - `counts["lost_by_kill"]`: requests without a reply that were pending in a killed or suspended process;
+      `counts["lost"]`: other requests without a reply.
+    - `late_s`: the largest delay between the due time of a request and its sending, which has its
+      cause in the machine alone.
+    """
 
     def __init__(self, fleet: Fleet, rng: Random) -> None:
         self.fleet, self.rng = fleet, rng
         self.made: list[Made] = []
         self.purges: list[Purged] = []
         self.attempts: list[Sent] = []
-        self._asked_at: dict[str, str] = {}  # by a request's id, for as long as the run lasts: its director
+        self._asked_at: dict[str, str] = {}  # by request id, for the whole run: the director
         self.service = Service()
         self.by_director: defaultdict[str, Service] = defaultdict(Service)
         self.counts: Counter[str] = Counter()
@@ -51,7 +56,7 @@
         self._extra_s, self._is_prolonged = 0.0, False
         self.broken: list[Broken] = []
         self.monitor = Monitor(1000.0, 2000.0, ANSWER_GRACE_MS, self.broken.append)
-        self._who: dict[str, tuple[str, int]] = {}  # by a request's id: its director, its number
+        self._who: dict[str, tuple[str, int]] = {}  # by id of a pending request: the director and the number
         self._tries: Counter[str] = Counter()
         self._weights = [1.0 / (n + 1) ** 0.8 for n in range(OBJECTS)]
         self._tasks: set[asyncio.Task[None]] = set()
@@ -73,7 +78,7 @@
             self.monitor.ended(director, number, attempt, Status.OK, now_ms())
 
     async def run(self, per_s: float, seconds: float) -> None:
-        """Arrivals at their moments, whatever became of those before."""
+        """Sends requests at random times, independent of earlier results (open loop)."""
         loop = asyncio.get_running_loop()
         self._watching = asyncio.create_task(self.standstills.watch())
         due = loop.time()
@@ -88,7 +93,7 @@
 
     @contextmanager
     def prolonged(self) -> Iterator[None]:
-        """`run` goes on meanwhile, and for as much longer in the end."""
+        """Extends `run` by the time spent in this block."""
         began_s, self._is_prolonged = time.monotonic(), True
         try:
             yield
@@ -96,7 +101,7 @@
             self._extra_s, self._is_prolonged = self._extra_s + time.monotonic() - began_s, False
 
     async def settle(self) -> None:
-        """Until all that was asked has ended."""
+        """Waits until all requests have ended, then stops the observers."""
         if self._tasks:
             await asyncio.wait(list(self._tasks), timeout=2 * PATIENCE_S + LATE_REPEAT_S)
         for task in list(self._tasks):
@@ -106,7 +111,7 @@
         self.monitor.close(now_ms())
 
     async def _director(self) -> FleetProcess | None:
-        """One that listens. Where none does, clients look again at moments of their own, not all at once."""
+        """A random director that is up, or None; polls with random pauses, so that clients spread out."""
         until = time.monotonic() + PATIENCE_S
         while time.monotonic() < until:
             ready = [one for one in self.fleet.directors if one.up and one.client is not None]
@@ -129,7 +134,7 @@
         code, killed = await self._ask(one, cls, n, part, key, due_ms)
         if code is None and killed and write:
             await asyncio.sleep(max(LATE_REPEAT_S - (now_ms() - due_ms) / 1000.0, 0.0))
-            # a director that lost its folder cannot know the key: nobody is to ask there past the window
+            # a director without its former folder cannot know the key: no retry there after the window
             if one.up and one.client is not None and one.has_former_folder and self.fleet.shape.warm:
                 self.counts["late_repeats"] += 1
                 await self._ask(one, cls, n, part, key, now_ms())
@@ -137,7 +142,7 @@
     async def _ask(
         self, one: FleetProcess, cls: str, n: int, part: int, key: str, due_ms: float
     ) -> tuple[int | None, bool]:
-        """The answer's code, if one came, and whether its director was killed meanwhile."""
+        """The code of the reply, if any, and whether the director was killed or suspended meanwhile."""
         client, spec, sent = one.client, CLASSES[cls], now_ms()
         assert client is not None
         self._number += 1
@@ -168,7 +173,7 @@
             if not killed:
                 self.fleet.note("lost", f"{cls} {id_} at {one.name}")
         else:
-            if killed:  # a stopped process answers when it wakes
+            if killed:  # a suspended process replies after it is resumed
                 self.monitor.withdrawn(one.name, number)
             else:
                 self.monitor.final(one.name, number, now, answer.code == 1)
@@ -189,12 +194,13 @@
     # --- operators
 
     async def purge(self, count: int, seconds: float) -> None:
+        """Sends purges, spread over a time; retries until a control server acknowledges them."""
         for turn in range(count):
             n = self.rng.randrange(OBJECTS)
             scope = f"object:{object_id(n)}" if turn % 4 else f"group:{group_of(n)} & parts:0"
             body = json.dumps({"scope": scope}).encode()
             key = f"k{self.rng.getrandbits(64):x}"
-            asked_ms = now_ms()  # of the first try: a later one may be told of a purge that stands since then
+            asked_ms = now_ms()  # of the first attempt, whose purge a retry may return
             while True:
                 control_server = self.rng.choice(self.fleet.control_servers)
                 try:
@@ -214,7 +220,7 @@
                     self.counts["purges_again"] += 1
                     await asyncio.sleep(0.05)
             answered_ms = now_ms()
-            at_ms = min(max(reply["at_ms"], asked_ms), answered_ms)  # the feed's clock may be wrong
+            at_ms = min(max(reply["at_ms"], asked_ms), answered_ms)  # the server's clock may be wrong
             self.purges.append(
                 Purged(
                     at_ms,
--- a/gladelane/lab/fleet/owned.py
+++ b/gladelane/lab/fleet/owned.py
@@ -1,4 +1,4 @@
-"""Who owned what in a run, by the keepers' own answers and by the servers' books of orders."""
+"""The lease holders in a run, from replies of the lease servers and orders at the fake servers."""
 
 from __future__ import annotations
 
@@ -17,16 +17,19 @@
 from .load import Load
 
 LOOK_S = 0.05
-PROMPT_S = 0.05  # for an answer to a look; on a still machine one takes a few ms
+PROMPT_S = 0.05  # for the reply to a poll, which takes a few ms on an idle machine
 ANSWER_S = 0.5
-FOLLOWED_S = 30.0  # many times what it takes: a machine that is busy is waited for
+FOLLOWED_S = 30.0  # much longer than needed, for a busy machine
 LOOK_ERRORS = (OSError, HttpStatusError, TimeoutError, ValueError)
-SERVERS = ("cache-0", "cache-1", "cache-2", "cache-3", "depot")  # that take orders here
+SERVERS = ("cache-0", "cache-1", "cache-2", "cache-3", "depot")  # that get orders here
 
 
 class Look(NamedTuple):
-    """What one keeper said at a moment: work -> (holder, number) where a lease runs there; numbers: of all
-    works."""
+    """The reply of a lease server at one time.
+
+    - `granted`: work -> (holder, number) of the leases that are valid there.
+    - `numbers`: work -> the last number, of all works.
+    """
 
     at: float
     lease_server: int
@@ -35,30 +38,32 @@
 
 
 class Call(NamedTuple):
-    """From when to when a look took, s of the Unix clock, whether or not it was answered."""
+    """The duration of a poll, with or without a reply. Unix s."""
 
     began: float
     ended: float
 
     def late_s(self, since: float, until: float) -> float:
-        """How much of that time lies past a prompt answer."""
+        """How much of the poll in this period exceeds PROMPT_S."""
         return max(min(self.ended, until) - max(self.began + PROMPT_S, since), 0.0)
 
 
 def majority_late_s(calls: Sequence[Sequence[Call]], since: float, until: float) -> float:
-    """How long answers were overdue in this time, from the calls to each keeper. A majority of the keepers
-    was late by this much at least, so the time is the machine's: one keeper at fault adds nothing."""
+    """How long replies were overdue in this period at a majority of the lease servers.
+
+    Because a majority was late, the machine is the cause; a fault of a single lease server does not count.
+    """
     late = sorted(sum(call.late_s(since, until) for call in one) for one in calls)
     return late[-majority(len(late))]
 
 
 class Watch:
-    """Asks all keepers all the while."""
+    """Polls all lease servers continuously."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.looks: list[Look] = []
-        self.calls: list[list[Call]] = [[] for _ in fleet.control_servers]  # by keeper
+        self.calls: list[list[Call]] = [[] for _ in fleet.control_servers]  # by lease server
         self._tasks = [
             asyncio.create_task(self._look(number)) for number in range(len(fleet.control_servers))
         ]
@@ -79,14 +84,15 @@
         return Look(time.time(), number, granted, numbers)
 
     async def stop(self) -> None:
+        """Stops polling."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    # --- what it came to
+    # --- results
 
     def owners(self) -> dict[str, list[tuple[float, str, int]]]:
-        """By work: each owner that a majority of keepers had granted, from when that was seen."""
+        """By work: each owner that a majority of lease servers granted, and when this was first seen."""
         latest: dict[int, Look] = {}
         found: dict[str, list[tuple[float, str, int]]] = defaultdict(list)
         for look in sorted(self.looks):
@@ -104,11 +110,11 @@
         return found
 
     def granted_count(self) -> int:
-        """Works that a majority of keepers says are held, by what each said last."""
+        """The number of works with a holder, by the last replies of a majority of the lease servers."""
         return len(self.holders())
 
     def holders(self) -> dict[str, str]:
-        """Who holds each work now: what a majority of keepers says, by what each said last."""
+        """The holder of each work, according to the last replies of a majority of the lease servers."""
         latest = {look.lease_server: look for look in sorted(self.looks)}
         votes = Counter((work, grant) for look in latest.values() for work, grant in look.granted.items())
         return {
@@ -118,7 +124,7 @@
         }
 
     async def look_now(self) -> None:
-        """Asks every keeper until it answers: what `holders` says after that is no older than this call."""
+        """Polls every lease server until it replies, so that `holders` is not older than this call."""
         self.looks += await asyncio.gather(*(self._insist(number) for number in range(len(self.calls))))
 
     async def _insist(self, number: int) -> Look:
@@ -128,14 +134,14 @@
             await asyncio.sleep(LOOK_S)
 
     def reused(self) -> list[str]:
-        """Numbers that two had, and numbers of a keeper that fell."""
+        """Violations: numbers with two holders, and numbers that decreased."""
         wrong: list[str] = []
         by: dict[tuple[str, int], dict[str, set[int]]] = defaultdict(lambda: defaultdict(set))
         for look in sorted(self.looks):
             for work, (holder, number) in look.granted.items():
                 by[work, number][holder].add(look.lease_server)
         for (work, number), holders in by.items():
-            # candidates that claim one number at once part the keepers: that is no fault
+            # candidates that request one number at once may split the lease servers; this is no violation
             many = [
                 lease_servers
                 for lease_servers in holders.values()
@@ -151,8 +157,10 @@
         return wrong
 
     def gaps(self, ended: float, holders: set[str]) -> list[float]:
-        """For each work that one of these had when they ended: seconds until another had it, infinite where
-        none has."""
+        """The time until another holder, for each work of these holders; infinity if there is none yet.
+
+        `ended`: when the holders ended.
+        """
         found = []
         for owners in self.owners().values():
             before = [one for one in owners if one[0] <= ended]
@@ -163,7 +171,7 @@
 
 
 def orders(fleet: Fleet, load: Load) -> tuple[float, int]:
-    """How often a purge was ordered at a server, on the mean; and (purge, server) pairs that never were."""
+    """The mean number of orders per purge and server, and the number of such pairs without an order."""
     counts: Counter[tuple[str, str]] = Counter()
     for server, _, order in fleet.world.orders:
         counts[server, order.partition(" ")[0]] += 1
@@ -173,8 +181,10 @@
 
 
 async def followed(watch: Watch, ended: float, holder: str, within_s: float = FOLLOWED_S) -> list[float]:
-    """Waits until each work that this one had has another owner: seconds that it took for each, less those in
-    which the machine held the keepers up. Raises TimeoutError."""
+    """Waits until each work of an ended holder has another owner. Raises TimeoutError.
+
+    Returns the seconds for each work, without the time in which the machine delayed the lease servers.
+    """
     async with asyncio.timeout(within_s):
         while math.inf in (gaps := watch.gaps(ended, {holder})):
             await asyncio.sleep(LOOK_S)
@@ -182,14 +192,14 @@
 
 
 async def ordered(fleet: Fleet, load: Load, within_s: float = 30.0) -> None:
-    """Until every purge was ordered at every server; an owner that comes late is no owner that loses."""
+    """Waits until every purge was ordered at every server, at most `within_s`: a late order is not lost."""
     until = time.monotonic() + within_s
     while orders(fleet, load)[1] and time.monotonic() < until:
         await asyncio.sleep(0.2)
 
 
 async def settled(watch: Watch, shards: int, within_s: float = 30.0) -> bool:
-    """Whether every shard has an owner."""
+    """Waits until every shard has an owner, at most `within_s`; returns whether this is so."""
     until = time.monotonic() + within_s
     while time.monotonic() < until:
         if len(watch.owners()) == shards:
--- a/gladelane/lab/fleet/ports.py
+++ b/gladelane/lab/fleet/ports.py
@@ -1,8 +1,8 @@
-"""Ports that stay with one run while its processes are down and up again.
+"""Reserves ports for the whole duration of a run, also while the processes that use them are down.
 
-A port on which nobody listens for a moment may be taken by another run beside this one, and runs with the
-same seed draw the same ports. So whoever takes a port also binds the UDP port of that number, which no
-process here uses, and holds it as long as the run lasts."""
+Another run on the same machine could take a port that has no listener for a moment. Therefore a reservation
+also binds the UDP port of the same number, which no process here uses, until the port is released.
+"""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 import socket
 from random import Random
 
-PORTS = 12_000, 32_000  # under those that the system gives to connections going out
+PORTS = 12_000, 32_000  # below the ephemeral ports of outgoing connections
 
 _reserved: dict[int, socket.socket] = {}
 
 
 def reserve_port(rng: Random) -> int:
-    """One that no process listens on and no other run holds."""
+    """Reserves a random port that has no listener and no reservation of another run."""
     while True:
         port = rng.randrange(*PORTS)
         holder = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -30,5 +30,6 @@
 
 
 def release_port(port: int) -> None:
+    """Releases a reserved port; no effect on other ports."""
     with contextlib.suppress(KeyError):
         _reserved.pop(port).close()
--- a/gladelane/lab/fleet/process.py
+++ b/gladelane/lab/fleet/process.py
@@ -1,4 +1,4 @@
-"""One process of a fleet and its successors under the same name, on the same port and in the same folder."""
+"""A process of a fleet and its successors, with the same name, port and folder."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 from .client_pool import Pool
 
-NOTICED_MS = 300.0  # for clients to see that a process is gone, or for it to catch up
+NOTICED_MS = 300.0  # until clients notice that a process ended, or until a resumed one has caught up
 
 
 @dataclass
 class UnresponsivePeriod:
-    """A period in which a process answers nothing, Unix ms."""
+    """A period in which a process does not reply, Unix ms."""
 
     start_ms: float
     end_ms: float
@@ -25,9 +25,13 @@
 
 @dataclass(eq=False)
 class FleetProcess:
-    """One process and its successors. up: it answers; kept: it found the folder of the one before it. ups and
-    downs: when one began to answer and when one was ended; stops and resumes: when one was sent SIGSTOP and,
-    if it lived on until then, SIGCONT. Unix s."""
+    """A process and its successors after restarts. All times are Unix s.
+
+    - `up`: the process replies.
+    - `has_former_folder`: it found the folder that its predecessor left.
+    - `ups`, `downs`: when a process started to reply, and when one was ended.
+    - `stops`, `resumes`: when a process was sent SIGSTOP, and SIGCONT if it still existed then.
+    """
 
     name: str
     port: int
@@ -44,18 +48,18 @@
     downs: list[float] = field(default_factory=list)
     stops: list[float] = field(default_factory=list)
     resumes: list[float] = field(default_factory=list)
-    stopped: subprocess.Popen[bytes] | None = None  # the process that stands still, until it is resumed
+    stopped: subprocess.Popen[bytes] | None = None  # the suspended process, until it is resumed
     unresponsive_periods: list[UnresponsivePeriod] = field(default_factory=list)
 
     def stop(self) -> None:
-        """SIGSTOP, if a process runs."""
+        """Sends SIGSTOP, if a process runs."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(signal.SIGSTOP)
             self.stopped = self.process
             self.stops.append(time.time())
 
     def resume(self) -> None:
-        """SIGCONT. A successor of the process that was stopped never stood still, so its date is not kept."""
+        """Sends SIGCONT. Recorded only for the process that was suspended, not for a successor of it."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(signal.SIGCONT)
             if self.stopped is self.process:
@@ -63,15 +67,15 @@
         self.stopped = None
 
     def begin_unresponsive_period(self, until_ms: float = math.inf) -> None:
-        """From now on what it had open may never be answered, or late."""
+        """From now on pending requests may get no reply, or a late one."""
         now_ms = time.time() * 1000.0
         self.unresponsive_periods.append(UnresponsivePeriod(now_ms, max(until_ms, now_ms + NOTICED_MS)))
 
     def end_unresponsive_period(self) -> None:
-        """It runs again, and has some time to catch up."""
+        """The process runs again, and has some time to catch up."""
         for period in self.unresponsive_periods:
             period.end_ms = min(period.end_ms, time.time() * 1000.0 + NOTICED_MS)
 
     def was_unresponsive(self, sent_ms: float, now_ms: float) -> bool:
-        """Whether a request that was open for so long was open at a process that was killed or stopped."""
+        """Whether a request pending in this period may have been affected by a kill or a suspension."""
         return any(one.start_ms <= now_ms and sent_ms <= one.end_ms for one in self.unresponsive_periods)
--- a/gladelane/lab/fleet/relay.py
+++ b/gladelane/lab/fleet/relay.py
@@ -1,4 +1,4 @@
-"""A link between two processes: bytes pass as they come, until the link is made worse."""
+"""A TCP link between two processes that forwards all bytes until a fault is injected."""
 
 from __future__ import annotations
 
@@ -14,22 +14,24 @@
 READ_BYTES = 65_536
 REPORT = b"POST /reports "
 STAGE = re.compile(rb'"stage":(\d)')
-SLOW_S = 0.3  # a piece, each way
-HALFWAY_BYTES = 400  # of the far end's, after which a connection is reset
+SLOW_S = 0.3  # delay of each read, in both directions
+HALFWAY_BYTES = 400  # of the replies, after which a connection is reset
 
 
 class State(Enum):
+    """How a link is disturbed. The values are words of the fault schedule."""
+
     OPEN = "open"
-    CLOSED = "closed"  # connections are reset, new ones refused
-    SILENT = "silent"  # nothing passes and nobody is told
-    REPLIES_BLOCKED = "oneway"  # what the near end says arrives, the far end's answers do not
-    REQUESTS_BLOCKED = "mute"  # the far end's words arrive, what the near end says does not
+    CLOSED = "closed"  # open connections are reset, new ones rejected
+    SILENT = "silent"  # nothing is forwarded, and no connection is closed
+    REPLIES_BLOCKED = "oneway"  # only bytes of the near end are forwarded
+    REQUESTS_BLOCKED = "mute"  # only bytes of the far end are forwarded
     SLOW = "slow"
-    HALFWAY = "halfway"  # connections are reset in the middle of an answer
+    HALFWAY = "halfway"  # connections are reset in the middle of a reply
 
 
 class Reported(NamedTuple):
-    """A report that passed and whose answer passed back. Unix ms; stage: of the verdict."""
+    """A report to the audit that was forwarded with its reply. Unix ms; `stage`: that of the verdict."""
 
     asked_ms: float
     answered_ms: float
@@ -37,26 +39,27 @@
 
 
 class Relay:
-    """Listens for the near end, dials the far one."""
+    """Accepts connections of the near end and forwards them to the port of the far end."""
 
     def __init__(self, port: int) -> None:
         self.far = port
         self.port = 0
         self.state = State.OPEN
         self.cut_short = 0
-        self.reported: list[Reported] = []  # as they passed here: what the parties say of it is not asked
+        self.reported: list[Reported] = []  # as seen here, independent of what both ends record
         self.report_bytes = 0
         self._server: asyncio.Server | None = None
         self._open: dict[asyncio.Task[None], tuple[asyncio.StreamWriter, asyncio.StreamWriter]] = {}
         self._healed = asyncio.Event()
 
     async def start(self) -> int:
+        """Starts to listen; returns the port. Raises OSError."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
         self.port = int(self._server.sockets[0].getsockname()[1])
         return self.port
 
     def set(self, state: State) -> None:
-        """Connections that were made while it was silent stay, and go on once it is healed."""
+        """Changes the state. Connections made while the link was silent continue once it is open again."""
         self.state = state
         if state is State.CLOSED:
             for near, far in list(self._open.values()):
@@ -67,6 +70,7 @@
             self._healed = asyncio.Event()
 
     async def close(self) -> None:
+        """Stops listening and closes all connections."""
         if self._server is not None:
             self._server.close()
         for task in list(self._open):
@@ -98,7 +102,7 @@
                 for way in ways:
                     way.cancel()
                 await asyncio.gather(*ways, return_exceptions=True)
-        except asyncio.CancelledError:  # the relay closes; asyncio would report it
+        except asyncio.CancelledError:  # the relay is closed; asyncio would log the exception
             pass
         finally:
             self._open.pop(task, None)
@@ -133,7 +137,7 @@
 
 
 class _Watch:
-    """One connection: whether it carries a report, and what became of it."""
+    """Detects in the bytes of a connection a report to the audit and its reply."""
 
     def __init__(self, relay: Relay) -> None:
         self._relay = relay
@@ -156,6 +160,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
+    """Closes a connection with RST."""
     sock = writer.get_extra_info("socket")
     with suppress(OSError, ValueError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/gladelane/lab/fleet/replicated.py
+++ b/gladelane/lab/fleet/replicated.py
@@ -1,4 +1,4 @@
-"""How far control servers have stored what directors reported, as they say themselves."""
+"""How far the control servers have replicated the reports of directors, according to the servers."""
 
 from __future__ import annotations
 
@@ -9,13 +9,11 @@
 from .fleet import TOKEN
 from .process import FleetProcess
 
-Positions = Mapping[
-    tuple[str, int], int
-]  # by director and start: the last interval up to which all are there
+Positions = Mapping[tuple[str, int], int]  # by director and start: the last interval without a gap before it
 
 
 async def positions_at(control_server: FleetProcess) -> Positions | None:
-    """None: it does not answer."""
+    """The positions of a control server; None if it does not reply."""
     try:
         answer = await fetch("127.0.0.1", control_server.port, "GET", "/fleet/marks", TOKEN)
         return {(director, start): upto for director, start, upto in json.loads(answer).get("marks", [])}
@@ -24,7 +22,7 @@
 
 
 def reach(positions: Positions | None, wanted: Iterable[Positions | None]) -> bool:
-    """Whether a control server has all that others had, of which some may not have answered."""
+    """Whether a control server has everything that others had; those without a reply are None."""
     if positions is None:
         return False
     return all(
--- a/gladelane/lab/fleet/rules.py
+++ b/gladelane/lab/fleet/rules.py
@@ -1,8 +1,9 @@
-"""The rules of a whole run, over all processes: told by clients and stand-ins, never by what is watched.
+"""Checks of a whole run over all processes, from observations of clients and fake servers only. Pure.
 
-`lab.checks` watches each request; here is what only the sum of all directors shows: answers from copies
-older than a purge, keys that ran twice beyond their window, how full the origin got, and the worth answered
-in time. Pure."""
+`lab.checks` checks single requests. The checks here need the observations of all directors: replies from
+copies older than a purge, idempotency keys executed twice beyond their window, the peak load of the origin,
+and the weight of the requests that were answered in time.
+"""
 
 from __future__ import annotations
 
@@ -16,12 +17,12 @@
 from ...purges.index import Index
 from ...purges.scope import Scope
 
-SLACK_MS = 5.0  # dates are whole ms
-DOWN_SLACK_S = 0.05  # between a line's moment and the step that was carried out
+SLACK_MS = 5.0  # dates are rounded to ms
+DOWN_SLACK_S = 0.05  # between the scheduled time of a step and its execution
 
 
 class Made(NamedTuple):
-    """An answer that was served. Times are Unix ms."""
+    """A successful reply. Times are Unix ms."""
 
     cls: str
     group: int
@@ -34,7 +35,7 @@
 
 
 class Sent(NamedTuple):
-    """An attempt as a server saw it. Unix ms."""
+    """An attempt as a fake server received it. Unix ms."""
 
     director: str
     at_ms: float
@@ -44,8 +45,10 @@
 
 
 class Purged(NamedTuple):
-    """A purge that was answered: its moment, and when its sender had the answer. `dated_ms`: as its control
-    server dated it, which may be a little late, and as orders carry it."""
+    """A purge that was acknowledged: its time, and when its sender had the reply.
+
+    `dated_ms`: the date that its control server assigned, which may be a little late, and which orders carry.
+    """
 
     at_ms: float
     scope: Scope
@@ -57,7 +60,7 @@
 
 
 class PurgeName(NamedTuple):
-    """What no two purges share: epoch is the start of the issuer in which it was issued."""
+    """Identifies a purge. `epoch`: the start of the issuer in which it was issued."""
 
     issuer: str
     epoch: int
@@ -65,24 +68,28 @@
 
 
 def name_of(purge: Purged) -> PurgeName:
+    """The identifier of a purge."""
     return PurgeName(purge.issuer, purge.epoch, purge.seq)
 
 
 def of_earlier_starts(purges: list[Purged], latest: Mapping[str, int]) -> set[PurgeName]:
-    """Answered purges that no feed of now issued: a feed with an empty folder has them from others alone.
-    latest: each issuer's epoch now."""
+    """Acknowledged purges that were issued in an earlier start of their control server.
+
+    A control server with an empty folder can have them from others only. `latest`: the present epoch of
+    each issuer.
+    """
     return {name_of(purge) for purge in purges if purge.epoch < latest.get(purge.issuer, 0)}
 
 
 class Ran(NamedTuple):
-    """A keyed request as a server took it."""
+    """A request with an idempotency key, as a server received it."""
 
     key: str
     at_ms: float
 
 
 def stale(made: list[Made], purges: list[Purged], delay_ms: float) -> list[Made]:
-    """Answers asked for more than the delay after a purge was answered, from a copy older than it."""
+    """Replies from a copy older than a purge, to requests later than its acknowledgement plus the delay."""
     index, place, found = Index(), 0, []
     ordered = sorted(purges, key=lambda purge: max(purge.at_ms, purge.answered_ms))
     for answer in sorted(made, key=lambda answer: answer.sent_ms):
@@ -99,7 +106,7 @@
 
 
 def doubles(ran: list[Ran], window_ms: float, slack_ms: float = 20.0) -> list[str]:
-    """Keys that ran again after their window: the server no longer knows them for a repeat."""
+    """Keys that were executed again after their window, when the server no longer detects the repeat."""
     first: dict[str, float] = {}
     found = []
     for one in sorted(ran, key=lambda one: one.at_ms):
@@ -109,14 +116,18 @@
 
 
 def busiest(times: list[float], start: float, end: float) -> int:
-    """The most in any second, of moments in s."""
+    """The largest number of times in any second between start and end."""
     return max(Counter(int(at - start) for at in times if start <= at < end).values(), default=0)
 
 
 def back_after(ups: list[float], downs: list[float], struck: float, until: float) -> float:
-    """When a process that was struck answers again: with the last of `ups` that came of it, its starts and
-    when it was resumed; `downs`: when it was ended or stopped. At once where none of these came of the
-    fault; infinite: it did not come back. Seconds."""
+    """When a process replies again after a fault, in seconds.
+
+    - `ups`: when it started or was resumed; the last one that followed from the fault counts.
+    - `downs`: when it was ended or stopped.
+
+    Returns `struck` if the process was not down because of the fault, and infinity if it did not come back.
+    """
     last_down = max((moment for moment in downs if struck - DOWN_SLACK_S <= moment < until), default=None)
     if last_down is None:
         return struck
@@ -124,20 +135,21 @@
 
 
 class Service:
-    """The worth that was asked for and the part of it that was answered in time, by when it was due. Seconds
-    of one clock.
+    """The weight of requests, and of those that were answered in time, by due time. Seconds of one clock.
 
-    A share, no rate: arrivals are random, and what is asked for in two spans of HELD_S differs by more than
-    the twentieth that is looked for."""
+    Compares shares, not rates: arrivals are random, so the requested weight in two periods of PERIOD_S
+    differs by more than the 5 % that the comparison has to detect.
+    """
 
     SHARE, PERIOD_S, STEP_S = 0.95, 2.0, 0.1
 
     def __init__(self) -> None:
-        self._asked: list[tuple[float, float]] = []  # when due, worth
+        self._asked: list[tuple[float, float]] = []  # due time, weight
         self._earned: list[tuple[float, float]] = []
 
     @classmethod
     def together(cls, services: Iterable[Service]) -> Service:
+        """The sum of several services."""
         joined = cls()
         for service in services:
             joined._asked += service._asked
@@ -145,15 +157,18 @@
         return joined
 
     def ask(self, due_s: float, weight: float) -> None:
+        """Records a request."""
         self._asked.append((due_s, weight))
 
     def earn(self, due_s: float, weight: float) -> None:
-        """What was asked for then was answered in time."""
+        """Records that a request was answered in time."""
         self._earned.append((due_s, weight))
 
     def full_after(self, fault: float, before: tuple[float, float], until: float) -> float:
-        """Seconds from a fault to the first moment from which 95 % of the share before is kept for 2 s;
-        infinite: there is none up to `until`."""
+        """Seconds from a fault until at least 95 % of the earlier share is reached for PERIOD_S.
+
+        Infinity if this does not happen before `until`.
+        """
         asked, earned = RunningSum(self._asked), RunningSum(self._earned)
 
         def share(start: float, end: float) -> float:
@@ -170,7 +185,7 @@
 
 
 class RunningSum:
-    """Sums of values over spans of their moments."""
+    """Sums of values by time."""
 
     def __init__(self, rows: list[tuple[float, float]]) -> None:
         ordered = sorted(rows)
@@ -178,5 +193,6 @@
         self._sums = [0.0, *accumulate(value for _, value in ordered)]
 
     def between(self, start: float, end: float) -> float:
+        """The sum of the values from `start` to before `end`."""
         first, last = bisect_left(self._moments, start), bisect_left(self._moments, end)
         return self._sums[last] - self._sums[first]
--- a/gladelane/lab/fleet/shape.py
+++ b/gladelane/lab/fleet/shape.py
@@ -1,4 +1,4 @@
-"""How a fleet of a run is set up. Pure."""
+"""The configuration of a fleet. Pure."""
 
 from __future__ import annotations
 
@@ -7,8 +7,11 @@
 
 @dataclass(frozen=True)
 class Shape:
-    """How a fleet is set up. lost: what strict classes make of copies from before a loss; feed_clocks: of
-    each feed, how its wall clock is wrong (`stepped`)."""
+    """The configuration of a fleet.
+
+    - `lost`: how strict classes treat copies from before a loss of purges.
+    - `control_server_clocks`: the steps of the wall clock of each control server (see `stepped`).
+    """
 
     directors: int = 12
     control_servers: int = 2
@@ -26,9 +29,9 @@
     view_lease_ms: float = 3000.0
     behind_ms: float = 8000.0
     share: float = 0.25
-    has_activity_log: bool = True  # each director has a folder for its trail
+    has_activity_log: bool = True  # each director has a folder for its activity log
     enforce: bool = True
-    owners: bool = False  # feeds are keepers, directors own shards of orders
+    owners: bool = False  # control servers are also lease servers; directors own shards of orders
     lease_ms: float = 1500.0
     shards: int = 8
     control_server_clocks: tuple[str, ...] = ()
--- a/gladelane/lab/fleet/stepped.py
+++ b/gladelane/lab/fleet/stepped.py
@@ -1,7 +1,8 @@
-"""A process whose wall clock is wrong from the start, or stepped as it runs.
+"""Steps the wall clock of a process at given times.
 
-`GLADELANE_CLOCK_STEPS`: SECONDS:MS, joined by commas: so many seconds after the start the wall clock is off
-by so many ms. The monotonic clock runs on, as with a real step."""
+`GLADELANE_CLOCK_STEPS`: a comma-separated list of SECONDS:MS; from so many seconds after the start the wall
+clock is off by so many ms. The monotonic clock is not affected, as with a real step.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +16,7 @@
 def stepped(
     steps: str, read_unix: Callable[[], float], read_monotonic: Callable[[], float]
 ) -> Callable[[], float]:
-    """A reading of the wall clock with its steps. Raises ValueError."""
+    """A function that reads the wall clock with its steps. Raises ValueError."""
     pairs = [step.partition(":") for step in steps.split(",") if step]
     offsets = sorted((float(after_s), float(off_ms)) for after_s, _, off_ms in pairs)
     start_s = read_monotonic()
@@ -32,5 +33,5 @@
 
 
 def install_steps() -> None:
-    """For this process from here on; without the variable nothing changes."""
+    """Installs the steps in this process; no effect without the environment variable."""
     time.time = stepped(os.environ.get(STEPS, ""), time.time, time.monotonic)
--- a/gladelane/lab/fleet/world.py
+++ b/gladelane/lab/fleet/world.py
@@ -1,5 +1,7 @@
-"""The servers of a run: four caches, a hub, the origin and the board, in this process, with books of what the
-program's processes asked them."""
+"""The fake servers of a run: four caches, a hub, the origin and the discovery server.
+
+They run in this process and record the requests of the program's processes.
+"""
 
 from __future__ import annotations
 
@@ -18,19 +20,23 @@
 OBJECTS, GROUPS = 300, 16
 CACHES = 4
 ORIGIN_S, HUB_S, CACHE_S = 0.002, 0.004, 0.002
-CACHE_MOST, HUB_MOST = 400, 400  # requests at once that push one over
-ORIGIN_PER_S = 900.0  # what it does in a second; more than that falls over
+CACHE_MOST, HUB_MOST = 400, 400  # concurrent requests that overload a server
+ORIGIN_PER_S = 900.0  # its capacity per second
 
 
 def object_id(number: int) -> str:
+    """The identifier of an object, hexadecimal."""
     return f"{number * 0x9E3779B97F4A7C15 & (2**64 - 1):016x}"
 
 
 def group_of(number: int) -> int:
+    """The group of an object."""
     return number % GROUPS
 
 
 class World:
+    """The fake servers and what they recorded."""
+
     def __init__(self) -> None:
         self.discovery = FakeDiscovery()
         self.origin = FakeCacheStore()
@@ -49,14 +55,15 @@
         self.at_once: Counter[str] = Counter()
         self.most_at_once: Counter[str] = Counter()
         self.drained_ms: dict[str, float] = {}
-        self.after_drain = 0  # requests to a drained cache past the second that directors have
+        self.after_drain = 0  # requests to a draining cache later than the second that directors may take
         self.discovery_port = 0
-        self.orders: list[tuple[str, float, str]] = []  # to drop copies: to whom, when, what
-        self.watch: Callable[[str, Seen], None] = lambda _name, _seen: None  # hears of each attempt
+        self.orders: list[tuple[str, float, str]] = []  # purge orders: server, time, order
+        self.watch: Callable[[str, Seen], None] = lambda _name, _seen: None  # called for each attempt
         self._late: list[dict[str, Any]] = []
         self._holding = False
 
     async def start(self) -> None:
+        """Starts all servers and publishes the endpoint list."""
         groups = {object_id(n): group_of(n) for n in range(OBJECTS)}
         for name, store in self.stores.items():
             fake_server = FakeServer(name, partial(self._answer, name))
@@ -80,6 +87,7 @@
         self.stores[name].drop(order)
 
     def instance(self, name: str) -> dict[str, Any]:
+        """A server as the endpoint list has it."""
         kind = {"depot": "parent", "bank": "origin"}.get(name, "standard")
         return {
             "instanceId": name,
@@ -110,10 +118,10 @@
         finally:
             self.at_once[name] -= 1
 
-    # --- what happens to them
+    # --- changes
 
     def tell(self, name: str) -> None:
-        """The board says how it is now; held back while the board is late."""
+        """Publishes the present state of a server; delayed while watch events are held back."""
         watch_event = {"pool": {"instances": [self.instance(name)]}}
         if self._holding:
             self._late.append(watch_event)
@@ -121,6 +129,7 @@
             self.discovery.tell(watch_event)
 
     def hold_discovery(self, on: bool) -> None:
+        """Holds watch events back, or publishes those that were held back."""
         self._holding = on
         if not on:
             late, self._late = self._late, []
@@ -128,6 +137,7 @@
                 self.discovery.tell(watch_event)
 
     def drain(self, name: str, out: bool) -> None:
+        """Publishes that a server is draining, or in service again."""
         self.lifecycle[name] = "terminating" if out else "in_service"
         if out and not self._holding:
             self.drained_ms[name] = now_ms()
@@ -136,7 +146,7 @@
         self.tell(name)
 
     async def renew(self, name: str) -> None:
-        """Its process dies and comes up anew with the copies that were saved, or none."""
+        """Simulates a restart of a server, with the saved copies or none."""
         fake_server, address = self.fake_servers[name], self.addresses[name]
         await fake_server.set(address, Fault.REFUSED)
         self.lifecycle[name] = "terminated"
@@ -148,12 +158,13 @@
         self.tell(name)
 
     def pushed_over(self, per_s: int) -> list[str]:
-        """Servers that were asked for more than they bear. per_s: the origin's busiest second."""
+        """The servers that were overloaded. `per_s`: the most requests to the origin in a second."""
         most = dict.fromkeys(self.stores, CACHE_MOST) | {"depot": HUB_MOST}
         pushed = [name for name, count in self.most_at_once.items() if count > most[name]]
         return pushed + (["bank"] if per_s > ORIGIN_PER_S else [])
 
     async def close(self) -> None:
+        """Stops all servers."""
         await self.discovery.close()
         for fake_server in self.fake_servers.values():
             await fake_server.close()
