--- a/gladelane/routing/endpoint_updates.py
+++ b/gladelane/routing/endpoint_updates.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from .concurrency_limit import LIMIT_LEAST, ConcurrencyLimit
+from .concurrency_limit import LIMIT_LEAST, LIMIT_MOST, ConcurrencyLimit
 from .context import LIST_TOKEN, RoutingContext
 from .events import ListKind, Member, Members, SetTimer, State
 from .server_credit import HeardStart
@@ -42,6 +42,7 @@
         if store_list.sources_changed:
             store_list.sources_changed = False
             self._open_origin()
+            self._divide_starts()
 
     def _apply_member(self, member: Member, heard: HeardStart) -> None:
         store_list = self._context.store_list
@@ -67,17 +68,38 @@
         if not origin or not parents:
             return
         widest = max(parent.most_attempts for parent in parents)
-        if origin.opened:  # a larger parent that joins does not undo what was learned
-            origin.concurrency.most = max(origin.concurrency.most, widest)
-        else:
+        is_wider = widest > origin.most_attempts  # otherwise its limit is made where it is first used
+        if not origin.opened:
             origin.opened = True
-            origin.concurrency.widen(widest)
+            if is_wider:
+                origin.concurrency.widen(widest)
             self._start_limit(origin, sum(self._context.cold.link_share(parent.member) for parent in parents))
+        elif is_wider:  # a larger parent that joins does not undo what was learned
+            origin.concurrency.most = max(origin.concurrency.most, widest)
+
+    def _divide_starts(self) -> None:
+        """In a large fleet each director fills caches of its own, with objects that those of the others lack
+        too. If each starts at the greatest limit at sources of unknown size, they fill links several times
+        over. As notes need not tell what a late fill waited for, they then learn that the ingress link of
+        their zone is full, and refuse requests for seconds after the flood."""
+        context, store_list = self._context, self._context.store_list
+        if not context.is_scattered or not store_list.is_large:
+            return
+        share = LIMIT_MOST / context.directors_in_zone
+        for parent in store_list.parents:
+            if not parent.is_limit_in_use:
+                _lower_start(parent, share)
+        origin = store_list.origin
+        if origin and not origin.is_limit_in_use:
+            _lower_start(origin, share * max(len(store_list.parents), 1))
 
     def _start_limit(self, store: Store, link_share: float) -> None:
         """Many directors that each start at what a link carries send many times that before one learns.
         `link_share`: work a second that is this director's part of the link, 0: not known."""
         if self._context.is_scattered and link_share:
-            share = START_SHARE * link_share / 1000.0
-            start = share + share**0.5 + 1.0  # with a margin for chance
-            store.concurrency.limit = min(start, store.concurrency.limit)
+            _lower_start(store, START_SHARE * link_share / 1000.0)
+
+
+def _lower_start(store: Store, share: float) -> None:
+    """To this director's share of the attempts, with a margin for chance."""
+    store.concurrency.limit = min(share + share**0.5 + 1.0, store.concurrency.limit)
--- a/gladelane/routing/store.py
+++ b/gladelane/routing/store.py
@@ -99,6 +99,11 @@
         """For the hash order."""
         return int.from_bytes(blake2b(self.member.store.encode(), digest_size=8).digest(), "big")
 
+    @property
+    def is_limit_in_use(self) -> bool:
+        """Whether `concurrency` was read or set before: it is made then."""
+        return "concurrency" in vars(self)
+
     @property
     def order_weight(self) -> float:
         """For the hash order."""
@@ -107,7 +112,7 @@
     def divide_limit(self, division: LimitDivision) -> None:
         """A limit that is in use keeps what it learned; only how low it may become changes."""
         self.division = division
-        if "concurrency" in vars(self):
+        if self.is_limit_in_use:
             self.concurrency.divide(division.directors, division.chance)
 
     def renew(self, heard: HeardStart) -> None:
--- a/gladelane/routing/store_list.py
+++ b/gladelane/routing/store_list.py
@@ -48,7 +48,7 @@
         self.caches: list[Store] = []
         self.parents: list[Store] = []
         self.origins: list[Store] = []
-        self.sources_changed = False  # parents or origins, since whoever reads this has set it back
+        self.sources_changed = False  # or `is_large`, since whoever reads this has set it back
         self._zone, self._parent_kind, self._origin_kind = _names(settings)
         self._ring_start = settings.me * RING_STEP % RING
         self._cache_count = 0  # of all zones
@@ -143,20 +143,23 @@
     def _count_cache(self, part: list[Store] | None, change: int) -> None:
         if part is self.parents or part is self.origins:
             return
-        was_large = self._is_large()
+        was_large = self.is_large
         self._cache_count += change
-        if self._is_large() != was_large:
+        if self.is_large != was_large:
             self._cache_order = None
+            self.sources_changed = True  # in what their limits start at
             for store in self.caches:
                 self._divide_limit(store, self.caches)
 
-    def _is_large(self) -> bool:
+    @property
+    def is_large(self) -> bool:
+        """Whether the fleet has more caches, in all zones, than a router uses alike."""
         return self._cache_count > MAX_CACHES_USED_ALIKE
 
     def _divide_limit(self, store: Store, part: list[Store] | None) -> None:
         """A small cache is crowded by a few attempts of each director. In a large fleet many caches are
         small, and there are others that can answer instead."""
-        division = self._division if part is self.caches and self._is_large() else UNDIVIDED
+        division = self._division if part is self.caches and self.is_large else UNDIVIDED
         if store.division is not division:
             store.divide_limit(division)
 
@@ -175,7 +178,7 @@
 
     def record_key(self, key: int) -> bool:
         """To be asked once for each request: whether its key is among the recent ones."""
-        if not self._is_large():
+        if not self.is_large:
             return False
         known = key in self._recent_keys
         self._recent_keys[key] = None
@@ -194,7 +197,7 @@
         if self._cache_order is None:
             ready = [store for store in self.caches if store.member.state is State.READY]
             self._cache_order = _hash_order(ready)
-            self._own_order = _hash_order(self._own_part(ready)) if self._is_large() else None
+            self._own_order = _hash_order(self._own_part(ready)) if self.is_large else None
         all_caches = self._cache_order
         if self._own_order is None:
             return all_caches.ranked(key)
--- a/tests/test_small_links.py
+++ b/tests/test_small_links.py
@@ -15,6 +15,7 @@
 from gladelane.lab import virtual
 from gladelane.lab.virtual import Director, Fleet, Plan
 from gladelane.routing.concurrency_limit import LIMIT_LEAST, LIMIT_MOST
+from gladelane.routing.endpoint_updates import EndpointUpdates
 from gladelane.routing.events import ClassSpec, Fetch, ListKind, Lookup, Member, Members
 from gladelane.routing.router import Router
 from gladelane.routing.server_credit import HeardStart
@@ -56,9 +57,8 @@
 
 
 def zone_settings(**changes: Any) -> Any:
-    return settings(
-        zone="z0", zones=ZONES, hub_of=[0] * 9, seats_by_zone=[0] + [SEATS] * 8, proxies=200, **changes
-    )
+    seats = {"seats_by_zone": [0] + [SEATS] * 8, **changes}
+    return settings(zone="z0", zones=ZONES, hub_of=[0] * 9, proxies=200, **seats)
 
 
 def play(caches: int, weights: str, seed: int) -> Fleet:
@@ -77,7 +77,7 @@
     return fleet
 
 
-@pytest.mark.parametrize(("weights", "seed"), [("nominal", 1), ("none", 2)])
+@pytest.mark.parametrize(("weights", "seed"), [("nominal", 1), ("none", 1), ("none", 2)])
 def test_many_small_caches_serve_nearly_what_few_large_ones_do(
     weights: str, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -176,6 +176,69 @@
         assert rest[0] is next(known.caches_for(key, False, 1000.0 + key))
 
 
+# --- where the limits of parents and the origin start, if the list tells no sizes
+
+SOURCES = (Member("p0", "hub", "mid"), Member("p1", "hub", "mid"), Member("root", "hub", "root"))
+
+
+def listed_caches(first: int, end: int) -> tuple[Member, ...]:
+    return tuple(Member(f"c{number}", f"z{number % 8}", "box") for number in range(first, end))
+
+
+def router_with(*lists: tuple[Member, ...], **changes: Any) -> Router:
+    router = Router(zone_settings(**{"weights": "none", **changes}), 1)
+    for place, listed in enumerate(lists):
+        router.handle(1000.0, Members(ListKind.CHANGES if place else ListKind.COMPLETE, listed))
+    return router
+
+
+def source_limits(router: Router) -> list[float]:
+    return [router.stores[name].concurrency.limit for name in ("p0", "p1", "root")]
+
+
+def start_of(share: float) -> float:
+    return min(share + share**0.5 + 1.0, LIMIT_MOST)
+
+
+@pytest.mark.parametrize(
+    ("caches", "seats", "start_among"),
+    [
+        (MAX_CACHES_USED_ALIKE, 25, None),
+        (MAX_CACHES_USED_ALIKE + 1, 25, 25),
+        (MAX_CACHES_USED_ALIKE + 1, 3, 3),
+        (MAX_CACHES_USED_ALIKE + 1, 2, None),  # so few directors are no crowd
+    ],
+)
+@pytest.mark.parametrize("split", [False, True])
+def test_in_a_large_fleet_each_director_starts_at_its_part_of_a_source_of_unknown_size(
+    caches: int, seats: int, start_among: int | None, split: bool
+) -> None:
+    lists = [(*SOURCES, *listed_caches(0, 100)), listed_caches(100, caches)] if split else [(*SOURCES, *listed_caches(0, caches))]  # fmt: skip
+    limits = source_limits(router_with(*lists, seats_by_zone=[0] + [seats] * 8))
+    share = LIMIT_MOST / start_among if start_among else LIMIT_MOST
+    assert limits == pytest.approx([start_of(share), start_of(share), start_of(2 * share)])
+
+
+def test_a_source_in_use_keeps_its_limit_as_a_fleet_becomes_large() -> None:
+    router = router_with((*SOURCES, *listed_caches(0, MAX_CACHES_USED_ALIKE)))
+    in_use, learned = router.stores["p0"], router.stores["root"]
+    assert in_use.concurrency.has_capacity()
+    learned.concurrency.limit = 20.0
+    router.handle(2000.0, Members(ListKind.CHANGES, listed_caches(MAX_CACHES_USED_ALIKE, 3200)))
+    assert source_limits(router) == pytest.approx([LIMIT_MOST, start_of(LIMIT_MOST / SEATS), 20.0])
+    assert in_use.concurrency.least == LIMIT_LEAST
+
+
+def test_a_source_whose_size_is_listed_starts_by_its_size_in_any_fleet() -> None:
+    sized = (replace(SOURCES[0], weight=100.0), replace(SOURCES[1], weight=40.0), SOURCES[2])
+    few, many = (
+        router_with((*sized, *listed_caches(0, caches)), weights="nominal")
+        for caches in (FEW, MAX_CACHES_USED_ALIKE + 1)
+    )
+    assert source_limits(few) == source_limits(many)
+    assert few.stores["root"].concurrency.most == many.stores["root"].concurrency.most == 100.0
+
+
 def order_before(self: StoreList, key: int, again: bool, now: float) -> Iterator[Store]:
     """As it was before keys that come again spilled to a director's own part."""
     if self._cache_order is None:
@@ -190,8 +253,9 @@
 own_first = StoreList.caches_for
 
 
-def test_without_both_decisions_are_those_from_before_them(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_the_three_decisions_are_those_from_before_them(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(StoreList, "_divide_limit", lambda *_: None)
     monkeypatch.setattr(StoreList, "caches_for", order_before)
+    monkeypatch.setattr(EndpointUpdates, "_divide_starts", lambda _: None)
     digest = decisions.run_scene("larger_list").text()
     assert digest == "6323edd87e26d3f806f99c892515cb06f5dcbd33a23d12147dbe5b7692867ee5"
