--- a/tests/fleet/test_audit.py
+++ b/tests/fleet/test_audit.py
@@ -30,9 +30,10 @@
 from gladelane.audit.wire import Report, ReportReply
 from gladelane.control_plane.http import HttpStatusError, fetch
 from gladelane.lab.fleet.audited import asked, play_audited
-from gladelane.lab.fleet.fleet import TOKEN, Fleet, Shape, kept_port
+from gladelane.lab.fleet.fleet import TOKEN, Fleet, kept_port
 from gladelane.lab.fleet.load import Load
 from gladelane.lab.fleet.relay import State
+from gladelane.lab.fleet.shape import Shape
 from gladelane.lab.processes import ROOT
 
 SHORT = {"tenure_ms": 2000.0, "behind_ms": 4000.0}
@@ -451,9 +452,9 @@
 
             from gladelane.admin.maintenance import MaintenanceRegister
             from gladelane.admin.metrics import Metrics
+            from gladelane.deployment.wire import settings_from_wire
             from gladelane.purges.active_purges import ActivePurges
             from gladelane.routing.events import Settings
-            from gladelane.settings_wire import settings_from_wire
 
             self.settings: Settings = settings_from_wire(WIRE)
             self.rev, self.register, self.metrics, self.active = (
@@ -464,7 +465,7 @@
             )
             self.options = self
             self.strict: frozenset[str] = frozenset()
-            self.feeds = tuple(("127.0.0.1", port) for port in ports)
+            self.servers = tuple(("127.0.0.1", port) for port in ports)
 
         def known_endpoints(self) -> dict[str, Any]:
             return {}
