--- a/gladelane/routing/endpoint_updates.py
+++ b/gladelane/routing/endpoint_updates.py
@@ -80,8 +80,8 @@
     def _divide_starts(self) -> None:
         """In a large fleet each director fills caches of its own, with objects that those of the others lack
         too. If each starts at the greatest limit at sources of unknown size, they fill links several times
-        over. As notes need not tell what a late fill waited for, they then learn that the ingress link of
-        their zone is full, and refuse requests for seconds after the flood."""
+        over. Where outcomes do not say how long a fill waited for its source, the late ones lower the limit
+        of the zone's ingress link instead, and it refuses requests for seconds after the flood."""
         context, store_list = self._context, self._context.store_list
         if not context.is_scattered or not store_list.is_large:
             return
