--- a/gladelane/routing/store_list.py
+++ b/gladelane/routing/store_list.py
@@ -50,7 +50,7 @@
         self.caches: list[Store] = []
         self.parents: list[Store] = []
         self.origins: list[Store] = []
-        self.sources_changed = False  # parents or origins changed; the reader resets it
+        self.sources_changed = False  # parents, origins or `is_large` changed; the reader resets it
         self._zone, self._parent_kind, self._origin_kind = _names(settings)
         self._ring_start = settings.me * RING_STEP % RING
         self._cache_count = 0  # of all zones
@@ -145,21 +145,24 @@
     def _count_cache(self, part: list[Store] | None, change: int) -> None:
         if part is self.parents or part is self.origins:
             return
-        was_large = self._is_large()
+        was_large = self.is_large
         self._cache_count += change
-        if self._is_large() != was_large:
+        if self.is_large != was_large:
             self._cache_order = None
+            self.sources_changed = True  # in what their limits start at
             for store in self.caches:
                 self._divide_limit(store, self.caches)
 
-    def _is_large(self) -> bool:
+    @property
+    def is_large(self) -> bool:
+        """Whether the fleet has more caches, in all zones, than a router uses alike."""
         return self._cache_count > MAX_CACHES_USED_ALIKE
 
     def _divide_limit(self, store: Store, part: list[Store] | None) -> None:
         """Sets how the concurrency limit of a server is divided among directors. A few attempts of each
         director overload a small cache; in a large fleet many caches are small, and others can answer
         instead."""
-        division = self._division if part is self.caches and self._is_large() else UNDIVIDED
+        division = self._division if part is self.caches and self.is_large else UNDIVIDED
         if store.division is not division:
             store.divide_limit(division)
 
@@ -178,7 +181,7 @@
 
     def record_key(self, key: int) -> bool:
         """Records the key of a request, once per request; returns whether it is among the recent keys."""
-        if not self._is_large():
+        if not self.is_large:
             return False
         known = key in self._recent_keys
         self._recent_keys[key] = None
@@ -197,7 +200,7 @@
         if self._cache_order is None:
             ready = [store for store in self.caches if store.member.state is State.READY]
             self._cache_order = _hash_order(ready)
-            self._own_order = _hash_order(self._own_part(ready)) if self._is_large() else None
+            self._own_order = _hash_order(self._own_part(ready)) if self.is_large else None
         all_caches = self._cache_order
         if self._own_order is None:
             return all_caches.ranked(key)
