--- a/gladelane/hot_restart/channel.py
+++ b/gladelane/hot_restart/channel.py
@@ -16,7 +16,7 @@
 from ..sockets import close_socket
 from .decoding import HandoverError
 from .messages import HELLO, HERE, Message, encode_message, read_message
-from .rendezvous_socket import READ_BYTES, RendezvousSocket, request_listener
+from .rendezvous_socket import READ_BYTES, NoReplyError, RendezvousSocket, request_listener
 
 log = logging.getLogger(__name__)
 
@@ -70,6 +70,8 @@
         self._handler = handler
         self._rendezvous = RendezvousSocket(folder, self._accept)
         self._peers: list[Peer] = []
+        #: Whether a predecessor may run that gave nothing over to `connect`.
+        self.is_predecessor_silent = False
 
     @property
     def peer_count(self) -> int:
@@ -79,7 +81,11 @@
     def connect(self) -> socket.socket | None:
         """Connects to the process that runs already, and returns its listening socket; None where there is no
         such process or it gives none. Blocks, as `request_listener` does."""
-        reply = request_listener(self._folder, self._name)
+        try:
+            reply = request_listener(self._folder, self._name)
+        except NoReplyError:
+            self.is_predecessor_silent = True
+            return None
         if reply is None:
             return None
         peer = Peer(reply.sock, bytearray(reply.rest), is_established=True, reads_keys=reply.here.keys)
--- a/gladelane/hot_restart/coordinator.py
+++ b/gladelane/hot_restart/coordinator.py
@@ -97,9 +97,12 @@
         stamp_before = self._file.stamp()
         listener = self._channel.connect()
         stored = self._file.read(self._name)
-        is_outdated = listener is not None and self._file.stamp() == stamp_before
+        is_outdated = self._channel.is_predecessor_silent
         if is_outdated:
-            self._refuse_unknown_keys()
+            self._refuse_unknown_keys("gave nothing over")
+        elif listener is not None and self._file.stamp() == stamp_before:
+            is_outdated = True
+            self._refuse_unknown_keys("stored no hand-over")
         if stored is not None:
             if is_outdated:
                 # The budgets in it were given to another process.
@@ -107,14 +110,15 @@
             self._apply_requests_and_keys(stored)
         return listener
 
-    def _refuse_unknown_keys(self) -> None:
-        """The predecessor could not write its handover, so the file is an earlier one or there is none.
-        Nobody here knows the windows of keys that were tried there since. Operators' requests that are
-        missing come over the channel."""
+    def _refuse_unknown_keys(self, failure: str) -> None:
+        """The predecessor could not write its handover, or gave nothing over, so the file is an earlier one
+        or there is none. Nobody here knows the windows of keys that were tried there since. Operators'
+        requests that are missing come over the channel, where there is one."""
         retention_ms = self._director.keys.retention_ms
         self._director.refuse_keyed_until(self._clock.now() + retention_ms)
         log.warning(
-            "upgrade: the former process stored no hand-over; keyed requests are refused for ms=%.0f",
+            "upgrade: the former process %s; keyed requests are refused for ms=%.0f",
+            failure,
             retention_ms,
         )
 
--- a/gladelane/hot_restart/rendezvous_socket.py
+++ b/gladelane/hot_restart/rendezvous_socket.py
@@ -40,17 +40,21 @@
     rest: bytes  # of later messages, read with the answer
 
 
+class NoReplyError(Exception):
+    """An old process may run, but it gave nothing over; the reason has been logged."""
+
+
 def request_listener(folder: str, name: str) -> Reply | None:
     """Asks the running process of the director `name` for its listening socket.
 
-    None where there is no such process, or it gives none, which is logged. Blocks for up to REPLY_TIMEOUT_S a
-    step: a process that starts has nothing else to do yet.
+    None where there is no such process. Raises NoReplyError where it gives nothing. Blocks for up to
+    REPLY_TIMEOUT_S a step: a process that starts has nothing else to do yet.
     """
     try:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     except OSError as error:
         log.warning("upgrade: the old process is not asked: %s", error)
-        return None
+        raise NoReplyError from error
     try:
         sock.settimeout(REPLY_TIMEOUT_S)
         with _short_path(folder) as path:
@@ -63,7 +67,7 @@
     except (OSError, HandoverError) as error:
         log.warning("upgrade: the old process gives nothing over: %s", error)
         close_socket(sock)
-        return None
+        raise NoReplyError from error
 
 
 def _receive_reply(sock: socket.socket, name: str) -> Reply:
--- a/tests/hot_restart/test_handover_faults.py
+++ b/tests/hot_restart/test_handover_faults.py
@@ -5,6 +5,7 @@
 import asyncio
 import errno
 import os
+import signal
 import socket
 import threading
 from collections.abc import Callable
@@ -17,15 +18,16 @@
 from conftest import Driver
 from disk_faults import said_once
 from harness import trial, until
-from test_keys_across_processes import Origin, past_window, upgrade
+from test_keys_across_processes import Origin, Upgrade, past_window, upgrade
 
 from gladelane.admin.maintenance import MaintenanceRegister
 from gladelane.admin.requests import AdminAction, AdminRequest
 from gladelane.clock import Clock
-from gladelane.hot_restart import coordinator
-from gladelane.hot_restart.handover import Handover, missing_requests
+from gladelane.hot_restart import coordinator, rendezvous_socket
+from gladelane.hot_restart.handover import Handover, missing_requests, to_shared_time
 from gladelane.hot_restart.handover_file import FILE_NAME, HandoverFile
-from gladelane.hot_restart.learnt import Learnt
+from gladelane.hot_restart.learnt import Learnt, split_off
+from gladelane.lab.processes import START_S
 
 NOW_MS = 1.7e12
 NAME = "n0 a:1"
@@ -94,6 +96,8 @@
 
 RETENTION_MS = 5000.0
 UNSTORED = "the former process stored no hand-over"
+SILENT = "the former process gave nothing over"
+MEETINGS = 3
 
 
 class Side:
@@ -281,33 +285,135 @@
     assert [f"{call.action.value} {call.store}".strip() for call in lacking] == expected
 
 
+def remember_for_long(made: Upgrade) -> None:
+    """A process that starts from now on refuses keys that it may not know for longer than any step of a test
+    takes on a busy machine. Usual settings would let it take them for new ones 5 s after its start, which is right:
+    no client asks so late."""
+    made.director.raw["settings"]["classes"][1]["deadline_ms"] = 1000.0 * 10 * START_S
+
+
+async def is_met_without_a_hand_over(has_earlier: bool) -> bool:
+    """False where a busy machine held the old process up for longer than a new one waits for it: they never met."""
+    origin = Origin()
+    async with upgrade(origin, 1, has_parent=False) as made:
+        director = made.director
+        if has_earlier:  # an order is written at once
+            assert (await director.call("POST", "/caches/r0/ready", 0))[0] == 200
+        tried = await made.first_try(0, 300)
+        (director.folder / f"{FILE_NAME}.{director.all[0].pid}").mkdir()  # it cannot be opened
+        assert (await director.call("POST", "/caches/c0/maint", 0))[0] == 200
+        remember_for_long(made)
+        await director.start()
+        await director.serving()
+        if SILENT in director.log(1):
+            return False
+        made.clients.clear()
+        for number in range(2):
+            await made.connect(number)
+        await past_window(tried)
+        arrived = len(origin.tries)
+        assert await made.write(1) in (1, 2)
+        assert len(origin.tries) == arrived, director.log(1)
+        assert (await director.figures(1))["hosts_down"] == 1
+        assert director.log(0).count("hand-over not stored") == 1
+        assert director.log(1).count(UNSTORED) == 1
+        return True
+
+
 @pytest.mark.parametrize("has_earlier", [True, False])
 def test_no_key_is_tried_past_its_window_after_a_hand_over_that_could_not_be_written(
     has_earlier: bool,
 ) -> None:
     """The first try left the old process; nothing tells the new one of it."""
 
+    @trial
+    async def test() -> None:
+        for _ in range(MEETINGS):
+            if await is_met_without_a_hand_over(has_earlier):
+                return
+        raise AssertionError(f"the two processes did not meet in {MEETINGS} trials")
+
+    test()
+
+
+@pytest.mark.parametrize("has_earlier", [True, False])
+def test_no_key_is_tried_past_its_window_after_an_old_process_that_gave_nothing_over(
+    has_earlier: bool,
+) -> None:
+    """It stands still as the new one asks it. The new one took the key of its try for a new key."""
+
     @trial
     async def test() -> None:
         origin = Origin()
         async with upgrade(origin, 1) as made:
             director = made.director
-            if has_earlier:  # an order is written at once
+            if has_earlier:  # a hand-over of before the try
                 assert (await director.call("POST", "/caches/r0/ready", 0))[0] == 200
             tried = await made.first_try(0, 300)
-            (director.folder / f"{FILE_NAME}.{director.all[0].pid}").mkdir()  # it cannot be opened
-            assert (await director.call("POST", "/caches/c0/maint", 0))[0] == 200
+            director.all[0].send_signal(signal.SIGSTOP)
+            remember_for_long(made)
             await director.start()
             await director.serving()
-            made.clients.clear()
-            for number in range(2):
-                await made.connect(number)
+            director.all[0].kill()  # else clients would reach its own listening socket too
+            await director.all[0].wait()
+            await made.connect(1)
             await past_window(tried)
             arrived = len(origin.tries)
             assert await made.write(1) in (1, 2)
             assert len(origin.tries) == arrived, director.log(1)
-            assert (await director.figures(1))["hosts_down"] == 1
-            assert director.log(0).count("hand-over not stored") == 1
-            assert director.log(1).count(UNSTORED) == 1
+            assert director.log(1).count(SILENT) == 1
 
     test()
+
+
+@pytest.mark.parametrize("answer", [None, b"", b"nonsense\n"])
+@pytest.mark.parametrize("has_earlier", [True, False])
+def test_a_new_process_refuses_keys_after_an_old_one_that_gave_nothing_over(
+    answer: bytes | None, has_earlier: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """`answer`: what it says before it hangs up; None where it says nothing and keeps the connection."""
+    monkeypatch.setattr(rendezvous_socket, "REPLY_TIMEOUT_S", 0.05 if answer is None else 5.0)
+    new = Side(tmp_path)
+    if has_earlier:
+        earlier = Handover(NAME, NOW_MS, {"c2": NOW_MS}, learnt=split_off(new.router))
+        assert new.file.write(to_shared_time(earlier, new.clock))
+
+    def old(listener: socket.socket) -> None:
+        with listener.accept()[0] as sock:
+            sock.recv(4096)
+            if answer is None:
+                sock.recv(1)  # until the new one leaves
+            elif answer:
+                sock.sendall(answer)
+
+    async def scene() -> None:
+        assert new.coordinator.connect() is None
+        assert new.refused_until_ms == new.clock.now() + RETENTION_MS
+        assert ("c2" in new.register.out) == has_earlier
+        inherited = new.coordinator._inherited
+        assert inherited is None or inherited.learnt is None, "its budgets may be another process's"
+        new.coordinator.close()
+
+    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as listener:
+        listener.bind(str(tmp_path / rendezvous_socket.SOCKET_NAME))
+        listener.listen(1)
+        answering = threading.Thread(target=old, args=(listener,))
+        answering.start()
+        asyncio.run(scene())
+        answering.join()
+
+
+@pytest.mark.parametrize("has_left_its_socket", [True, False])
+def test_a_process_with_none_before_it_refuses_no_key(tmp_path: Path, has_left_its_socket: bool) -> None:
+    if has_left_its_socket:  # it was killed
+        with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as listener:
+            listener.bind(str(tmp_path / rendezvous_socket.SOCKET_NAME))
+            listener.listen(1)
+
+    async def scene() -> None:
+        new = Side(tmp_path)
+        assert new.coordinator.connect() is None
+        assert not new.refused_until_ms
+        new.coordinator.close()
+
+    asyncio.run(scene())
--- a/tests/hot_restart/test_keys_across_processes.py
+++ b/tests/hot_restart/test_keys_across_processes.py
@@ -108,10 +108,13 @@
 
 
 @asynccontextmanager
-async def upgrade(origin: Origin, processes: int = 2) -> AsyncIterator[Upgrade]:
+async def upgrade(origin: Origin, processes: int = 2, has_parent: bool = True) -> AsyncIterator[Upgrade]:
+    """`has_parent`: a server is listed that refuses all connections, and so counts as down once it was tried."""
     with tempfile.TemporaryDirectory() as folder:
-        raw = config({"c0": await Cache(hit).start(), "p0": "127.0.0.1:1", "r0": await origin.start()})
-        director = Processes(Path(folder), json.loads(raw))
+        servers = {"c0": await Cache(hit).start(), "r0": await origin.start()}
+        if has_parent:
+            servers["p0"] = "127.0.0.1:1"
+        director = Processes(Path(folder), json.loads(config(servers)))
         made = Upgrade(origin, director)
         try:
             async with asyncio.timeout(processes * 2 * START_S):
