--- a/gladelane/lab/fleet/audited.py
+++ b/gladelane/lab/fleet/audited.py
@@ -310,7 +310,7 @@
             spans = report.intervals
             if report.run_id == key:
                 spans = change(list(spans))
-            made.add(msgspec.structs.replace(report, spans=spans))
+            made.add(msgspec.structs.replace(report, intervals=spans))
         found[name] = made
 
     def each(
