--- a/benchmarks/purges/control_servers.py
+++ b/benchmarks/purges/control_servers.py
@@ -9,7 +9,8 @@
 from pathlib import Path
 
 from gladelane.control_plane.http import fetch
-from gladelane.lab.processes import ROOT, START_S, free_port
+from gladelane.lab.free_ports import free_port
+from gladelane.lab.processes import ROOT, START_S
 
 from .director_files import TOKEN, write_tokens
 
--- a/benchmarks/purges/directors.py
+++ b/benchmarks/purges/directors.py
@@ -14,7 +14,8 @@
 
 from gladelane.lab.client import Client
 from gladelane.lab.fake_discovery import FakeDiscovery
-from gladelane.lab.processes import ROOT, START_S, free_port
+from gladelane.lab.free_ports import free_port
+from gladelane.lab.processes import ROOT, START_S
 
 from .director_files import DirectorFiles
 
--- a/benchmarks/restarts/discovery.py
+++ b/benchmarks/restarts/discovery.py
@@ -6,7 +6,7 @@
 from contextlib import suppress
 from enum import Enum
 
-from gladelane.lab.processes import free_port
+from gladelane.lab.free_ports import free_port
 
 BACKLOG = 512  # of discovery
 
--- a/benchmarks/restarts/process.py
+++ b/benchmarks/restarts/process.py
@@ -13,7 +13,8 @@
 
 from benchmarks.example_site import example_config
 from benchmarks.process_usage import ProcessUsage
-from gladelane.lab.processes import ROOT, free_port
+from gladelane.lab.free_ports import free_port
+from gladelane.lab.processes import ROOT
 from gladelane.net.client_protocol import FrameDecoder, FramingError, Type, encode_fields, encode_frame
 
 READY_S, GIVE_UP_S = 10.0, 60.0  # the operators' bound for nine in ten, and how long this benchmark waits
--- a/gladelane/lab/fake_server.py
+++ b/gladelane/lab/fake_server.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 import asyncio
-import socket
 import tempfile
 from collections import Counter
 from collections.abc import Awaitable, Callable
@@ -17,6 +16,7 @@
 from ..endpoints.address import Family, parse
 from .fake_server_address import NO_LISTENER, UNIX_ONLY, Fault, ServedAddress
 from .fake_server_connection import Connection, reset
+from .free_ports import free_port
 
 __all__ = ["NO_LISTENER", "UNIX_ONLY", "Answer", "FakeServer", "Fault", "Said", "Seen", "hit"]
 
@@ -75,18 +75,15 @@
     async def listen(self, family: Family, host: str = "", receive_buffer: int = 0) -> str:
         """Opens a further address on a free port or a new socket file; returns its text.
 
+        The port stays this address's while a fault closes its listener: no outgoing connection can take it.
         `receive_buffer`: bytes that the kernel accepts while the server does not read; 0: the default."""
         if family is Family.UNIX:
             if self._folder is None:
                 self._folder = tempfile.TemporaryDirectory(prefix="gl")
             address = parse(f"unix:{self._folder.name}/{self.name}-{len(self._places)}.sock")
         else:
-            kind, local = (
-                (socket.AF_INET, host or "127.0.0.1") if family is Family.V4 else (socket.AF_INET6, "::1")
-            )
-            with socket.socket(kind, socket.SOCK_STREAM) as free:
-                free.bind((local, 0))
-                port = free.getsockname()[1]
+            local = (host or "127.0.0.1") if family is Family.V4 else "::1"
+            port = free_port(local)
             address = parse(f"{local}:{port}" if family is Family.V4 else f"[{local}]:{port}")
         place = self._places[address.text] = ServedAddress(address, receive_buffer)
         await self._listen(place)
--- a/gladelane/lab/processes.py
+++ b/gladelane/lab/processes.py
@@ -8,32 +8,21 @@
 import json
 import os
 import resource
-import socket
 import sys
 from collections.abc import Mapping
 from contextlib import suppress
 from functools import partial
 from pathlib import Path
-from random import SystemRandom
 from typing import Any
 
 from .client import Client
+from .free_ports import free_port
 
 ROOT = Path(__file__).parent.parent.parent
 START_S = 20.0
-PORTS = range(20_000, 32_000)  # below the ephemeral ports of the kernel (32768 and up)
 CALL_S = 5.0
 
 
-def free_port() -> int:
-    """A free port below the ephemeral ports: an outgoing connection could take one of those before a process
-    listens there. Raises OSError if none is free."""
-    for port in SystemRandom().sample(PORTS, 100):
-        with suppress(OSError), socket.create_server(("127.0.0.1", port)):
-            return port
-    raise OSError("no free port")
-
-
 def _limit_descriptors(limit: int) -> None:
     resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
 
--- a/tests/net/test_beyond_signals.py
+++ b/tests/net/test_beyond_signals.py
@@ -19,7 +19,7 @@
 from harness import Cache, Client, config, hit, mute, until
 from test_beyond_discovery import Discovery, State
 
-from gladelane.lab.processes import free_port
+from gladelane.lab.free_ports import free_port
 from gladelane.net.client_protocol import Type
 
 ROOT = Path(__file__).parent.parent.parent
--- a/tests/net/test_control_server_clock_steps.py
+++ b/tests/net/test_control_server_clock_steps.py
@@ -24,8 +24,9 @@
 from gladelane.lab.client import Answer, Client
 from gladelane.lab.fake_cache_store import FakeCacheStore, now_ms
 from gladelane.lab.fake_server import FakeServer, Said, Seen
+from gladelane.lab.free_ports import free_port
 from gladelane.lab.preload.clock import SteppedClock
-from gladelane.lab.processes import ROOT, START_S, free_port
+from gladelane.lab.processes import ROOT, START_S
 from gladelane.leases.shards import shard_resource
 from gladelane.net.config import read_config
 from gladelane.purges.cutoff import Link
