--- a/gladelane/lab/fake_server.py
+++ b/gladelane/lab/fake_server.py
@@ -72,18 +72,19 @@
         """The number of open connections at an address."""
         return len(self._places[address].open)
 
-    async def listen(self, family: Family, host: str = "", receive_buffer: int = 0) -> str:
+    async def listen(self, family: Family, host: str = "", receive_buffer: int = 0, port: int = 0) -> str:
         """Opens a further address on a free port or a new socket file; returns its text.
 
-        The port stays this address's while a fault closes its listener: no outgoing connection can take it.
-        `receive_buffer`: bytes that the kernel accepts while the server does not read; 0: the default."""
+        No outgoing connection can take the port while a fault closes the listener.
+        `receive_buffer`: bytes that the kernel accepts while the server does not read; 0: the default.
+        `port`: one that the caller has reserved; 0: any."""
         if family is Family.UNIX:
             if self._folder is None:
                 self._folder = tempfile.TemporaryDirectory(prefix="gl")
             address = parse(f"unix:{self._folder.name}/{self.name}-{len(self._places)}.sock")
         else:
             local = (host or "127.0.0.1") if family is Family.V4 else "::1"
-            port = free_port(local)
+            port = port or free_port(local)
             address = parse(f"{local}:{port}" if family is Family.V4 else f"[{local}]:{port}")
         place = self._places[address.text] = ServedAddress(address, receive_buffer)
         await self._listen(place)
--- a/gladelane/lab/fleet/world.py
+++ b/gladelane/lab/fleet/world.py
@@ -9,12 +9,14 @@
 from collections import Counter
 from collections.abc import Awaitable, Callable
 from functools import partial
+from random import Random
 from typing import Any
 
 from ...endpoints.address import Family
 from ..fake_cache_store import FakeCacheStore, PartKey, now_ms
 from ..fake_discovery import FakeDiscovery
 from ..fake_server import FakeServer, Fault, Said, Seen
+from .ports import release_port, reserve_port
 from .rules import Ran
 
 OBJECTS, GROUPS = 300, 16
@@ -61,6 +63,7 @@
         self.watch: Callable[[str, Seen], None] = lambda _name, _seen: None  # called for each attempt
         self._late: list[dict[str, Any]] = []
         self._holding = False
+        self._ports: list[int] = []
 
     async def start(self) -> None:
         """Starts all servers and publishes the endpoint list."""
@@ -70,7 +73,9 @@
             self.fake_servers[name] = fake_server
             store.groups = groups
             fake_server.drop = partial(self._drop, name)
-            self.addresses[name] = await fake_server.listen(Family.V4)
+            port = reserve_port(Random())  # not of the run's seed: runs beside this one may have the same
+            self._ports.append(port)
+            self.addresses[name] = await fake_server.listen(Family.V4, port=port)
         self.discovery_port = int((await self.discovery.start()).rpartition(":")[2])
         self.discovery.tell(
             {
@@ -168,3 +173,5 @@
         await self.discovery.close()
         for fake_server in self.fake_servers.values():
             await fake_server.close()
+        for port in self._ports:
+            release_port(port)
--- a/tests/lab/test_fake_server_ports.py
+++ b/tests/lab/test_fake_server_ports.py
@@ -3,12 +3,14 @@
 from __future__ import annotations
 
 import asyncio
+import random
 from pathlib import Path
 
 import pytest
 
 from gladelane.endpoints.address import Family, parse
 from gladelane.lab.fake_server import FakeServer, Fault, Seen
+from gladelane.lab.fleet.ports import release_port, reserve_port
 from gladelane.lab.free_ports import MAX_CHOICES, free_port
 
 OUTGOING = Path("/proc/sys/net/ipv4/ip_local_port_range")
@@ -37,6 +39,21 @@
     asyncio.run(scene())
 
 
+def test_a_reserved_port_is_not_free(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A fake server took the port of a director that did not listen yet, and the director's clients asked there."""
+    port = reserve_port(random.Random())
+
+    class OnePort:
+        def sample(self, ports: range, count: int) -> list[int]:
+            return [port]
+
+    monkeypatch.setattr("gladelane.lab.free_ports.SystemRandom", OnePort)
+    with pytest.raises(OSError, match="no free port"):
+        free_port()
+    release_port(port)
+    assert free_port() == port
+
+
 def test_a_port_with_a_listener_is_not_free(monkeypatch: pytest.MonkeyPatch) -> None:
     port = free_port()
 
