--- a/benchmarks/audit/tampered.py
+++ b/benchmarks/audit/tampered.py
@@ -7,7 +7,8 @@
 from typing import Any
 
 from gladelane.audit.audit_store import AuditStore
-from gladelane.lab.fleet.audited import caught, contradictions, planted
+from gladelane.lab.fleet.altered_stores import caught, planted
+from gladelane.lab.fleet.audited import contradictions
 
 
 def notice_alterations(metrics: Mapping[str, Any], seed: int) -> dict[str, bool]:
--- a/gladelane/lab/fleet/audited.py
+++ b/gladelane/lab/fleet/audited.py
@@ -8,21 +8,16 @@
 from __future__ import annotations
 
 import asyncio
-import copy
 import json
 import signal
 from bisect import bisect_right
 from collections import Counter, defaultdict
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import replace
 from pathlib import Path
-from random import Random
 from statistics import quantiles
 from typing import Any
 
-import msgspec
-
-from ...audit.activity_log import ActivityInterval, sealed
 from ...audit.audit_queries import directors, rows_between
 from ...audit.audit_store import AuditStore
 from ...audit.records import AuditRow, Knowledge
@@ -30,7 +25,6 @@
 from ...audit.verification import find_inconsistencies
 from ...audit.view import parse_positions
 from ...audit.view_lease import Stage
-from ...audit.wire import RunId
 from ...control_plane.http import fetch
 from ...storage.files import Folder
 from .day import play
@@ -119,11 +113,17 @@
             found.append(f"{sent.director} sent to {sent.store} at {sent.at_ms:.0f}, in no span")
         elif not any(lists.used(store.views[row.view].rev, sent) for row in acted):
             found.append(f"{sent.director} sent to {sent.store} at {sent.at_ms:.0f}, not under its views")
+    return found + uncounted(rows, seen) + outdated(store, near, made, purges)
+
+
+def uncounted(rows: Mapping[str, list[AuditRow]], seen: Mapping[str, int]) -> list[str]:
+    """Directors that sent more attempts, as fake servers saw them, than their intervals count."""
+    found = []
     for name, found_rows in rows.items():
         counted = sum(count.sent for row in found_rows for count in row.counts.values())
         if seen[name] > counted:
             found.append(f"{name} sent {seen[name]} that were seen, its spans say {counted}")
-    return found + outdated(store, near, made, purges)
+    return found
 
 
 def outdated(
@@ -262,6 +262,29 @@
     return one.positions() == other.positions() and one.interval_count == other.interval_count
 
 
+def compared(fleet: Fleet, load: Load, stores: list[AuditStore], away_ms: float) -> dict[str, Any]:
+    """What the control servers stored against what was observed, by the names in reports. `away_ms`: the
+    time without a process of a director."""
+    store = max(stores, key=lambda one: one.interval_count)
+    lists = Lists(fleet.world.discovery.notices)
+    stored = sum(path.stat().st_size for path in (fleet.control_servers[0].folder / "audit").iterdir())
+    return {
+        "attempts": len(load.attempts),
+        "spans": store.interval_count,
+        "ledger": store,
+        "load": load,
+        "lists": lists,
+        "same": all(same(store, one) for one in stores),
+        "wrong": [w for w in find_inconsistencies(store) if w.what != "missing"],
+        "contradictions": contradictions(
+            store, load.attempts, load.made, load.purges, lists, load.standstills
+        ),
+        "unknown_share": unknown_share(store),
+        "unknown_while_up": unknown_share(store, away_ms),
+        "stored_bytes": stored,
+    }
+
+
 def play_audited(
     line: str,
     shape: Shape,
@@ -277,125 +300,19 @@
         extra = await look(fleet, load) if look is not None else {}
         await asyncio.sleep(SETTLE_S)
         changes = moved(fleet)
-        report_bytes = sum(relay.report_bytes for relay in fleet.links.values())
-        late, away_ms = after_out(fleet, load, shape.view_lease_ms), downtime_ms(fleet)
-        stores = await end_all(fleet)
-        store = max(stores, key=lambda one: one.interval_count)
-        lists = Lists(fleet.world.discovery.notices)
-        stored = sum(path.stat().st_size for path in (fleet.control_servers[0].folder / "audit").iterdir())
-        return {
-            "attempts": len(load.attempts),
-            "spans": store.interval_count,
-            "ledger": store,
-            "load": load,
-            "lists": lists,
-            "same": all(same(store, one) for one in stores),
-            "wrong": [w for w in find_inconsistencies(store) if w.what != "missing"],
-            "contradictions": contradictions(
-                store, load.attempts, load.made, load.purges, lists, load.standstills
-            ),
-            "unknown_share": unknown_share(store),
-            "unknown_while_up": unknown_share(store, away_ms),
-            "acted_after_out": late,
+        before_end = {
+            "acted_after_out": after_out(fleet, load, shape.view_lease_ms),
             "stages": changes,
             "most_out_at_once": most_out(changes),
-            "report_bytes": report_bytes,
-            "stored_bytes": stored,
-            **extra,
+            "report_bytes": sum(relay.report_bytes for relay in fleet.links.values()),
         }
+        away_ms = downtime_ms(fleet)
+        stores = await end_all(fleet)
+        return {**compared(fleet, load, stores, away_ms), **before_end, **extra}
 
     return play(line, replace(shape, audit=True), seed, seconds, per_s, purges, look=seen)
 
 
-# --- planted faults: altered, dropped, doubled and wrongly dated reports
-
-
-def planted(store: AuditStore, rng: Random) -> dict[str, AuditStore]:
-    """Copies of a store with one alteration in each, by name."""
-    found: dict[str, AuditStore] = {}
-    key, number = _victim(store, rng)
-
-    def changed(name: str, change: Callable[[list[ActivityInterval]], list[ActivityInterval]]) -> None:
-        made = AuditStore()
-        for report in store.missing_reports({}, 2**31):
-            intervals = report.intervals
-            if report.run_id == key:
-                intervals = change(list(intervals))
-            made.add(msgspec.structs.replace(report, intervals=intervals))
-        found[name] = made
-
-    def each(
-        change: Callable[[ActivityInterval], ActivityInterval],
-    ) -> Callable[[list[ActivityInterval]], list[ActivityInterval]]:
-        return lambda intervals: [
-            change(interval) if interval.number == number else interval for interval in intervals
-        ]
-
-    def more(interval: ActivityInterval) -> ActivityInterval:
-        counts = copy.deepcopy(interval.counts)
-        next(iter(counts.values())).sent += 1
-        return msgspec.structs.replace(interval, counts=counts)
-
-    other = next(name for name in store.views if name != _interval_of(store, key, number).view)
-    changed("a count altered", each(more))
-    changed("a view altered", each(lambda interval: msgspec.structs.replace(interval, view=other)))
-    changed(
-        "a span dropped", lambda intervals: [interval for interval in intervals if interval.number != number]
-    )
-    changed(
-        "a span doubled, with other counts",
-        lambda intervals: [
-            *intervals,
-            *(more(interval) for interval in intervals if interval.number == number),
-        ],
-    )
-    changed(
-        "a span dated later",
-        each(
-            lambda interval: msgspec.structs.replace(
-                interval, from_ms=interval.from_ms + 5e3, to_ms=interval.to_ms + 5e3
-            )
-        ),
-    )
-    changed(
-        "a span dated earlier",
-        each(
-            lambda interval: msgspec.structs.replace(
-                interval, from_ms=interval.from_ms - 5e3, to_ms=interval.to_ms - 5e3
-            )
-        ),
-    )
-    changed("altered and sealed anew", each(lambda interval: sealed("00", more(interval))))
-    lied = copy.deepcopy(store)
-    lied.views[other] = msgspec.structs.replace(lied.views[other], rev=lied.views[other].rev + 7)
-    made = AuditStore()
-    for report in lied.missing_reports({}, 2**31):
-        made.add(report)
-    found["a view under another's name"] = made
-    return found
-
-
-def _victim(store: AuditStore, rng: Random) -> tuple[RunId, int]:
-    """A random interval with attempts that is neither the first nor the last of its report."""
-    able = [
-        (report.run_id, interval.number)
-        for report in store.missing_reports({}, 2**31)
-        for interval in report.intervals[1:-1]
-        if any(count.sent for count in interval.counts.values())
-    ]
-    return rng.choice(able)
-
-
-def _interval_of(store: AuditStore, key: RunId, number: int) -> ActivityInterval:
-    report = next(store.missing_of(key, number - 1, 1))
-    return report.intervals[0]
-
-
-def caught(store: AuditStore) -> bool:
-    """Whether the verification of a store finds an alteration."""
-    return any(wrong.what != "missing" for wrong in find_inconsistencies(store))
-
-
 def p99(values: list[float]) -> float:
     """The 99th percentile; 0 without values."""
     return quantiles(values, n=100)[98] if len(values) > 1 else (values[0] if values else 0.0)
--- a/gladelane/lab/fleet/day.py
+++ b/gladelane/lab/fleet/day.py
@@ -7,9 +7,9 @@
 import os
 import tempfile
 import time
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Sequence
 from contextlib import suppress
-from dataclasses import replace
+from dataclasses import dataclass, field, replace
 from pathlib import Path
 from random import Random
 from typing import Any, NamedTuple
@@ -18,7 +18,7 @@
 from .fleet import Fleet
 from .load import CLASSES, Load
 from .replicated import positions_at, reach
-from .rules import Service, back_after, busiest, doubles, name_of, of_earlier_starts, stale
+from .rules import PurgeName, Service, back_after, busiest, doubles, name_of, of_earlier_starts, stale
 from .shape import Shape
 from .world import CACHES, World
 
@@ -28,6 +28,17 @@
 BACKFILL_S = 6.0  # until restarted control servers have the purges of the directors (`purges/backfill.py`)
 LOOK_S = 0.2
 LEVEL_S = 60.0  # much longer than a restart with replication, also on a busy machine
+FINISH_S = 20.0  # for steps that take their time, once the clients have ended
+IMMEDIATE_WORDS = (
+    "save",
+    "stop",
+    "full",
+    "cut",
+    "board",
+)  # steps after which the next one may follow at once
+IMMEDIATE_WAYS = ("save", "back")
+REQUEST_COUNTS = ("asked", "served", "refused", "failed", "lost", "lost_by_kill", "nobody", "late_repeats")
+MAX_RULES = 20  # breaches that a report spells out
 SETTLE_S = 0.3  # before the next fault; not part of the measurement
 
 
@@ -81,95 +92,132 @@
 async def _run(
     fleet: Fleet, load: Load, steps: list[Step], seconds: float, per_s: float, purges: int
 ) -> dict[str, Any]:
-    world, loop = fleet.world, asyncio.get_running_loop()
     clients = asyncio.create_task(load.run(per_s, WARM_UP_S + seconds))
     purging = [asyncio.create_task(load.purge(purges, WARM_UP_S * 0.8))] if purges else []
     await asyncio.sleep(WARM_UP_S)
     if purging:
         await asyncio.gather(*purging)
-    began, began_loop = time.time(), loop.time()
+    played = await _play_steps(fleet, load, steps, seconds)
+    await clients
+    await _finish(played.tasks)
+    await load.settle()
+    await wait_for_purges(fleet, load)
+    return await _metrics(fleet, load, played)
+
+
+@dataclass
+class PlayedSchedule:
+    """When a schedule began, by both clocks, and its steps at the times that `await` moved them to."""
+
+    began: float  # Unix s
+    began_loop: float  # s of the event loop's clock
+    seconds: float
+    steps: list[Step] = field(default_factory=list)
+    tasks: list[asyncio.Task[None]] = field(default_factory=list)  # of steps that take their time
+
+
+async def _play_steps(fleet: Fleet, load: Load, steps: list[Step], seconds: float) -> PlayedSchedule:
+    """Starts each step at its time. Raises TimeoutError where `await` takes too long."""
+    loop = asyncio.get_running_loop()
+    played = PlayedSchedule(time.time(), loop.time(), seconds)
     fleet.note("line begins")
-    striking: list[asyncio.Task[None]] = []
-    waited_s, planned, steps = 0.0, steps, []
-    for step in (replace(one, at=one.at + waited_s) for one in planned):
-        await asyncio.sleep(max(began_loop + step.at - loop.time(), 0.0))
-        steps.append(step)
+    waited_s = 0.0
+    for step in (replace(one, at=one.at + waited_s) for one in steps):
+        await asyncio.sleep(max(played.began_loop + step.at - loop.time(), 0.0))
+        played.steps.append(step)
         if step.word == "await":
             with load.prolonged():
                 await wait_until_level(fleet, step)
-            elapsed_s = loop.time() - (began_loop + step.at)
-            waited_s, seconds = waited_s + elapsed_s, seconds + elapsed_s
+            elapsed_s = loop.time() - (played.began_loop + step.at)
+            waited_s, played.seconds = waited_s + elapsed_s, played.seconds + elapsed_s
         elif step.word == "purges":
             fleet.note(step.word, step.text)
-            striking.append(asyncio.create_task(load.purge(int(step.how), step.last or 1.0)))
-        elif step.word in ("save", "stop", "full", "cut", "board") or step.how in ("save", "back"):
+            played.tasks.append(asyncio.create_task(load.purge(int(step.how), step.last or 1.0)))
+        elif step.word in IMMEDIATE_WORDS or step.how in IMMEDIATE_WAYS:
             await fleet.strike(step)
         else:
-            striking.append(asyncio.create_task(fleet.strike(step)))
-    await clients
+            played.tasks.append(asyncio.create_task(fleet.strike(step)))
+    return played
+
+
+async def _finish(tasks: list[asyncio.Task[None]]) -> None:
+    """Waits a while for steps that take their time. Raises RuntimeError where one failed."""
     with suppress(TimeoutError):
-        async with asyncio.timeout(20.0):
-            await asyncio.gather(*striking)
-    for task in striking:
-        if task.done() and task.exception() is not None:
+        async with asyncio.timeout(FINISH_S):
+            await asyncio.gather(*tasks)
+    for task in tasks:
+        if task.done() and not task.cancelled() and task.exception() is not None:
             raise RuntimeError("a step failed") from task.exception()
         task.cancel()
-    await load.settle()
-    await wait_for_purges(fleet, load)
-    full = {
-        period.text: round(full_service_after(period, fleet, load, began), 2)
-        for period in fault_periods(steps, seconds)
-    }
-    old = stale(load.made, load.purges, fleet.shape.delay_ms)
-    usual = busiest(world.origin.asked, began_loop - BEFORE_S, began_loop)
-    peak = busiest(world.origin.asked, began_loop, began_loop + seconds)
+
+
+async def _metrics(fleet: Fleet, load: Load, played: PlayedSchedule) -> dict[str, Any]:
+    """The results of a run, by their names in reports."""
     directors = await asyncio.gather(*(fleet.stats(one) for one in fleet.directors))
     statuses = await asyncio.gather(*(fleet.status(one) for one in fleet.control_servers))
     active_purges = await asyncio.gather(*(fleet.active_purges(one) for one in fleet.control_servers))
-    answered = {name_of(purge) for purge in load.purges}
-    latest = {reply["name"]: reply["epoch"] for reply in statuses if reply}
-    strict = [made for made in old if made.cls in fleet.shape.strict]
     return {
-        **{
-            name: load.counts[name]
-            for name in (
-                "asked",
-                "served",
-                "refused",
-                "failed",
-                "lost",
-                "lost_by_kill",
-                "nobody",
-                "late_repeats",
-            )
-        },
+        **{name: load.counts[name] for name in REQUEST_COUNTS},
         "clients_late_s": round(load.late_s, 3),
         "answers": len(load.made),
+        **_purge_metrics(fleet, load, statuses, active_purges),
+        "doubles": len(doubles(fleet.world.ran, CLASSES["answer-submit"].window_ms)),
+        "rules": [f"{one.rule}: {one.what}" for one in load.broken][:MAX_RULES],
+        "rules_broken": len(load.broken),
+        **_service_metrics(fleet, load, played, directors),
+        **_origin_metrics(fleet, played),
+        "warm": sum(reply.get("warm_start", 0) for reply in directors),
+        "phases": [reply.get("phase", 0) for reply in directors],
+        "reseeded": sum(reply.get("reseeded", 0) for reply in directors),
+        "standing": [reply.get("standing", -1) for reply in statuses],
+        "horizon_open": [reply.get("horizon_ms", -1.0) > 0.0 for reply in statuses],
+        "killed": sum(bool(one.unresponsive_periods) for one in fleet.directors),
+        "kills": fleet.counts["kills"],
+        "disk_faults": fleet.counts["disk_faults"],
+        "failed_starts": [text for one in (*fleet.directors, *fleet.control_servers) for text in one.failed],
+    }
+
+
+def _purge_metrics(
+    fleet: Fleet, load: Load, statuses: Sequence[dict[str, Any]], active_purges: Sequence[set[PurgeName]]
+) -> dict[str, Any]:
+    old = stale(load.made, load.purges, fleet.shape.delay_ms)
+    strict = [made for made in old if made.cls in fleet.shape.strict]
+    acknowledged = {name_of(purge) for purge in load.purges}
+    latest = {reply["name"]: reply["epoch"] for reply in statuses if reply}
+    return {
         "purges": len(load.purges),
         "purges_of_earlier_starts": len(of_earlier_starts(load.purges, latest)),
-        "purges_missing": max((len(answered - known) for known in active_purges), default=0),
+        "purges_missing": max((len(acknowledged - known) for known in active_purges), default=0),
         "stale_strict": len(strict),
         "stale_other": len(old) - len(strict),
-        "doubles": len(doubles(world.ran, CLASSES["answer-submit"].window_ms)),
-        "rules": [f"{one.rule}: {one.what}" for one in load.broken][:20],
-        "rules_broken": len(load.broken),
+    }
+
+
+def _service_metrics(
+    fleet: Fleet, load: Load, played: PlayedSchedule, directors: Sequence[dict[str, int]]
+) -> dict[str, Any]:
+    full = {
+        period.text: round(full_service_after(period, fleet, load, played.began), 2)
+        for period in fault_periods(played.steps, played.seconds)
+    }
+    return {
         "full_service_s": max(full.values(), default=0.0),
         "full_by_fault": full,
         "full_by_phase_s": max((reply.get("full_service_ms", 0) for reply in directors), default=0) / 1000.0,
+    }
+
+
+def _origin_metrics(fleet: Fleet, played: PlayedSchedule) -> dict[str, Any]:
+    world, began = fleet.world, played.began_loop
+    usual = busiest(world.origin.asked, began - BEFORE_S, began)
+    peak = busiest(world.origin.asked, began, began + played.seconds)
+    return {
         "origin_usual": usual,
         "origin_peak": peak,
         "origin_peak_over_usual": round(peak / max(usual, 1), 2),
         "pushed_over": world.pushed_over(peak),
         "after_drain": world.after_drain,
-        "warm": sum(reply.get("warm_start", 0) for reply in directors),
-        "phases": [reply.get("phase", 0) for reply in directors],
-        "reseeded": sum(reply.get("reseeded", 0) for reply in directors),
-        "standing": [reply.get("standing", -1) for reply in statuses],
-        "horizon_open": [reply.get("horizon_ms", -1.0) > 0.0 for reply in statuses],
-        "killed": sum(bool(one.unresponsive_periods) for one in fleet.directors),
-        "kills": fleet.counts["kills"],
-        "disk_faults": fleet.counts["disk_faults"],
-        "failed_starts": [text for one in (*fleet.directors, *fleet.control_servers) for text in one.failed],
     }
 
 
--- a/gladelane/lab/fleet/fleet.py
+++ b/gladelane/lab/fleet/fleet.py
@@ -63,6 +63,7 @@
         self.names: dict[str, str] = {}  # of directors that use the name of another one
         self.program: dict[str, Path] = {}  # folders of other versions of the program
         self.began = time.monotonic()
+        self._spawned: list[subprocess.Popen[bytes]] = []
         self._fault_injector = FaultInjector(self)
 
     def note(self, what: str, detail: str = "") -> None:
@@ -127,6 +128,7 @@
                 process = one.process = await asyncio.to_thread(
                     subprocess.Popen, arguments, cwd=folder, env=environment, stderr=log
                 )
+                self._spawned.append(process)
         return process
 
     async def _is_answering(self, one: FleetProcess, process: subprocess.Popen[bytes]) -> bool:
@@ -216,10 +218,11 @@
     async def close(self) -> None:
         """Kills all processes, closes the links and releases the ports."""
         self._fault_injector.close()
+        for process in self._spawned:  # also those that ignored SIGTERM, since they are suspended
+            if process.poll() is None:
+                process.kill()
+                await asyncio.to_thread(process.wait)
         for one in (*self.directors, *self.control_servers):
-            if one.process is not None and one.process.poll() is None:
-                one.process.kill()
-                await asyncio.to_thread(one.process.wait)
             if one.client is not None:
                 await one.client.close()
             release_port(one.port)
--- a/gladelane/lab/fleet/load.py
+++ b/gladelane/lab/fleet/load.py
@@ -9,6 +9,7 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 from random import Random
+from typing import NamedTuple
 
 from ...control_plane.http import HttpStatusError, fetch
 from ...net.config import read_config
@@ -30,6 +31,16 @@
 NEXT_LOOK_S = (0.15, 0.45)
 LATE_REPEAT_S = 2.3  # after which a client retries a write at a director that was killed meanwhile
 ANSWER_GRACE_MS = 500.0
+MAX_DEADLINE_MS = 1500.0
+
+
+class Served(NamedTuple):
+    """The times of a request that was served, Unix ms. `dated_ms`: the date of the copy; None for a write."""
+
+    due_ms: float
+    sent_ms: float
+    answered_ms: float
+    dated_ms: float | None
 
 
 class Load:
@@ -147,20 +158,11 @@
         assert client is not None
         self._number += 1
         number, id_ = self._number, f"{self.rng.getrandbits(64):016x}"
-        fields = {
-            "c": cls,
-            "i": id_,
-            "d": f"{min(spec.deadline_ms, 1500.0):.0f}",
-            "o": object_id(n),
-            "chunk": str(part),
-            "tag": str(group_of(n)),
-            "m": "4",
-        }
-        if key:
-            fields["k"] = key
+        deadline_ms = min(spec.deadline_ms, MAX_DEADLINE_MS)
+        fields = _request_fields(cls, id_, deadline_ms, n, part, key)
         self._who[id_] = one.name, number
         self._asked_at[id_] = one.name
-        self.monitor.request(one.name, number, spec, sent + min(spec.deadline_ms, 1500.0))
+        self.monitor.request(one.name, number, spec, sent + deadline_ms)
         self.counts["asked"] += 1
         for service in (self.service, self.by_director[one.name]):
             service.ask(due_ms / 1000.0, spec.worth)
@@ -179,18 +181,32 @@
                 self.monitor.final(one.name, number, now, answer.code == 1)
             self.counts[("served", "refused", "failed")[answer.code]] += 1
             if answer.code == 0:
-                if not key:
-                    dated = float(answer.body[1:] or 0)
-                    self.made.append(
-                        Made(cls, group_of(n), int(object_id(n), 16), part, sent, dated, one.name, now)
-                    )
-                if now - due_ms <= spec.aim_ms:
-                    for service in (self.service, self.by_director[one.name]):
-                        service.earn(due_ms / 1000.0, spec.worth)
+                dated_ms = None if key else float(answer.body[1:] or 0)
+                self._record_served(one, cls, n, part, Served(due_ms, sent, now, dated_ms))
         self._who.pop(id_, None)
         self._tries.pop(id_, None)
         return (None if answer is None else answer.code), killed
 
+    def _record_served(self, one: FleetProcess, cls: str, n: int, part: int, served: Served) -> None:
+        spec = CLASSES[cls]
+        if served.dated_ms is not None:
+            object_number = int(object_id(n), 16)
+            self.made.append(
+                Made(
+                    cls,
+                    group_of(n),
+                    object_number,
+                    part,
+                    served.sent_ms,
+                    served.dated_ms,
+                    one.name,
+                    served.answered_ms,
+                )
+            )
+        if served.answered_ms - served.due_ms <= spec.aim_ms:
+            for service in (self.service, self.by_director[one.name]):
+                service.earn(served.due_ms / 1000.0, spec.worth)
+
     # --- operators
 
     async def purge(self, count: int, seconds: float) -> None:
@@ -233,3 +249,19 @@
                 )
             )
             await asyncio.sleep(seconds / count)
+
+
+def _request_fields(cls: str, id_: str, deadline_ms: float, n: int, part: int, key: str) -> dict[str, str]:
+    """`key`: of a write, otherwise empty."""
+    fields = {
+        "c": cls,
+        "i": id_,
+        "d": f"{deadline_ms:.0f}",
+        "o": object_id(n),
+        "chunk": str(part),
+        "tag": str(group_of(n)),
+        "m": "4",
+    }
+    if key:
+        fields["k"] = key
+    return fields
--- a/gladelane/server.py
+++ b/gladelane/server.py
@@ -75,13 +75,7 @@
         self.front = ClientListener(
             self.director, self.clock.now, self.timers, self.shares.clients, buffer_bytes, descriptors
         )
-        self.admin_handler = AdminHandler(
-            self.director,
-            self.front.drain,
-            self.clock.now,
-            self.front.send_goaway_to_all,
-            self._share_admin_request,
-        )
+        self.admin_handler = self._make_admin_handler()
         self.purges: PurgeSubscription | None = None
         self.recovery: Recovery | None = None
         self.audit: AuditService | None = None
@@ -100,6 +94,15 @@
         config = self.config
         return Director(config.settings, config.seed, self.clock.now, self.timers, self.endpoints, max_keys)
 
+    def _make_admin_handler(self) -> AdminHandler:
+        return AdminHandler(
+            self.director,
+            self.front.drain,
+            self.clock.now,
+            self.front.send_goaway_to_all,
+            self._share_admin_request,
+        )
+
     def _open_operator_parts(self, operator: Operator) -> None:
         from . import operator_parts as parts
 
--- a/tests/fleet/test_audit_pure.py
+++ b/tests/fleet/test_audit_pure.py
@@ -21,7 +21,7 @@
 from gladelane.audit.view import ALL_PARTS, Order, Part, View, compare, compare_part, relevant_parts, view_id
 from gladelane.audit.view_lease import MissingParts, Stage, Verdict, ViewLease
 from gladelane.audit.wire import ExpectedDigests, Report
-from gladelane.lab.fleet.audited import caught, planted
+from gladelane.lab.fleet.altered_stores import caught, planted
 from gladelane.lab.view_leases import ESCALATION_PLANTS, LEASE_PLANTS, searched, searched_all
 
 views = st.builds(
