--- a/gladelane/recovery/key_log.py
+++ b/gladelane/recovery/key_log.py
@@ -1,15 +1,16 @@
-"""The log of idempotency keys that a director is about to use, each stored before the first byte of its
-attempt.
-
-Records are appended without a sync: they outlive a killed process but not a power cut, and cost one write
-each. Two files take turns, since a key matters for seconds only. While the disk accepts no writes, requests
-go on and records wait in memory; a marker (an empty file, renamed in place, which needs no disk space) says
-that the folder is incomplete. A process that starts with such a folder rejects new keys for as long as an
-unknown key may matter. Where not even the marker can be set, the running process rejects new keys.
-
-A record holds a reading of the clock that counts from the machine's boot, so steps of the wall clock do not
-move it. Where that reading can't be used (another boot, a file of an older version), the attempt is taken as
-one that may have run at any time: past its window, for as long as it may matter.
+"""The log of idempotency keys that a director uses. Each key is stored before the first byte of its attempt
+is sent.
+
+Records are appended without a sync: they survive a killed process but not a power cut, and cost one write
+each. Two files are used alternately, because a key only matters for seconds. While the disk accepts no
+writes, requests are still served and records wait in memory. A marker (an empty file, renamed in place, which
+needs no disk space) then says that the folder is incomplete. A process that starts with such a folder rejects
+new keys for as long as an unknown key may matter. If even the marker cannot be set, the running process
+rejects new keys.
+
+A record contains the time since the machine's boot, so steps of the wall clock do not affect it. If that time
+cannot be used (after a reboot, or in a file of an older version), the attempt counts as one that may have run
+at any time: it is past its window, and it is remembered for the full retention.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 import msgspec
 
-from ..storage.boot import BootMoment, boot_moment
+from ..storage.boot import BootTimestamp, read_boot_clock
 from ..storage.files import Disk
 from ..storage.log import decode_record, encode_record
 from ..storage.outage import Outage
@@ -30,7 +31,7 @@
 log = logging.getLogger(__name__)
 
 KEY_FILES = ("keys-0", "keys-1")
-COMPLETE_MARKER, INCOMPLETE_MARKER = "whole", "lacks"  # names of the marker file
+COMPLETE_MARKER, INCOMPLETE_MARKER = "whole", "lacks"  # stored names of the marker file
 
 
 class KeyedAttempt(msgspec.Struct, array_like=True):
@@ -39,8 +40,8 @@
     key: str
     at_ms: float  # Unix ms, by the process's clock
     store: str
-    boot: str = ""  # with since_ms: the same moment as a BootMoment
-    since_ms: float = 0.0
+    boot: str = ""  # with `since_boot_ms`: the same time as a BootTimestamp
+    since_boot_ms: float = 0.0
 
 
 class _PendingRecord(NamedTuple):
@@ -51,31 +52,32 @@
 
 
 class KeyLog:
-    """Which keys may have been used, where and when.
+    """Records which keys may have been used, when, and at which servers.
 
-    `found` holds the attempts that earlier processes left, by key, as moments of this process's clock and ids
-    of servers."""
+    `recovered_attempts` has the attempts of earlier processes by key: pairs of the time by this process's
+    clock and the server's id."""
 
     def __init__(
         self,
         disk: Disk,
         clock: Callable[[], float],
         retention_ms: float,
-        moment: Callable[[], BootMoment] = boot_moment,
+        boot_clock: Callable[[], BootTimestamp] = read_boot_clock,
         was_unreadable: bool = False,
     ) -> None:
-        """Reads the folder. `retention_ms` is how long a key matters. `was_unreadable`: an earlier folder
-        could not be read, so attempts may be unknown. Raises OSError where reading fails; what cannot be
-        written now is written later."""
-        self._disk, self._clock, self._retention_ms, self._moment = disk, clock, retention_ms, moment
-        self.found: dict[str, list[tuple[float, str]]] = {}
-        self._outage = Outage(log, "keys")
+        """Reads the folder. `retention_ms` is how long a key matters. `boot_clock` gives the time since the
+        machine's boot. `was_unreadable`: the earlier folder was damaged, so attempts may be unknown.
+
+        Raises OSError if reading fails. A failed write is tried again later."""
+        self._disk, self._clock, self._retention_ms, self._boot_clock = disk, clock, retention_ms, boot_clock
+        self.recovered_attempts: dict[str, list[tuple[float, str]]] = {}
+        self._outage = Outage(log, "idempotency keys")
         self._pending: deque[_PendingRecord] = deque()
-        self._needs_rewrite = True  # the pending records are to replace all that the files hold
+        self._needs_rewrite = True  # the pending records are to replace the content of both files
         self._file_index = 0
         self._rotated_ms = clock()
         self._intact_bytes = 0  # of the current file, up to the end of its last complete record
-        self._is_torn = False  # the current file may end in half a record
+        self._is_torn = False  # the current file may end in an incomplete record
         names = disk.names()
         self._marker = next(
             (marker for marker in (INCOMPLETE_MARKER, COMPLETE_MARKER) if marker in names), ""
@@ -85,51 +87,52 @@
         for name in KEY_FILES:
             if name in names:
                 self._read(disk.read(name))
-        for key, attempts in self.found.items():
+        for key, attempts in self.recovered_attempts.items():
             for at_ms, store in attempts:
                 self._enqueue(key, at_ms, store)
         self._flush()
 
     @property
     def is_incomplete(self) -> bool:
-        """Whether an unknown key may have been used before the start."""
+        """Whether a key that may still matter could have been used by an earlier process and be unknown."""
         return self._clock() < self._incomplete_until_ms
 
     @property
     def would_lose_keys(self) -> bool:
-        """Whether a key used now would be unknown after a restart, with no marker that says so."""
+        """Whether a key used now would be unknown after a restart, without a marker that tells so."""
         return self._outage.is_ongoing and self._marker != INCOMPLETE_MARKER
 
     def write(self, key: str, at_ms: float, store: str) -> None:
-        """Records an attempt that is about to begin. Never raises: see `would_lose_keys`."""
+        """Records an attempt that is about to begin. It does not raise if the write fails: see
+        `would_lose_keys`."""
         self._enqueue(key, at_ms, store)
         self._flush()
 
     def write_pending(self) -> None:
-        """Retries what could not be written, without waiting for the next key."""
+        """Retries failed writes without waiting for the next key."""
         if self._pending or self._needs_rewrite or self._marker != COMPLETE_MARKER:
             self._flush()
 
     def _read(self, data: bytes) -> None:
-        """Collects attempts up to a torn record, whose attempt never began."""
-        offset, now_ms, now = 0, self._clock(), self._moment()
+        """Collects attempts up to the first torn record. The attempt of a torn record was never sent."""
+        offset, now_ms, now = 0, self._clock(), self._boot_clock()
         while (record := decode_record(data, offset)) is not None:
             offset += len(encode_record(record[0], record[1]))
             attempt: KeyedAttempt = msgspec.msgpack.decode(record[1], type=KeyedAttempt)
-            age_ms = BootMoment(attempt.boot, attempt.since_ms).age_ms(now)
+            age_ms = BootTimestamp(attempt.boot, attempt.since_boot_ms).age_ms(now)
             if age_ms is None:
-                self._add_found(attempt, now_ms - self._retention_ms)
-                self._add_found(attempt, now_ms)
+                self._add_recovered(attempt, now_ms - self._retention_ms)
+                self._add_recovered(attempt, now_ms)
             elif age_ms <= self._retention_ms:
-                self._add_found(attempt, now_ms - age_ms)
+                self._add_recovered(attempt, now_ms - age_ms)
 
-    def _add_found(self, attempt: KeyedAttempt, at_ms: float) -> None:
-        self.found.setdefault(attempt.key, []).append((at_ms, attempt.store))
+    def _add_recovered(self, attempt: KeyedAttempt, at_ms: float) -> None:
+        self.recovered_attempts.setdefault(attempt.key, []).append((at_ms, attempt.store))
 
     def _enqueue(self, key: str, at_ms: float, store: str) -> None:
-        now = self._moment()
-        since_ms = now.since_ms - (self._clock() - at_ms)
-        data = msgspec.msgpack.encode(KeyedAttempt(key, at_ms, store, now.boot, since_ms))
+        now = self._boot_clock()
+        since_boot_ms = now.since_boot_ms - (self._clock() - at_ms)
+        data = msgspec.msgpack.encode(KeyedAttempt(key, at_ms, store, now.boot, since_boot_ms))
         self._pending.append(_PendingRecord(at_ms, encode_record(0, data)))
 
     def _flush(self) -> None:
@@ -150,7 +153,7 @@
     def _append(self) -> None:
         self._rotate()
         name, data = KEY_FILES[self._file_index], self._pending_bytes()
-        if self._is_torn:  # half a record would hide those behind it
+        if self._is_torn:  # reading stops at an incomplete record, so later records would be lost
             self._disk.truncate(name, self._intact_bytes)
         self._is_torn = True
         self._disk.append(name, data)
@@ -159,7 +162,8 @@
         self._pending.clear()
 
     def _rewrite(self) -> None:
-        """Writes one file with all that counts. A crash on the way leaves the old files."""
+        """Replaces both files by one with the pending records. A crash before the rename leaves the old
+        files."""
         first, second = KEY_FILES
         temporary, data = f"{first}.half", self._pending_bytes()
         with suppress(FileNotFoundError):
@@ -168,10 +172,10 @@
             self._disk.append(temporary, data)
         except OSError:
             with suppress(OSError):
-                self._disk.remove(temporary)  # it would only take disk space
+                self._disk.remove(temporary)  # to free its disk space
             raise
         self._disk.replace(temporary, first)
-        with suppress(OSError):  # if it stays, its records are read again, and none of them is wrong
+        with suppress(OSError):  # if this fails, a restart reads the same attempts twice, which does no harm
             if second in self._disk.names():
                 self._disk.truncate(second, 0)
         self._needs_rewrite = self._is_torn = False
@@ -192,7 +196,8 @@
         return b"".join(pending.record for pending in self._pending)
 
     def _drop_expired(self) -> None:
-        """The latest record stays: writing it shows whether the disk accepts writes again."""
+        """Drops pending records that no longer matter, except the latest: writing that one shows whether the
+        disk accepts writes again."""
         expired_ms = self._clock() - self._retention_ms
         while len(self._pending) > 1 and self._pending[0].at_ms < expired_ms:
             self._pending.popleft()
--- a/gladelane/recovery/options.py
+++ b/gladelane/recovery/options.py
@@ -6,9 +6,10 @@
 
 
 class Options(msgspec.Struct, frozen=True):
-    """`dir` is the folder for learnt state and keys; without one nothing is stored. Learnt state is written
-    every `every_ms` and used by the next process if it is no older than `most_age_ms`."""
+    """`dir` is the folder for learned state and idempotency keys; if it is empty, nothing is stored. Learned
+    state is written every `write_interval_ms`, and the next process uses it if it is no older than
+    `max_age_ms`."""
 
     dir: str = ""
-    every_ms: float = 5_000.0
-    most_age_ms: float = 120_000.0
+    write_interval_ms: float = 5_000.0
+    max_age_ms: float = 120_000.0
--- a/gladelane/recovery/purge_source.py
+++ b/gladelane/recovery/purge_source.py
@@ -1,4 +1,4 @@
-"""What recovery asks of the fleet's purges, as protocols: `recovery` imports nothing of `purges`."""
+"""Protocols for what recovery needs to know about the fleet's purges, so that it does not import `purges`."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
     """The subscription to one purge log server."""
 
     caught_up_ms: float
-    """When all purges that the server announced at the start were known, ms; 0 before that."""
+    """When all purges that the server announced at the start were received, in ms; 0 before that."""
 
 
 class RefetchBudget(Protocol):
-    """The budget for refetching copies that purges made void."""
+    """The budget for refetching copies that purges made invalid."""
 
     @property
     def is_active(self) -> bool:
         """Whether the operator's file limits refetches."""
 
     def is_idle(self, now_ms: float) -> bool:
-        """Whether it has denied no refetch for a second."""
+        """Whether no refetch has been denied for a second."""
 
 
 class PurgeSource(Protocol):
@@ -37,7 +37,7 @@
 
     @property
     def follows(self) -> bool:
-        """Whether some server was heard from lately and has sent all that it knows."""
+        """Whether some server was heard from lately and has sent all of its purges."""
 
     def lines(self) -> list[tuple[str, int]]:
         """Names and values for the admin endpoint's metrics."""
--- a/gladelane/recovery/service.py
+++ b/gladelane/recovery/service.py
@@ -1,5 +1,6 @@
-"""Connects recovery to a running director: the durable folder, the phases, and their metrics. It does I/O and
-decides nothing.
+"""Connects recovery to a running director: the durable folder, the phases, and their metrics.
+
+The module does the I/O; the decisions are made in `phases`, `warm_start` and `routing.idempotency`.
 """
 
 from __future__ import annotations
@@ -21,12 +22,13 @@
 log = logging.getLogger(__name__)
 
 UPDATE_PHASE_S = 0.25
-REOPEN_S = 2.0  # between attempts to open the folder, while the previous process has it
+REOPEN_S = 2.0  # between attempts to open the folder, such as while the previous process still has it open
 
 
 class Recovery:
-    """One director's recovery. `state_store` is None without a folder, and while the folder cannot be
-    opened."""
+    """One director's recovery.
+
+    `state_store` is None if no folder is configured, and while the folder cannot be opened."""
 
     def __init__(
         self,
@@ -35,17 +37,19 @@
         director: Director,
         purges: PurgeSource | None,
         clock: Callable[[], float],
-        listens: Callable[[], bool],
+        is_listening: Callable[[], bool],
     ) -> None:
-        """Opens the folder. Raises OSError where it cannot be used."""
+        """Opens the folder. `is_listening` tells whether the director accepts clients.
+
+        Raises OSError if the folder cannot be used for a reason that will not end by itself."""
         self._options, self._name, self._director, self._purges = options, name, director, purges
-        self._clock, self._listens = clock, listens
+        self._clock, self._is_listening = clock, is_listening
         self.phases = Phases(clock())
         self.state_store: StateStore | None = None
         self._tasks: list[asyncio.Task[None]] = []
-        self._outage = Outage(log, "warm start: folder")
-        self._unread_until_ms = 0.0  # until then, keys that the previous process used may be unknown
-        self._most_keys = director.keys.max_keys
+        self._outage = Outage(log, "warm start: state and keys")
+        self._keys_unknown_until_ms = 0.0  # until then, keys that the previous process used may be unknown
+        self._configured_max_keys = director.keys.max_keys
         if options.dir:
             self._open_at_start()
 
@@ -53,7 +57,7 @@
         try:
             self._open()
         except FolderInUseError:
-            log.info("warm start: the process before this one has the folder")
+            log.info("warm start: the previous process still has the folder open")
         except OSError as error:
             self._wait_for_folder(error)
 
@@ -64,26 +68,29 @@
             self._name,
             self._director.router,
             self._clock,
-            options.every_ms,
-            options.most_age_ms,
+            options.write_interval_ms,
+            options.max_age_ms,
         )
         self._outage.report_success()
 
     def _wait_for_folder(self, error: OSError) -> None:
-        """The keys that the previous process used cannot be read, so new keys are rejected meanwhile."""
+        """Rejects new keys while those of the previous process cannot be read, for as long as they matter.
+
+        Raises `error` if it is not transient."""
         if not is_transient(error):
             raise error
         self._outage.report_failure(error)
-        self._unread_until_ms = self._clock() + self._director.keys.retention_ms
+        self._keys_unknown_until_ms = self._clock() + self._director.keys.retention_ms
         self._director.keys.max_keys = 0
 
     def take_over(self) -> None:
-        """Restores learnt state and keys, once the endpoint list is known and before clients are admitted."""
+        """Restores learned state and keys; called once the endpoint list is known, before any client is
+        admitted."""
         if self.state_store is not None:
-            self.state_store.take_over(self._director.keys)
+            self.state_store.restore(self._director.keys)
 
     def start(self) -> None:
-        """Starts updating the phase and storing learnt state."""
+        """Starts the tasks that update the phase and store learned state."""
         self._tasks = [
             asyncio.create_task(self._update_phases()),
             asyncio.create_task(self._run_state_store()),
@@ -100,25 +107,29 @@
             await self.state_store.run()
 
     def _open_late(self) -> None:
-        """Opens the folder while clients are served: keys from the folder join those in memory, and keys used
-        meanwhile are stored."""
+        """Opens the folder while clients are served. Keys from the folder are added to those in memory, and
+        keys that were used meanwhile are stored in the folder."""
         self._open()
         if self.state_store is None:
             return
         windows = self._director.keys
-        known = [(key, *attempt) for key, ran in windows.snapshot(self._clock()).items() for attempt in ran]
-        if self._unread_until_ms:
-            windows.take_over(self.state_store.keys.found)
-        for key, at_ms, store in known:
+        known_attempts = [
+            (key, *attempt)
+            for key, attempts in windows.snapshot(self._clock()).items()
+            for attempt in attempts
+        ]
+        if self._keys_unknown_until_ms:
+            windows.take_over(self.state_store.keys.recovered_attempts)
+        for key, at_ms, store in known_attempts:
             self.state_store.keys.write(key, at_ms, store)
-        windows.max_keys = self._most_keys
-        self.state_store.follow(windows)
+        windows.max_keys = self._configured_max_keys
+        self.state_store.start_storing_keys(windows)
 
     def _watch_keys(self) -> None:
         if self.state_store is not None:
             self.state_store.watch_keys()
-        elif self._unread_until_ms and self._clock() >= self._unread_until_ms:
-            self._director.keys.max_keys = self._most_keys
+        elif self._keys_unknown_until_ms and self._clock() >= self._keys_unknown_until_ms:
+            self._director.keys.max_keys = self._configured_max_keys
 
     async def _update_phases(self) -> None:
         while True:
@@ -127,7 +138,7 @@
             await asyncio.sleep(UPDATE_PHASE_S)
 
     def update_phase(self) -> None:
-        """Reads the service's state and logs a change of phase."""
+        """Updates the phase by the present state of the service, and logs a change of phase."""
         phases = self.phases
         if not phases.update(self._snapshot(), self._clock()):
             return
@@ -141,30 +152,32 @@
 
     def _snapshot(self) -> ServiceSnapshot:
         classes, purges = self._director.settings.classes, self._purges
-        rows = self._director.metrics.classes
-        asked = sum(classes[name].worth * sum(row) for name, row in rows.items() if name in classes)
-        earned = sum(classes[name].worth * row[SUCCESS] for name, row in rows.items() if name in classes)
+        counts = self._director.metrics.classes
+        requested = sum(classes[name].worth * sum(row) for name, row in counts.items() if name in classes)
+        earned = sum(classes[name].worth * row[SUCCESS] for name, row in counts.items() if name in classes)
         if purges is None:
-            return ServiceSnapshot(self._listens(), True, True, False, asked, earned)
-        caught_up = any(subscription.caught_up_ms for subscription in purges.subscribers)
-        renewing = purges.refetch_budget.is_active and not purges.refetch_budget.is_idle(self._clock())
-        return ServiceSnapshot(self._listens(), caught_up, purges.follows, renewing, asked, earned)
+            return ServiceSnapshot(self._is_listening(), True, True, False, requested, earned)
+        has_caught_up = any(subscription.caught_up_ms for subscription in purges.subscribers)
+        is_exhausted = purges.refetch_budget.is_active and not purges.refetch_budget.is_idle(self._clock())
+        return ServiceSnapshot(
+            self._is_listening(), has_caught_up, purges.follows, is_exhausted, requested, earned
+        )
 
     def lines(self) -> list[tuple[str, int]]:
         """Names and values for the admin endpoint's metrics."""
         phases = self.phases
         since_ms = 0 if phases.phase is Phase.FULL else int(self._clock() - phases.since_ms)
-        own = [
+        metrics = [
             ("phase", int(phases.phase)),
             ("phase_reason", int(phases.reason)),
             ("phase_since_ms", since_ms),
             ("full_service_ms", int(phases.recovered_after_ms)),
             ("warm_start", int(self.state_store is not None and self.state_store.is_warm)),
         ]
-        return own + (self._purges.lines() if self._purges is not None else [])
+        return metrics + (self._purges.lines() if self._purges is not None else [])
 
     async def close(self) -> None:
-        """Writes learnt state once more, so that a planned restart loses none of it, and releases the
+        """Writes learned state a last time, so that a planned restart loses none of it, and closes the
         folder."""
         for task in self._tasks:
             task.cancel()
--- a/gladelane/storage/__init__.py
+++ b/gladelane/storage/__init__.py
@@ -2,7 +2,8 @@
 
 `log` opens and recovers a log, `write_ahead_log` appends to it, and `log_format` defines its bytes. `files`
 has the `Disk` protocol and its implementation in a folder, `compaction` replaces long logs by snapshots,
-`outage` reports failing disks, and `boot` gives moments that survive a step of the wall clock.
+`outage` logs the start and the end of storage failures, and `boot` provides timestamps that stay comparable
+when the wall clock is stepped.
 """
 
 from __future__ import annotations
--- a/gladelane/storage/compaction.py
+++ b/gladelane/storage/compaction.py
@@ -1,7 +1,7 @@
 """Compaction of a write-ahead log: a snapshot of the state replaces a log that has become long.
 
-A snapshot that cannot be stored harms nothing. The log still has every record and is only longer than
-necessary, so the failure is logged and the snapshot is tried again later.
+A failed snapshot loses nothing: the log still has every record and is only longer than necessary. The failure
+is logged and the snapshot is tried again later.
 """
 
 from __future__ import annotations
@@ -13,8 +13,10 @@
 
 
 class LogCompaction:
-    """Counts the records of one log and stores its snapshots. Attributes: record_count, the records since
-    the latest snapshot."""
+    """Counts the records of one log and stores its snapshots.
+
+    `record_count` is the number of records since the latest snapshot.
+    """
 
     def __init__(
         self,
@@ -24,8 +26,8 @@
         after_records: int,
         retry_after_records: int = 0,
     ) -> None:
-        """`record_count`: those that were recovered. A snapshot is due after `after_records`, and after a
-        failure once `retry_after_records` more were added. `outage` logs failures."""
+        """`record_count` is the number of recovered records. A snapshot is due after `after_records` records,
+        and after a failed snapshot once `retry_after_records` more were added. `outage` logs failures."""
         self.record_count = record_count
         self._log, self._outage = log, outage
         self._after_records, self._retry_after_records = after_records, retry_after_records
@@ -36,25 +38,25 @@
         return self.record_count >= self._after_records
 
     def add(self, records: int) -> None:
-        """Counts records that were stored."""
+        """Adds the number of records that were stored."""
         self.record_count += records
 
     async def write(self, payload: bytes) -> None:
-        """Stores a snapshot in place of the log, in a thread."""
-        self._conclude(await asyncio.to_thread(self._store, payload))
+        """Replaces the log by a snapshot, in a worker thread. Failures are logged, not raised."""
+        self._record_result(await asyncio.to_thread(self._try_snapshot, payload))
 
     def write_blocking(self, payload: bytes) -> None:
-        """Does the same in the calling thread."""
-        self._conclude(self._store(payload))
+        """Replaces the log by a snapshot in the calling thread. Failures are logged, not raised."""
+        self._record_result(self._try_snapshot(payload))
 
-    def _store(self, payload: bytes) -> OSError | None:
+    def _try_snapshot(self, payload: bytes) -> OSError | None:
         try:
             self._log.snapshot(payload)
         except OSError as error:
             return error
         return None
 
-    def _conclude(self, error: OSError | None) -> None:
+    def _record_result(self, error: OSError | None) -> None:
         if error is None:
             self._outage.report_success()
             self.record_count = 0
--- a/gladelane/storage/files.py
+++ b/gladelane/storage/files.py
@@ -1,4 +1,5 @@
-"""File access of the write-ahead log: the `Disk` protocol, `Folder` that implements it, atomic replacement.
+"""File access for stored state: the `Disk` protocol, its implementation `Folder`, and atomic replacement of
+files.
 
 `lab.simdisk` implements the same protocol in memory.
 """
@@ -23,10 +24,10 @@
 
 
 class Disk(Protocol):
-    """Files by plain names, without folders.
+    """A flat set of named files, without subfolders.
 
-    Data is only sure to survive a crash after `sync` of the file, and a new, removed or changed name only
-    after `sync_folder`. All methods may raise OSError.
+    Data is only certain to survive a power cut after `sync` of its file, and a new, removed or changed file
+    name only after `sync_folder`. All methods may raise OSError.
     """
 
     def names(self) -> list[str]:
@@ -36,7 +37,7 @@
         """The content of a file."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Writes at the end of a file, which is created if missing. An error may leave some bytes written."""
+        """Appends to a file, which is created if missing. After an error, part of the data may be written."""
 
     def size(self, name: str) -> int:
         """The size of a file in bytes."""
@@ -76,7 +77,8 @@
 
 
 def replace_on_disk(disk: Disk, name: str, data: bytes) -> None:
-    """Replaces a complete file durably. Raises OSError: a crash may then leave the old content or the new."""
+    """Replaces a complete file durably. If it raises OSError, a later crash may leave the old or the new
+    content."""
     disk.replace(write_temporary(disk, name, data), name)
     disk.sync_folder()
 
@@ -87,7 +89,9 @@
     Raises OSError.
     """
     temporary = path.with_name(f"{path.name}{TEMPORARY_SUFFIX}")
-    # An earlier attempt may have left it after a failed sync: a second sync of that file would prove nothing.
+    # An earlier attempt may have left the file after a failed sync. It must not be reused: the kernel may
+    # have dropped its unwritten pages, so that a second sync of the same file would succeed without storing
+    # them.
     temporary.unlink(missing_ok=True)
     with open(temporary, "wb", opener=lambda name, flags: os.open(name, flags, FILE_MODE)) as file:
         file.write(data)
@@ -98,7 +102,7 @@
 
 
 def rename_damaged_folder(path: Path) -> Path:
-    """Renames a folder that cannot be read, so that its place is free and its files can be examined later.
+    """Renames a folder with unreadable content, so that the path is free and the files can be examined later.
 
     Returns the new path. Raises OSError.
     """
@@ -144,7 +148,7 @@
         return (self.path / name).read_bytes()
 
     def append(self, name: str, data: bytes) -> None:
-        """Writes at the end of a file, which is created if missing."""
+        """Appends to a file, which is created if missing."""
         descriptor, remaining = self._descriptor(name), memoryview(data)
         while remaining:
             remaining = remaining[os.write(descriptor, remaining) :]
--- a/gladelane/storage/log.py
+++ b/gladelane/storage/log.py
@@ -1,9 +1,9 @@
-"""A write-ahead log in segments, with snapshots: how to open one, and the names that its users need.
+"""Opens and recovers a write-ahead log of segments and snapshots, and exports the names that its users need.
 
 `log_format` describes the stored bytes, `write_ahead_log` the append path. Recovery reads the newest snapshot
 and every record from its index on. If the last segment ends in bytes that are not a record, and no complete
 record follows them, they were being written at the time of the crash: that tail is truncated, and
-`RecoveredLog` says how much. All else that does not fit raises `CorruptLogError` with file and offset: a
+`RecoveredLog` reports its size. Any other inconsistency raises `CorruptLogError` with file and offset: a
 damaged record in the middle, a missing segment, a snapshot with a wrong checksum. No damage is skipped
 silently.
 """
@@ -48,11 +48,11 @@
     "recover",
 ]
 
-SEGMENT_BYTES = 16_000_000  # from which size on a segment is followed by a new one
+SEGMENT_BYTES = 16_000_000  # a segment of at least this size is followed by a new one
 
 
 class RecoveredLog(NamedTuple):
-    """What recovery found.
+    """The content of a recovered log, and what recovery removed.
 
     `first_index` is the index of the first of `records`. `truncated_bytes` is the size of a torn tail that
     was dropped, and `truncated_at` its file and offset, empty if there was none. `removed_files` lists files
@@ -83,7 +83,7 @@
         self._sync = sync
         self.next_index = next_index
         self.records: list[bytes] = []
-        self.segment = ""  # the one that takes the next record, if any
+        self.segment = ""  # the file that takes the next record; empty if the next commit starts one
         self.unverified_bytes = 0
         self.truncated_bytes = 0
         self.truncated_at = ""
@@ -94,32 +94,32 @@
         data = self._disk.read(name)
         if index_in_name(name) != self.next_index:
             raise CorruptLogError(
-                name, 0, f"record {self.next_index} was expected to start here: a segment lacks"
+                name, 0, f"record {self.next_index} was expected to start here: a segment is missing"
             )
         if is_last and not has_valid_header(data):
-            self._drop_without_header(name, data)
+            self._remove_segment_without_header(name, data)
             return
         if decode_header(name, data, SEGMENT_MAGIC).first_index != self.next_index:
-            raise CorruptLogError(name, INDEX_OFFSET, "the head's index is not the name's")
+            raise CorruptLogError(name, INDEX_OFFSET, "the index in the header differs from the file name's")
         end = HEADER_BYTES
         for record in iterate_records(name, data, self.next_index, is_last):
             end = record.end
             self.records.append(record.payload)
             self.next_index += 1
         if end < len(data):
-            self._note_truncation(name, end, len(data))
+            self._record_truncation(name, end, len(data))
         if is_last and (self._sync == "always" or self.truncated_bytes):
             self.unverified_bytes = end
         self.segment = name
 
-    def _drop_without_header(self, name: str, data: bytes) -> None:
+    def _remove_segment_without_header(self, name: str, data: bytes) -> None:
         """Removes a last segment whose header was being written at the time of the crash."""
         if find_record(data, 0, self.next_index) != NOT_FOUND:
-            raise CorruptLogError(name, 0, "the head's checksum is wrong, but records stand behind it")
-        self._note_truncation(name, 0, len(data))
+            raise CorruptLogError(name, 0, "the header's checksum is wrong, but records follow it")
+        self._record_truncation(name, 0, len(data))
         self.removed += _remove_if_possible(self._disk, [name])
 
-    def _note_truncation(self, name: str, offset: int, size: int) -> None:
+    def _record_truncation(self, name: str, offset: int, size: int) -> None:
         self.truncated_bytes = size - offset
         self.truncated_at = f"{name}: byte {offset}"
 
@@ -127,7 +127,7 @@
 def recover(
     disk: Disk, sync: SyncPolicy = "always", segment_bytes: int = SEGMENT_BYTES
 ) -> tuple[WriteAheadLog, RecoveredLog]:
-    """Opens the log on a disk, or an empty one, and reads all that it holds.
+    """Opens the log on a disk and reads its complete content; a disk without files gives an empty log.
 
     A segment of `segment_bytes` or more is followed by a new one. A torn tail is cut from its file at once,
     or before the next commit if the disk is not writable now. Raises CorruptLogError and OSError.
@@ -135,18 +135,18 @@
     removed = _remove_if_possible(disk, [name for name in disk.names() if name.endswith(TEMPORARY_SUFFIX)])
     names = sorted(disk.names())
     snapshot = _read_newest_snapshot(disk, names)
-    removed += _remove_covered(disk, snapshot, names)
+    removed += _remove_files_before_snapshot(disk, snapshot, names)
     segments = [name for name in names if name.endswith(SEGMENT_SUFFIX)]
-    later = [name for name in segments if index_in_name(name) >= snapshot.next_index]
+    segments_to_read = [name for name in segments if index_in_name(name) >= snapshot.next_index]
     scan = _SegmentScan(disk, sync, snapshot.next_index)
-    for name in later:
-        scan.read(name, is_last=name == later[-1])
+    for name in segments_to_read:
+        scan.read(name, is_last=name == segments_to_read[-1])
     removed += scan.removed
     if removed:
         with suppress(OSError):
             disk.sync_folder()
     log = WriteAheadLog(disk, scan.next_index, scan.segment, sync, segment_bytes, scan.unverified_bytes)
-    with suppress(OSError):  # the next commit does it otherwise
+    with suppress(OSError):  # the next commit tries it again
         log.rewrite_unverified()
     return log, RecoveredLog(
         snapshot.payload,
@@ -165,27 +165,27 @@
     newest = snapshots[-1]
     header = decode_header(newest, disk.read(newest), SNAPSHOT_MAGIC)
     if snapshot_name(header.first_index) != newest:
-        raise CorruptLogError(newest, INDEX_OFFSET, f"the head says index {header.first_index}")
+        raise CorruptLogError(newest, INDEX_OFFSET, f"the header has index {header.first_index}")
     return _Snapshot(newest, header.first_index, header.payload)
 
 
-def _remove_covered(disk: Disk, snapshot: _Snapshot, names: list[str]) -> list[str]:
-    """Removes older files that a crash or a fault has left beside a snapshot; returns their names."""
+def _remove_files_before_snapshot(disk: Disk, snapshot: _Snapshot, names: list[str]) -> list[str]:
+    """Removes files that a snapshot replaces but a crash or fault has left behind; returns their names."""
     segments = [name for name in names if name.endswith(SEGMENT_SUFFIX)]
     older_segments = [name for name in segments if index_in_name(name) < snapshot.next_index]
     older_snapshots = [name for name in names if name.endswith(SNAPSHOT_SUFFIX) and name != snapshot.name]
-    covered = [*older_segments, *older_snapshots]
-    if not covered:
+    obsolete = [*older_segments, *older_snapshots]
+    if not obsolete:
         return []
-    try:  # that the snapshot can be read does not prove that it was synced
+    try:  # a readable snapshot may still be unsynced: store it again before removing older files
         replace_on_disk(disk, snapshot.name, disk.read(snapshot.name))
     except OSError:
         return []
-    return _remove_if_possible(disk, covered)
+    return _remove_if_possible(disk, obsolete)
 
 
 def _remove_if_possible(disk: Disk, names: list[str]) -> list[str]:
-    """Removes files and returns the names of those that could be; a later recovery tries the others again."""
+    """Removes files and returns the names of the removed ones; a later recovery tries the others again."""
     removed = []
     for name in names:
         with suppress(OSError):
--- a/gladelane/storage/log_format.py
+++ b/gladelane/storage/log_format.py
@@ -35,7 +35,7 @@
 class CorruptLogError(Exception):
     """Stored bytes that the log cannot have written.
 
-    `file_name` and `offset` (bytes) say where they stand, `reason` says what is wrong with them.
+    `file_name` and `offset` (in bytes) locate them, `reason` says what is wrong with them.
     """
 
     def __init__(self, file_name: str, offset: int, reason: str) -> None:
@@ -47,7 +47,7 @@
 
 
 class Header(NamedTuple):
-    """A decoded file header. `first_index` is the record index that it names."""
+    """A decoded file header and the payload behind it. `first_index` is the record index in the header."""
 
     first_index: int
     payload: bytes
@@ -83,13 +83,13 @@
 
 
 def encode_record(index: int, payload: bytes) -> bytes:
-    """A complete record as it stands in a segment."""
+    """The stored bytes of a complete record."""
     prefix = RECORD_PREFIX.pack(MARKER, len(payload), index, crc32c(payload))
     return prefix + CRC.pack(crc32c(prefix)) + payload
 
 
 def has_valid_header(data: bytes) -> bool:
-    """Whether a file starts with a complete header whose checksum is right."""
+    """Whether a file starts with a complete header that has a correct checksum."""
     if len(data) < HEADER_BYTES:
         return False
     stored_crc: int = CRC.unpack_from(data, HEADER.size)[0]
@@ -97,14 +97,15 @@
 
 
 def decode_header(name: str, data: bytes, magic: bytes) -> Header:
-    """The header and payload of a file. Raises CorruptLogError; `name` is the file's name for its message."""
+    """The header and payload of a file. `name` is the file's name for error messages. Raises
+    CorruptLogError."""
     if len(data) < HEADER_BYTES:
-        raise CorruptLogError(name, len(data), f"the head has {HEADER_BYTES} bytes")
-    found, version, index, length, crc = HEADER.unpack_from(data)
+        raise CorruptLogError(name, len(data), f"the file ends within its header of {HEADER_BYTES} bytes")
+    magic_found, version, index, length, crc = HEADER.unpack_from(data)
     if not has_valid_header(data):
-        raise CorruptLogError(name, 0, "the head's checksum is wrong")
-    if found != magic:
-        raise CorruptLogError(name, 0, f"starts with {found!r}, expected {magic!r}")
+        raise CorruptLogError(name, 0, "the header's checksum is wrong")
+    if magic_found != magic:
+        raise CorruptLogError(name, 0, f"starts with {magic_found!r}, expected {magic!r}")
     if version != VERSION:
         raise CorruptLogError(name, VERSION_OFFSET, f"version {version}, expected {VERSION}")
     payload = data[HEADER_BYTES : HEADER_BYTES + length]
@@ -140,11 +141,13 @@
     while offset < len(data):
         record = decode_record(data, offset)
         if record is None:
-            later = find_record(data, offset + 1, index)
-            if is_last_segment and later == NOT_FOUND:
+            later_offset = find_record(data, offset + 1, index)
+            if is_last_segment and later_offset == NOT_FOUND:
                 return
-            detail = "" if later == NOT_FOUND else f", but a whole one stands at byte {later}"
-            raise CorruptLogError(name, offset, f"no record{detail}")
+            detail = (
+                "" if later_offset == NOT_FOUND else f", but a valid record follows at byte {later_offset}"
+            )
+            raise CorruptLogError(name, offset, f"no valid record{detail}")
         if record.record_index != index:
             raise CorruptLogError(name, offset, f"record {record.record_index} where {index} was expected")
         yield record
@@ -153,7 +156,8 @@
 
 
 def find_record(data: bytes, start: int, min_index: int) -> int:
-    """The first offset from `start` on where a record with at least this index stands, or NOT_FOUND."""
+    """The offset of the first valid record at or after `start` whose index is at least `min_index`, or
+    NOT_FOUND."""
     offset = start
     while (offset := data.find(MARKER_BYTES, offset)) != NOT_FOUND:
         record = decode_record(data, offset)
--- a/gladelane/storage/outage.py
+++ b/gladelane/storage/outage.py
@@ -1,11 +1,11 @@
-"""Storage outages as operators see them: a log line when writes begin to fail, and one when they succeed."""
+"""Logs storage outages: one line when writes begin to fail, and one when they succeed again."""
 
 from __future__ import annotations
 
 import errno
 import logging
 
-#: Errors that may end by themselves, as opposed to those of a folder that is configured wrongly.
+#: Errors that may disappear without a change of configuration, unlike those of a wrongly configured folder.
 TRANSIENT_ERRNOS = frozenset(
     {errno.EIO, errno.ENOSPC, errno.EDQUOT, errno.ENOMEM, errno.EMFILE, errno.ENFILE}
 )
@@ -17,22 +17,22 @@
 
 
 class Outage:
-    """Whether writes of one kind fail at present. Logs only the transitions."""
+    """Tracks whether writes of one kind of data fail at present. Logs only the transitions."""
 
-    def __init__(self, log: logging.Logger, what: str) -> None:
-        """`what` names the stored data in log lines."""
+    def __init__(self, log: logging.Logger, data_name: str) -> None:
+        """`data_name` names the stored data in log lines."""
         self._log = log
-        self._what = what
+        self._data_name = data_name
         self.is_ongoing = False
 
     def report_failure(self, error: Exception) -> None:
         """Records that a write failed."""
         if not self.is_ongoing:
-            self._log.error("%s not stored: %s", self._what, error)
+            self._log.error("%s not stored: %s", self._data_name, error)
         self.is_ongoing = True
 
     def report_success(self) -> None:
         """Records that a write succeeded."""
         if self.is_ongoing:
-            self._log.warning("%s stored again", self._what)
+            self._log.warning("%s stored again", self._data_name)
         self.is_ongoing = False
--- a/gladelane/storage/write_ahead_log.py
+++ b/gladelane/storage/write_ahead_log.py
@@ -1,10 +1,11 @@
 """The append path of the write-ahead log: group commits, segment rotation, snapshots and failed writes.
 
-After a write or sync that fails, nobody knows what the disk has of the last segment, and a repeated sync may
-succeed for pages that were dropped. So the log rejects the failed commit, and before it accepts anything more
-it writes the committed part of that segment again as a new file, which takes the old file's name once it is
-synced. Recovery does the same, because an earlier process may have been killed between a write and its sync.
-A recovery may still find records of a rejected commit, all of them or the first ones, until the next commit.
+After a failed write or sync it is unknown which bytes of the last segment are on disk, and a repeated sync
+may succeed although the kernel has dropped the unwritten pages. The log therefore rejects the failed commit.
+Before the next commit it writes the committed part of that segment to a new file, which takes the old file's
+name once it is synced. Recovery does the same, because an earlier process may have been killed between a
+write and its sync. Until the next commit, a recovery may still find all or the first records of a rejected
+commit.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 
 class WriteAheadLog:
-    """An open log, made by `recover`: `append` buffers records, `commit` makes them durable.
+    """An open log, created by `recover`: `append` buffers records, `commit` makes them durable.
 
     All methods may be called from any thread.
     """
@@ -49,9 +50,10 @@
     ) -> None:
         """Continues a recovered log.
 
-        `next_index` is the index of the next record. `segment` names the file that takes it; if empty, the
-        next commit starts one. A segment of `max_segment_bytes` or more is followed by a new one.
-        `unverified_bytes` is the committed size of the segment if it has to be written again, else 0.
+        `next_index` is the index of the next record. `segment` names the file that takes this record; if it
+        is empty, the next commit starts a new segment. A segment of `max_segment_bytes` or more is followed
+        by a new one. `unverified_bytes` is the committed size of the segment if it has to be written again,
+        else 0.
         """
         self._disk = disk
         self._next = next_index
@@ -60,9 +62,9 @@
         self._max_segment_bytes = max_segment_bytes
         self._uncommitted: list[bytes] = []
         self._unverified_bytes = unverified_bytes
-        # A commit runs in a thread and continues there when its task is cancelled. Without the lock, an
-        # append, a second commit or a close during it would store one index twice, or write to a descriptor
-        # that another file has taken.
+        # A commit runs in a worker thread and continues there when its task is cancelled. Without the lock,
+        # an append, a second commit or a close during that commit could store two records with the same
+        # index, or write to a file descriptor that has been reused for another file.
         self._lock = threading.RLock()
 
     @property
@@ -81,8 +83,8 @@
     def commit(self) -> None:
         """Stores all buffered records.
 
-        Raises OSError: none of them may be considered stored. The caller may commit again at any time, or
-        call `discard_uncommitted`.
+        If it raises OSError, none of the records may be considered stored. The caller may then commit again
+        at any time, or call `discard_uncommitted`.
         """
         with self._lock:
             self._commit()
@@ -93,20 +95,21 @@
             self._uncommitted = []
 
     def snapshot(self, payload: bytes) -> None:
-        """Commits, stores the state after all records, and removes the files that it replaces.
+        """Commits, stores `payload` as the state after all records, and removes the files that it replaces.
 
-        Raises OSError: the log is still complete, and older files are kept.
+        If it raises OSError, the log is still complete and the older files may remain.
         """
         with self._lock:
             self._write_snapshot(payload)
 
     def rewrite_unverified(self) -> None:
-        """Writes the current segment again if it is unknown what the disk has of it. Raises OSError."""
+        """Writes the current segment again if it is unknown which of its bytes are on disk. Raises
+        OSError."""
         with self._lock:
             self._rewrite_unverified()
 
     def close(self) -> None:
-        """Closes the disk, after a commit or snapshot that another thread has begun."""
+        """Closes the disk, after waiting for a commit or snapshot that runs in another thread."""
         with self._lock:
             self._disk.close()
 
@@ -135,7 +138,7 @@
         self._sync_before_next_file()
         temporary = write_temporary(self._disk, name, encode_header(SNAPSHOT_MAGIC, self._next, payload))
         self._disk.replace(temporary, name)
-        # A recovery may skip the segments before the snapshot, so they take no more records.
+        # A recovery may skip the segments before the snapshot, so no further records may go into them.
         self._segment = ""
         self._disk.sync_folder()
         self._remove_files_before(name)
@@ -159,9 +162,9 @@
             self._segment = ""
 
     def _sync_before_next_file(self) -> None:
-        """Syncs a segment that commits do not sync.
+        """Syncs the current segment if commits do not.
 
-        Otherwise a power cut could take the end of this segment and leave the next file.
+        Otherwise a power cut could lose the end of this segment but not the file after it.
         """
         if self._segment and self._sync == "never":
             self._sync_segment(self._disk.size(self._segment))
@@ -170,7 +173,7 @@
         if self._segment:
             return
         name = segment_name(self._next)
-        if name in self._disk.names():  # left by an attempt that failed: it holds no committed record
+        if name in self._disk.names():  # left by a failed attempt, so it has no committed record
             self._disk.remove(name)
         try:
             self._disk.append(name, encode_header(SEGMENT_MAGIC, self._next))
@@ -183,7 +186,7 @@
         self._segment = name
 
     def _truncate_segment(self, committed_bytes: int) -> None:
-        """Removes what a failed append has left behind the committed records."""
+        """Removes the bytes that a failed append left after the committed records."""
         try:
             self._disk.truncate(self._segment, committed_bytes)
         except OSError:
--- a/tests/disk_faults.py
+++ b/tests/disk_faults.py
@@ -1,5 +1,5 @@
-"""The ways in which a disk fails for a while, for the tests of all who store something, and the disks that a process may find
-after them."""
+"""Transient disk faults for the tests of all packages that store state, and the disks that a process may find
+after a crash."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
     return Fault(error, frozenset(operations) or EVERY_OPERATION)
 
 
-#: Each strikes a commit; a file that is renamed or opened in one is written after a failed sync only.
+#: Each makes a commit fail. A commit only renames or opens a file after a failed sync, so faults of these
+#: operations come together with a fault of the sync.
 FAULTS = {
     "full": fault(errno.ENOSPC, Operation.OPEN, Operation.APPEND),
     "full when synced": fault(errno.ENOSPC, Operation.SYNC),
@@ -26,16 +27,20 @@
     "open and sync fail": fault(errno.EIO, Operation.OPEN, Operation.SYNC),
     "everything fails": fault(errno.EIO),
 }
-#: Those that strike a log which is never synced.
-UNSYNCED = [name for name, one in FAULTS.items() if Operation.APPEND in one.operations]
+#: The faults that also affect a log that is never synced.
+UNSYNCED_LOG_FAULTS = [name for name, each in FAULTS.items() if Operation.APPEND in each.operations]
 
 
-def crashed(disk: SimDisk) -> list[SimDisk]:
-    """After a kill, and after a power cut in each of its variants."""
-    return [disk.after_kill(), *(disk.after_crash(lost, kept) for lost in Lost for kept in (True, False))]
+def disks_after_crash(disk: SimDisk) -> list[SimDisk]:
+    """The disk after a kill of the process, and after a power cut in each of its variants."""
+    return [
+        disk.after_kill(),
+        *(disk.after_crash(lost, names_survive) for lost in Lost for names_survive in (True, False)),
+    ]
 
 
-def said_once(caplog: pytest.LogCaptureFixture, what: str) -> bool:
-    """Whether the log has one line that this is not stored, one later that it is again, and no more of either."""
-    lines = [record.getMessage() for record in caplog.records if record.getMessage().startswith(what)]
-    return len(lines) == 2 and "not stored: " in lines[0] and lines[1] == f"{what} stored again"
+def has_one_outage_logged(caplog: pytest.LogCaptureFixture, data_name: str) -> bool:
+    """Whether the log has exactly one line that the data is not stored, and after it one that it is stored
+    again."""
+    lines = [record.getMessage() for record in caplog.records if record.getMessage().startswith(data_name)]
+    return len(lines) == 2 and "not stored: " in lines[0] and lines[1] == f"{data_name} stored again"
--- a/tests/fleet/test_audit_faults.py
+++ b/tests/fleet/test_audit_faults.py
@@ -11,7 +11,7 @@
 
 import pytest
 from conftest import settings
-from disk_faults import FAULTS, UNSYNCED, crashed, fault, said_once
+from disk_faults import FAULTS, UNSYNCED_LOG_FAULTS, disks_after_crash, fault, has_one_outage_logged
 from test_audit_pure import report, trail_of, view_name, view_of
 
 from gladelane.admin.maintenance import MaintenanceRegister
@@ -51,7 +51,7 @@
 
 def acknowledged(disk: SimDisk) -> list[int]:
     """Up to where each process that may come after a crash now has the director's spans."""
-    return [opened(left).store.stored_upto(RUN) for left in crashed(disk)]
+    return [opened(left).store.stored_upto(RUN) for left in disks_after_crash(disk)]
 
 
 @pytest.mark.parametrize("name", FAULTS)
@@ -84,14 +84,14 @@
         disk.fault = None
         assert (await reported(collector, spans[2:])).stored == 6 and not collector.answers.versions().lacks
         await collector.intake.take_expected(ExpectedDigests("settings", ("s",)), "operator")
-        for left in crashed(disk):
+        for left in disks_after_crash(disk):
             found = opened(left)
             assert found.store.stored_upto(RUN) == 6 and find_inconsistencies(found.store) == []
             assert found.monitor.versions.expects["settings"].digests == ("s",)
         await collector.close()
 
     asyncio.run(scene())
-    assert said_once(caplog, "audit: reports")
+    assert has_one_outage_logged(caplog, "audit: reports")
 
 
 def test_a_snapshot_of_the_audit_that_fails_refuses_nothing(
@@ -117,7 +117,7 @@
         await collector.close()
 
     asyncio.run(scene())
-    assert said_once(caplog, "audit: snapshot")
+    assert has_one_outage_logged(caplog, "audit: snapshot")
 
 
 def page(spans: list[ActivityInterval]) -> LogPage:
@@ -129,7 +129,7 @@
     return ActivityLogStore(Path("trail"))
 
 
-@pytest.mark.parametrize("name", UNSYNCED)
+@pytest.mark.parametrize("name", UNSYNCED_LOG_FAULTS)
 def test_a_trail_that_could_not_be_stored_is_stored_with_the_next_page(
     name: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
@@ -145,7 +145,7 @@
     assert store.write(page(spans[1:]), None)
     (left,) = trail_store(disk.after_kill(), monkeypatch).left
     assert left.intervals == spans
-    assert said_once(caplog, "audit: trail")
+    assert has_one_outage_logged(caplog, "audit: trail")
 
 
 def test_a_page_whose_snapshot_fails_is_stored_once(
@@ -160,7 +160,7 @@
     assert trail_store(disk.after_kill(), monkeypatch).left[0].intervals == spans
     assert store.write(page([]), [page(spans)])
     assert trail_store(disk.after_kill(), monkeypatch).left[0].intervals == spans
-    assert said_once(caplog, "audit: snapshot of the trail")
+    assert has_one_outage_logged(caplog, "audit: snapshot of the trail")
 
 
 def test_a_folder_that_could_not_be_read_is_not_in_use_at_the_next_try(
@@ -232,7 +232,7 @@
         span.number for span in one.reporter.earlier_runs[0].page.intervals
     ] == [1, 2]
     one.writer.store.close()
-    assert said_once(caplog, "audit: trail's folder")
+    assert has_one_outage_logged(caplog, "audit: trail's folder")
     with monkeypatch.context() as broken:
         broken.setattr(
             activity_log_store_module, "Folder", lambda path: os.open(path / "nowhere", os.O_RDONLY)
--- a/tests/hot_restart/test_handover_faults.py
+++ b/tests/hot_restart/test_handover_faults.py
@@ -16,7 +16,7 @@
 import msgspec
 import pytest
 from conftest import Driver
-from disk_faults import said_once
+from disk_faults import has_one_outage_logged
 from harness import trial, until
 from test_keys_across_processes import Origin, Upgrade, past_window, upgrade
 
@@ -51,7 +51,7 @@
     assert file.read(NAME) == document
     assert [path.name for path in tmp_path.iterdir()] == [FILE_NAME], "a partial file would only take space"
     assert file.write(later) and file.read(NAME) == later
-    assert said_once(caplog, "upgrade: the hand-over")
+    assert has_one_outage_logged(caplog, "upgrade: the hand-over")
 
 
 def test_an_order_given_while_the_folder_takes_nothing_is_in_the_hand_over_once_it_does(
--- a/tests/leases/test_lease_server.py
+++ b/tests/leases/test_lease_server.py
@@ -7,7 +7,7 @@
 import threading
 
 import pytest
-from disk_faults import FAULTS, crashed, fault, said_once
+from disk_faults import FAULTS, disks_after_crash, fault, has_one_outage_logged
 
 from gladelane.lab.simdisk import Operation, SimDisk
 from gladelane.leases import token_store
@@ -50,18 +50,18 @@
             assert not (await single.claim("new", 1)).is_granted
             assert (await single.claim("held", 1, progress="during")).is_granted, "its token is stored"
         assert not (await single.claim("new", 2, "b")).is_granted
-        assert all(restarted(left).acceptor.tokens["held"] == 1 for left in crashed(disk))
+        assert all(restarted(left).acceptor.tokens["held"] == 1 for left in disks_after_crash(disk))
         disk.fault = None
         assert not (await single.claim("new", 2, "b")).is_granted, "a token is not granted a second time"
         assert (await single.claim("new", 3, "b")).is_granted
         assert (await single.claim("held", 1)).is_granted
-        for left in crashed(disk):
+        for left in disks_after_crash(disk):
             found = restarted(left)
             assert found.acceptor.tokens == {"held": 1, "new": 3}
             assert found.store.progress == {"held": ResourceProgress(1, "during")}
 
     asyncio.run(scene())
-    assert said_once(caplog, "keeper: numbers")
+    assert has_one_outage_logged(caplog, "keeper: numbers")
 
 
 def test_a_claim_that_is_repeated_while_its_token_is_being_stored_waits_for_it() -> None:
@@ -101,8 +101,8 @@
         disk.fault = None
         assert (await single.claim("last", 1)).is_granted
         assert [name for name in disk.names() if name.endswith(".snap")]
-        for left in crashed(disk):
+        for left in disks_after_crash(disk):
             assert len(restarted(left).acceptor.tokens) == 5
 
     asyncio.run(scene())
-    assert said_once(caplog, "keeper: snapshot")
+    assert has_one_outage_logged(caplog, "keeper: snapshot")
--- a/tests/purges/test_disk_faults.py
+++ b/tests/purges/test_disk_faults.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from disk_faults import FAULTS, crashed, fault, said_once
+from disk_faults import FAULTS, disks_after_crash, fault, has_one_outage_logged
 from harness import until
 from test_clocks import options
 from test_purge_log import TOKEN, running_server, send, tokens, unix_ms
@@ -57,13 +57,13 @@
             await until(lambda: one.store.can_store, WAIT_S)  # nobody asks for anything meanwhile
             assert await is_taking(one.port)
             assert (await send(one.port, "group:2", "key-2"))["seq"] == 2
-            for found in crashed(disk):
+            for found in disks_after_crash(disk):
                 back = PurgeLog("a", found, tokens(tmp_path), clock=unix_ms)
                 assert names(back) == {"group:1", "group:2"}
                 assert not back.active.low_watermark.open_losses() and back.epoch > one.epoch
 
     asyncio.run(scene())
-    assert said_once(caplog, "feed: purges")
+    assert has_one_outage_logged(caplog, "feed: purges")
 
 
 @pytest.mark.parametrize("kind", FAULTS)
@@ -107,7 +107,7 @@
             disk, answered = SimDisk(at, fault=fault_range), dict[str, Purge]()
             with pytest.raises(Crash):
                 asyncio.run(run_until_crash(disk, answered))
-            for found in crashed(disk):
+            for found in disks_after_crash(disk):
                 back = PurgeLog("a", found, tokens(tmp_path), clock=lambda: 1e12)
                 recovered = {purge.key: purge for purge in back.active.purges_after({})}
                 assert {key: recovered.get(key) for key in answered} == answered, (first, at)
@@ -140,7 +140,7 @@
             await until(lambda: names(b) == {"group:1", "group:2"}, WAIT_S)
             assert b.active.positions.covers(a.active.positions.vector())
             assert (await send(a.port, "group:3"))["seq"] == 3
-            for found in crashed(disk):
+            for found in disks_after_crash(disk):
                 assert names(PurgeLog("b", found, tokens(tmp_path), clock=unix_ms)) == {
                     "group:1",
                     "group:2",
@@ -149,7 +149,7 @@
             waiting.cancel()
 
     asyncio.run(scene())
-    assert said_once(caplog, "feed: purges")
+    assert has_one_outage_logged(caplog, "feed: purges")
 
 
 def test_a_peer_whose_purges_cannot_be_stored_for_long_is_left_and_resumed(tmp_path: Path) -> None:
@@ -180,12 +180,12 @@
             assert one.store.has_unsaved_start() and not await is_taking(one.port)
             disk.fault = None
             await until(lambda: one.store.can_store, WAIT_S)
-            for found in crashed(disk):
+            for found in disks_after_crash(disk):
                 back = PurgeLog("a", found, tokens(tmp_path), clock=unix_ms)
                 assert [loss.epoch for loss in back.active.low_watermark.open_losses()] == [one.epoch]
 
     asyncio.run(scene())
-    assert said_once(caplog, "feed: purges")
+    assert has_one_outage_logged(caplog, "feed: purges")
 
 
 def test_a_checkpoint_that_cannot_be_written_is_logged_once_and_written_later(
@@ -206,7 +206,7 @@
             await until(lambda: mark.read() == Checkpoint("a", one.epoch, 3), WAIT_S)
 
     asyncio.run(scene())
-    assert said_once(caplog, "feed: mark")
+    assert has_one_outage_logged(caplog, "feed: mark")
 
 
 def test_a_snapshot_that_cannot_be_stored_fails_no_purge_and_is_retried(
@@ -227,11 +227,11 @@
                 for group in range(8, 11):
                     await send(one.port, f"group:{group}")
                 await until(lambda: any(name.endswith(".snap") for name in disk.names()), WAIT_S)
-                for found in crashed(disk):
+                for found in disks_after_crash(disk):
                     assert len(PurgeLog("a", found, tokens(tmp_path), clock=unix_ms).active) == 11
 
     asyncio.run(scene())
-    assert said_once(caplog, "feed: snapshot of purges")
+    assert has_one_outage_logged(caplog, "feed: snapshot of purges")
 
 
 class Saves:
@@ -279,7 +279,7 @@
             disk.fault = None
             await saves.next()
             assert subscription.store.pending.is_empty()
-            for found in crashed(disk):
+            for found in disks_after_crash(disk):
                 restored = PurgeSubscription(options(tmp_path, one.port), Index(), unix_ms, found)
                 assert sorted(p.scope for p in restored.active.purges_after({})) == [
                     "group:1",
@@ -291,7 +291,7 @@
             await subscription.close()
 
     asyncio.run(scene())
-    assert said_once(caplog, "director: purges")
+    assert has_one_outage_logged(caplog, "director: purges")
 
 
 def test_a_director_with_a_failed_disk_closes_and_a_long_backlog_is_stored_in_parts(
@@ -325,11 +325,11 @@
             subscription.receive([Purge("a", 1, seq, unix_ms(), f"group:{seq}")])
             await subscription.store.save()
         assert any(name.endswith(".snap") for name in disk.names())
-        for found in crashed(disk):
+        for found in disks_after_crash(disk):
             assert len(PurgeSubscription(options(tmp_path, 1), Index(), unix_ms, found).active) == 11
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(log_compaction, "SNAPSHOT_AFTER", 5)
         patch.setattr(log_compaction, "SNAPSHOT_RETRY_AFTER", 2)
         asyncio.run(scene())
-    assert said_once(caplog, "director: snapshot of purges")
+    assert has_one_outage_logged(caplog, "director: snapshot of purges")
--- a/tests/storage/test_compaction.py
+++ b/tests/storage/test_compaction.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 import pytest
-from disk_faults import crashed, fault, said_once
+from disk_faults import disks_after_crash, fault, has_one_outage_logged
 
 from gladelane.lab.simdisk import Operation, SimDisk
 from gladelane.storage.compaction import LogCompaction
@@ -38,7 +38,7 @@
     assert compaction.is_due
     write(compaction, b"state")
     assert not compaction.is_due and compaction.record_count == 0
-    for found in (recover(left)[1] for left in crashed(disk)):
+    for found in (recover(left)[1] for left in disks_after_crash(disk)):
         assert found.snapshot == b"state" and not found.records
 
 
@@ -60,4 +60,4 @@
     disk.fault = None
     write(compaction, b"state")
     assert not compaction.is_due
-    assert said_once(caplog, "snapshot")
+    assert has_one_outage_logged(caplog, "snapshot")
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -160,7 +160,7 @@
     for name in names:
         if name != names[1]:
             incomplete.put(name, disk.read(name))
-    with pytest.raises(CorruptLogError, match="a segment lacks"):
+    with pytest.raises(CorruptLogError, match="a segment is missing"):
         recover(incomplete)
     log.snapshot(b"state")
     (name,) = disk.names()
--- a/tests/storage/test_stored_forms.py
+++ b/tests/storage/test_stored_forms.py
@@ -87,7 +87,7 @@
     router, keys = Router(settings(), 2), KeyWindows(10_000.0, 100)
     router.handle(NOW_MS + 500.0, Members(ListKind.COMPLETE, members()))
     store = StateStore(stored / "learnt", DIRECTOR, router, lambda: NOW_MS + 500.0, 1_000.0, 60_000.0)
-    store.take_over(keys)
+    store.restore(keys)
     assert store.is_warm and len(router.objects) == 5
     for key in (f"key-{n}" for n in range(3)):  # when it ran is not known for sure: it may not be tried again
         ran_ms, server = keys.first_attempt(key, NOW_MS + 500.0)
