--- a/gladelane/deployment/__init__.py
+++ b/gladelane/deployment/__init__.py
@@ -1,10 +1,10 @@
 """The settings of one deployment that the router, the director and the simulator's adapter use: classes,
 kinds of servers, limits and rules.
 
-`Settings.read` checks each value alone and against the others, by the kinds of values in `checks`. The names
-and enumerated words are those of this program; `wire` translates from the platform's file. Times are in
-milliseconds. All modules are pure. The settings are defined here rather than in a module of their own, so
-that the package loads no more modules at the start of a director than it needs.
+`Settings.read` checks each value by the value types in `checks`, and then against the other values. Keys and
+enumerated values have this program's names; `wire` translates them from the platform's file. Times are in
+milliseconds. All modules are pure. The settings are defined here and not in a separate module, so that a
+starting director loads fewer modules.
 """
 
 from __future__ import annotations
@@ -28,18 +28,20 @@
     read_object,
 )
 
-# The upper bounds are there to catch wrong units and typing errors, not to limit large deployments.
-MOST_MS = 31_536_000_000.0  # a year
-MOST_COUNT = 1_000_000_000.0  # of directors, attempts, open requests
-MOST_FACTOR = 1_000_000.0  # priority weights and multiples of a rate
-MOST_KB_PER_S = 1e12
-REPORT_FIELDS_MOST = 16  # the platform has at most four today; the rest is reserved for new ones
+# The upper bounds detect wrong units and typing errors; they are not meant to limit large deployments.
+MAX_MS = 31_536_000_000.0  # a year
+MAX_COUNT = 1_000_000_000.0  # of directors, attempts, open requests
+MAX_FACTOR = 1_000_000.0  # priority weights and multiples of a rate
+MAX_KB_PER_S = 1e12
+MAX_REPORT_FIELDS = 16  # the platform has at most four today; the others are reserved for new fields
 
 
 class Effect(Enum):
-    """The effect of executing a request twice. SAFE requests are idempotent. KEYED requests carry an
-    idempotency key, by which a group of servers drops repeats within a window. UNSAFE requests must not be
-    repeated."""
+    """Whether a request may be executed twice.
+
+    SAFE requests are idempotent. KEYED requests carry an idempotency key, by which a group of servers drops
+    repeats within a window. UNSAFE requests must not be repeated.
+    """
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -48,8 +50,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSpec:
-    """One class of requests: `worth` is its priority weight, `late_worth` the part of that which an answer
-    after the latency objective `aim_ms` still earns; `fresh_ms` and `grace_ms` bound the age of copies."""
+    """One class of requests.
+
+    `worth` is its priority weight, and `late_worth` the share of it that an answer still earns after the
+    latency objective `aim_ms`. `window_ms` is how long servers recognize a repeated idempotency key, and
+    `group` which servers share that knowledge. `fresh_ms` and `grace_ms` bound the age of copies.
+    """
 
     name: str
     effect: Effect
@@ -65,28 +71,28 @@
     grace_ms: float
     parts: bool
     cacheable: bool
-    keyless: bool = False  # KEYED, but requests may lack the key: true while new settings replace old ones
+    keyless: bool = False  # KEYED requests may lack the key; true while new settings replace old ones
 
     def aim_for(self, size_kb: float, flow_kb_per_s: float) -> float:
         """The latency objective in ms for an answer of `size_kb`. It grows with the transfer time, up to the
         deadline; an unknown size or rate, given as 0, adds nothing."""
-        work = size_kb / flow_kb_per_s * 1000.0 if flow_kb_per_s else 0.0
-        return min(self.aim_ms + self.aim_stretch * work, self.deadline_ms)
+        transfer_ms = size_kb / flow_kb_per_s * 1000.0 if flow_kb_per_s else 0.0
+        return min(self.aim_ms + self.aim_stretch * transfer_ms, self.deadline_ms)
 
 
 _FLAG, _NAME = Flag(), Text()
-_MS, _MS_ABOVE_0 = Number(0, MOST_MS), Number(0, MOST_MS, above=True)
+_MS, _MS_ABOVE_0 = Number(0, MAX_MS), Number(0, MAX_MS, exclusive_min=True)
 _SHARE = Number(0, 1)
-_FACTOR = Number(0, MOST_FACTOR)
-_RATE = Number(0, MOST_KB_PER_S)
-_COUNT, _COUNT_FROM_1 = Number(0, MOST_COUNT, integer=True), Number(1, MOST_COUNT, integer=True)
+_FACTOR = Number(0, MAX_FACTOR)
+_RATE = Number(0, MAX_KB_PER_S)
+_COUNT, _COUNT_FROM_1 = Number(0, MAX_COUNT, integer=True), Number(1, MAX_COUNT, integer=True)
 
 _FIELDS: Mapping[str, Field] = {
     "me": Field(_COUNT),
     "proxies": Field(_COUNT_FROM_1),
     "zone": Field(_NAME),
     "origin_kind": Field(_NAME),
-    "parent_kind": Field(Text(least=0), ""),  # empty: there are no parents
+    "parent_kind": Field(Text(min_length=0), ""),  # empty: there are no parents
     "subscribe": Field(_FLAG, False),
     "ask_within_ms": Field(_MS, 10000.0),
     "reports": Field(Choice(("inline", "probe", "none")), "none"),
@@ -140,12 +146,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The facts of one deployment. Create it with `Settings.read`, which ignores unknown keys.
+    """The settings of one deployment. Create them with `Settings.read`, which ignores unknown keys.
 
     The router does not use hub_of, inlet_kb_per_s, report_fields, reports, peers_fill, ask_within_ms, probes,
-    messages, max_open, connect_timeout_ms, drain_grace_ms (a draining server gets no requests from
-    the moment it is marked), answer_grace_ms, origin_fall_multiple, origin_fall_ms and purge_grace_ms (a
-    purge applies at once), nor late_worth, stream, grace_ms and parts of a class."""
+    messages, max_open, connect_timeout_ms, drain_grace_ms (a server gets no requests as soon as it is
+    draining), answer_grace_ms, origin_fall_multiple, origin_fall_ms and purge_grace_ms (a purge applies
+    immediately), nor late_worth, stream, grace_ms and parts of a class."""
 
     classes: Mapping[str, ClassSpec]
     zones: tuple[str, ...]
@@ -196,7 +202,7 @@
         """Checks and converts `raw`. Raises BadSetting, whose key is the path in `raw`."""
         values = read_fields(raw, _FIELDS)
         zones = _read_zones(raw, values["zone"])
-        count = len(zones)
+        zone_count = len(zones)
         if values["me"] >= values["proxies"]:
             expected = f"a number below that of the directors, {values['proxies']}"
             raise BadSetting("me", values["me"], expected)
@@ -205,35 +211,37 @@
         return cls(
             classes=MappingProxyType(_read_classes(raw)),
             zones=zones,
-            hub_of=read_list(raw.get("hub_of"), Number(0, count - 1, integer=True), "hub_of", count, "zone"),
-            seats_by_zone=read_list(raw.get("seats_by_zone"), _COUNT, "seats_by_zone", count, "zone"),
-            inlet_kb_per_s=read_list(raw.get("inlet_kb_per_s"), _RATE, "inlet_kb_per_s", count, "zone"),
+            hub_of=read_list(
+                raw.get("hub_of"), Number(0, zone_count - 1, integer=True), "hub_of", zone_count, "zone"
+            ),
+            seats_by_zone=read_list(raw.get("seats_by_zone"), _COUNT, "seats_by_zone", zone_count, "zone"),
+            inlet_kb_per_s=read_list(raw.get("inlet_kb_per_s"), _RATE, "inlet_kb_per_s", zone_count, "zone"),
             report_fields=_read_report_fields(raw),
             **values,
         )
 
-    def class_named(self, name: str) -> ClassSpec:
+    def get_class(self, name: str) -> ClassSpec:
         """The class with this name. Raises ValueError if there is none."""
         if name not in self.classes:
             raise ValueError(f"unknown class {name!r}")
         return self.classes[name]
 
-    def known_zone(self, name: str) -> str:
+    def check_zone(self, name: str) -> str:
         """Returns `name` if it is the name of a listed zone. Raises ValueError otherwise."""
         if name not in self.zones:
             raise ValueError(f"unknown zone {name!r}")
         return name
 
 
-def _read_zones(raw: Mapping[str, Any], own: str) -> tuple[str, ...]:
+def _read_zones(raw: Mapping[str, Any], own_zone: str) -> tuple[str, ...]:
     if not raw.get("zones"):
         raise BadSetting("zones", raw.get("zones", MISSING), "a list of at least one zone")
     zones = read_list(raw["zones"], _NAME, "zones")
-    for place, zone in enumerate(zones):
-        if zone in zones[:place]:
-            raise BadSetting(f"zones[{place}]", zone, "a name that no other zone has")
-    if own not in zones:
-        raise BadSetting("zone", own, "the name of a listed zone")
+    for index, zone in enumerate(zones):
+        if zone in zones[:index]:
+            raise BadSetting(f"zones[{index}]", zone, "a name that no other zone has")
+    if own_zone not in zones:
+        raise BadSetting("zone", own_zone, "the name of a listed zone")
     return zones
 
 
@@ -242,17 +250,17 @@
     if not isinstance(rows, (list, tuple)) or not rows:
         raise BadSetting("classes", rows, "a list of at least one class")
     classes: dict[str, ClassSpec] = {}
-    for place, row in enumerate(rows):
-        values = read_fields(read_object(row, f"classes[{place}]"), _CLASS_FIELDS, f"classes[{place}]")
+    for index, row in enumerate(rows):
+        values = read_fields(read_object(row, f"classes[{index}]"), _CLASS_FIELDS, f"classes[{index}]")
         name = values["name"]
         if name in classes:
-            raise BadSetting(f"classes[{place}].name", name, "a name that no other class has")
+            raise BadSetting(f"classes[{index}].name", name, "a name that no other class has")
         classes[name] = ClassSpec(**{**values, "effect": Effect(values["effect"])})
     return classes
 
 
 def _read_report_fields(raw: Mapping[str, Any]) -> tuple[str, ...]:
     names = read_list(raw.get("report_fields"), _NAME, "report_fields")
-    if len(names) > REPORT_FIELDS_MOST:
-        raise BadSetting("report_fields", names, f"{REPORT_FIELDS_MOST} names at the most")
+    if len(names) > MAX_REPORT_FIELDS:
+        raise BadSetting("report_fields", names, f"{MAX_REPORT_FIELDS} names at the most")
     return names
--- a/gladelane/deployment/wire.py
+++ b/gladelane/deployment/wire.py
@@ -1,7 +1,7 @@
-"""Reads settings in the format of the simulator's wire and of GW_CONFIG into `deployment.Settings`. Pure.
+"""Reads settings in the format of the simulator's protocol and of GW_CONFIG into `deployment.Settings`. Pure.
 
-The director and the simulator's adapter share it. Errors name the path in the file: keys that `Settings.read`
-reports under this program's names are translated back.
+The director and the simulator's adapter both use it. Errors have the path in the file: keys that
+`Settings.read` reports by this program's names are translated back.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
     Choice,
     Field,
     Flag,
-    Kind,
     Number,
     Text,
+    ValueType,
     read_fields,
     read_list,
     read_object,
     read_value,
 )
 
-#: key of `Settings` -> enumerated word in the file -> value in `Settings`
-_WORDS: dict[str, dict[str, Any]] = {
+#: key of `Settings` -> enumerated value in the file -> value in `Settings`
+_ENUM_VALUES: dict[str, dict[str, Any]] = {
     "effect": {"retryable": "safe", "dedup": "keyed", "fragile": "unsafe"},
     "reports": {"inline": "inline", "on_probe": "probe", "off": "none"},
     "notes": {"all": "all", "hit": "hit", "off": "none"},
@@ -78,7 +78,7 @@
     "purge_grace_ms": "family_info.notice_time_ms",
     "purge_done_ms": "family_info.gone_everywhere_ms",
 }
-#: the same for kinds of servers, which the file gives as an index into `kinds` and `Settings` by name
+#: the same for kinds of servers: the file has an index into the list `kinds`, `Settings` has the name
 _KIND_PATHS = {"origin_kind": "family_info.store_kind", "parent_kind": "family_info.upper_kind"}
 _CLASS_KEYS = {
     "name": "name",
@@ -92,8 +92,8 @@
     "late_worth": "late_worth",
     "stream": "stream",
 }
-#: key of a class -> the list in `family_info` that has one value per class
-_CLASS_ROWS = {
+#: key of a class -> the list in `family_info` that has one value for each class
+_CLASS_LISTS = {
     "fresh_ms": "good_for_ms",
     "grace_ms": "stale_for_ms",
     "parts": "segmented",
@@ -101,11 +101,11 @@
 }
 #: the objects in the file that contain the paths above
 _SECTIONS = ("family_info", "limits", "rules", "report")
-#: A default for these could break a rule unnoticed: a write would be cached as if it were a copy, a copy
-#: would be served although it is too old, or a purge would expire while old copies still exist. They are
-#: therefore required here, although `Settings.read` has defaults for them.
-_NEEDED_LISTS = ("pass_on", "good_for_ms")
-_NEEDED = {"gone_everywhere_ms": Field(Number())}
+#: `Settings.read` has defaults for these, but a default could break a rule unnoticed: the answer to a write
+#: would be cached like a copy, a copy would be served although it is too old, or a purge would expire while
+#: old copies still exist. They are therefore required here.
+_REQUIRED_LISTS = ("pass_on", "good_for_ms")
+_REQUIRED_FIELDS = {"gone_everywhere_ms": Field(Number())}
 _CLASS_KEY = re.compile(r"classes\[([0-9]+)\]\.(\w+)")
 
 
@@ -113,85 +113,92 @@
     """Reads the settings of a decoded file. Raises BadSetting, whose key is the path in `raw`."""
     fields = read_object(raw, "")
     for section in _SECTIONS:
-        if fields.get(section) is not None or section != "report":  # optional: without reports
+        if fields.get(section) is not None or section != "report":  # `report` may be absent
             read_object(fields.get(section), section)
-    plain = {key: _plain(key, _at(fields, path), path) for key, path in _PATHS.items()}
-    plain.update(_kinds(fields))
+    values = {key: _translate_value(key, _value_at(fields, path), path) for key, path in _PATHS.items()}
+    values.update(_read_kinds(fields))
     rows = fields.get("classes")
-    plain["classes"] = _classes(fields, rows) if isinstance(rows, list) and rows else rows
+    values["classes"] = _translate_classes(fields, rows) if isinstance(rows, list) and rows else rows
     try:
-        settings = Settings.read(plain)
+        settings = Settings.read(values)
     except BadSetting as error:
-        key = _file_key(error.key)
-        found = _at(fields, key) if key in (*_PATHS.values(), *_KIND_PATHS.values()) else error.found
+        key = _path_in_file(error.key)
+        found = _value_at(fields, key) if key in (*_PATHS.values(), *_KIND_PATHS.values()) else error.found
         raise BadSetting(key, MISSING if found is None else found, error.expected) from None
-    read_fields(fields["family_info"], _NEEDED, "family_info")
+    read_fields(fields["family_info"], _REQUIRED_FIELDS, "family_info")
     return settings
 
 
-def _at(raw: Any, path: str) -> Any:
+def _value_at(raw: Any, path: str) -> Any:
     """The value at a path; None if there is none."""
     for step in path.split("."):
         raw = raw.get(step) if isinstance(raw, Mapping) else None
     return raw
 
 
-def _plain(key: str, value: Any, path: str) -> Any:
-    """Translates an enumerated word of the file to the value in `Settings`; other values are returned as they
-    are. Raises BadSetting for a word that the file format does not define."""
-    words = _WORDS.get(key)
-    if words is None or value is None:
+def _translate_value(key: str, value: Any, path: str) -> Any:
+    """Translates an enumerated value of the file to the value in `Settings`; other values are returned
+    unchanged. Raises BadSetting for an enumerated value that the file format does not define."""
+    translations = _ENUM_VALUES.get(key)
+    if translations is None or value is None:
         return value
-    return words[read_value(value, Choice(tuple(words)), path)]
+    return translations[read_value(value, Choice(tuple(translations)), path)]
 
 
-def _kinds(raw: Mapping[str, Any]) -> dict[str, str]:
+def _read_kinds(raw: Mapping[str, Any]) -> dict[str, str]:
     """The names of the kinds of the origin and of the parents; the latter is empty without parents."""
     kinds = read_list(raw.get("kinds"), Text(), "kinds")
     if not kinds:
         raise BadSetting("kinds", raw.get("kinds", MISSING), "a list of at least one kind")
-    place: dict[str, Kind] = {
+    index_types: dict[str, ValueType] = {
         "store_kind": Number(0, len(kinds) - 1, integer=True),
         "upper_kind": Number(-1, len(kinds) - 1, integer=True),
     }
-    fields = {"store_kind": Field(place["store_kind"]), "upper_kind": Field(place["upper_kind"], -1)}
-    places = read_fields(raw["family_info"], fields, "family_info")
-    upper = places["upper_kind"]
-    return {"origin_kind": kinds[places["store_kind"]], "parent_kind": kinds[upper] if upper >= 0 else ""}
+    fields = {
+        "store_kind": Field(index_types["store_kind"]),
+        "upper_kind": Field(index_types["upper_kind"], -1),
+    }
+    indices = read_fields(raw["family_info"], fields, "family_info")
+    parent_index = indices["upper_kind"]
+    return {
+        "origin_kind": kinds[indices["store_kind"]],
+        "parent_kind": kinds[parent_index] if parent_index >= 0 else "",
+    }
 
 
-def _classes(raw: Mapping[str, Any], rows: list[Any]) -> list[dict[str, Any]]:
-    lists = {key: _class_list(raw, key, name, len(rows)) for key, name in _CLASS_ROWS.items()}
+def _translate_classes(raw: Mapping[str, Any], rows: list[Any]) -> list[dict[str, Any]]:
+    lists = {key: _read_class_list(raw, key, name, len(rows)) for key, name in _CLASS_LISTS.items()}
     classes = []
-    for place, row in enumerate(rows):
-        fields = read_object(row, f"classes[{place}]")
+    for index, row in enumerate(rows):
+        fields = read_object(row, f"classes[{index}]")
         spec = {
-            key: _plain(key, fields.get(name), f"classes[{place}].{name}")
+            key: _translate_value(key, fields.get(name), f"classes[{index}].{name}")
             for key, name in _CLASS_KEYS.items()
         }
-        spec.update({key: values[place] for key, values in lists.items() if values})
+        spec.update({key: values[index] for key, values in lists.items() if values})
         classes.append(spec)
     return classes
 
 
-def _class_list(raw: Mapping[str, Any], key: str, name: str, count: int) -> tuple[Any, ...]:
+def _read_class_list(raw: Mapping[str, Any], key: str, name: str, class_count: int) -> tuple[Any, ...]:
+    """Reads the list `name` of `family_info`, which has the value of `key` for each class."""
     path = f"family_info.{name}"
-    values = _at(raw, path)
-    if not values and name in _NEEDED_LISTS:
+    values = _value_at(raw, path)
+    if not values and name in _REQUIRED_LISTS:
         raise BadSetting(
-            path, MISSING if values is None else values, f"a list of {count}, one for each class"
+            path, MISSING if values is None else values, f"a list of {class_count}, one for each class"
         )
-    kind: Kind = Number() if key.endswith("_ms") else Flag()
-    read = read_list(values, kind, path, count, "class")
-    return tuple(not value for value in read) if key == "cacheable" else read
+    value_type: ValueType = Number() if key.endswith("_ms") else Flag()
+    checked = read_list(values, value_type, path, class_count, "class")
+    return tuple(not value for value in checked) if key == "cacheable" else checked
 
 
-def _file_key(key: str) -> str:
+def _path_in_file(key: str) -> str:
     """The path in the file that a key of `Settings` was read from."""
-    if of_class := _CLASS_KEY.fullmatch(key):
-        place, name = of_class.groups()
-        if name in _CLASS_ROWS:
-            return f"family_info.{_CLASS_ROWS[name]}[{place}]"
-        return f"classes[{place}].{_CLASS_KEYS[name]}"
+    if class_key := _CLASS_KEY.fullmatch(key):
+        index, name = class_key.groups()
+        if name in _CLASS_LISTS:
+            return f"family_info.{_CLASS_LISTS[name]}[{index}]"
+        return f"classes[{index}].{_CLASS_KEYS[name]}"
     name, bracket, rest = key.partition("[")
     return {**_PATHS, **_KIND_PATHS}.get(name, name) + bracket + rest
--- a/gladelane/net/config.py
+++ b/gladelane/net/config.py
@@ -103,13 +103,13 @@
     ),
 }
 _LIMITS = {
-    "memory_mb": Field(Number(0, MOST_MEMORY_MB, above=True)),
+    "memory_mb": Field(Number(0, MOST_MEMORY_MB, exclusive_min=True)),
     "sockets": Field(Number(1, MOST_SOCKETS, integer=True)),
 }
 _CONN_LIMITS = {
     "max_streams": Field(Number(1, MOST_STREAMS, integer=True)),
-    "dial_timeout_ms": Field(Number(0, MOST_MS, above=True)),
-    "conn_idle_ms": Field(Number(0, MOST_MS, above=True)),
+    "dial_timeout_ms": Field(Number(0, MOST_MS, exclusive_min=True)),
+    "conn_idle_ms": Field(Number(0, MOST_MS, exclusive_min=True)),
 }
 
 
--- a/gladelane/routing/router.py
+++ b/gladelane/routing/router.py
@@ -172,7 +172,7 @@
     def on_request(self, request: Request) -> None:
         """Makes the first attempt of a request, or rejects it."""
         context = self.context
-        spec = context.settings.class_named(request.cls)
+        spec = context.settings.get_class(request.cls)
         work_ms = self.work.estimate(request, spec)
         self.shedding.learn_value(spec.name)
         aim_ms = min(spec.aim_ms + spec.aim_stretch * work_ms, spec.deadline_ms)
--- a/gladelane/settings/__init__.py
+++ b/gladelane/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The operator's file: JSON5 text in, checked values out. Read `operator.py` for every key.
+"""Reads and checks the operator's file, a JSON5 file. `operator.py` defines its keys.
 
-Nothing of this package is imported by a director that has no such file.
+A director without such a file does not import this package.
 """
--- a/gladelane/simhost.py
+++ b/gladelane/simhost.py
@@ -1,7 +1,7 @@
 """`python -m gladelane.simhost`: adapter between the simulator's line protocol and the events and actions of
 routers.
 
-One process hosts many routers. The module makes no decisions.
+One process hosts many routers. The adapter only translates messages; the routers make all decisions.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from .routing import events as api
 from .routing.router import Router
 
-_CODES = {
+_STATUSES = {
     "100": api.Status.OK,
     "301": api.Status.ERROR,
     "302": api.Status.FULL,
@@ -27,30 +27,30 @@
     "101": api.Status.MISS,
 }
 _STATES = {"IN": api.State.READY, "LAME": api.State.DRAINING, "OUT": api.State.GONE}
-_LISTS = {
+_LIST_KINDS = {
     "incr": api.ListKind.CHANGES,
     "total": api.ListKind.COMPLETE,
     "warm_copy": api.ListKind.REMEMBERED,
     "lost": api.ListKind.FAILED,
 }
-# --- reading --------------------------------------------------------------------------------------------
+# --- parsing of events ----------------------------------------------------------------------------------
 
 
-def _text(parts: list[str], place: int) -> str | None:
-    return parts[place] if place < len(parts) and parts[place] != "-" else None
+def _text(parts: list[str], index: int) -> str | None:
+    return parts[index] if index < len(parts) and parts[index] != "-" else None
 
 
-def _number(parts: list[str], place: int) -> float:
-    value = _text(parts, place)
+def _number(parts: list[str], index: int) -> float:
+    value = _text(parts, index)
     return float(value) if value is not None else 0.0
 
 
-def _integer(parts: list[str], place: int) -> int:
-    value = _text(parts, place)
+def _integer(parts: list[str], index: int) -> int:
+    value = _text(parts, index)
     return int(value) if value is not None else 0
 
 
-def _report(settings: api.Settings, value: str | None) -> dict[str, float] | None:
+def _parse_report(settings: api.Settings, value: str | None) -> dict[str, float] | None:
     if value is None:
         return None
     return {
@@ -60,8 +60,8 @@
     }
 
 
-def _request(parts: list[str], settings: api.Settings) -> api.Event:
-    settings.class_named(parts[2])
+def _parse_request(parts: list[str], settings: api.Settings) -> api.Event:
+    settings.get_class(parts[2])
     return api.Request(
         id=int(parts[1]),
         cls=parts[2],
@@ -75,25 +75,27 @@
     )
 
 
-def _outcome(parts: list[str], settings: api.Settings) -> api.Event:
+def _parse_outcome(parts: list[str], settings: api.Settings) -> api.Event:
     return api.Outcome(
         id=int(parts[1]),
-        status=_CODES[parts[2]],
+        status=_STATUSES[parts[2]],
         latency_ms=_number(parts, 3),
         note=api.Note(_integer(parts, 4)),
         attempt=_integer(parts, 5),
         store=parts[6],
         source_wait_ms=_number(parts, 7),
         over=_text(parts, 8) == "1",
-        report=_report(settings, _text(parts, 9)),
+        report=_parse_report(settings, _text(parts, 9)),
     )
 
 
-def _probed(parts: list[str], settings: api.Settings) -> api.Event:
-    return api.Probed(parts[1], _CODES[parts[2]], _number(parts, 3), _report(settings, _text(parts, 4)))
+def _parse_probe_result(parts: list[str], settings: api.Settings) -> api.Event:
+    return api.Probed(
+        parts[1], _STATUSES[parts[2]], _number(parts, 3), _parse_report(settings, _text(parts, 4))
+    )
 
 
-def _entry(parts: list[str]) -> api.Member:
+def _parse_store(parts: list[str]) -> api.Member:
     if parts[0] != "STORE":
         raise ValueError("expected a STORE line")
     return api.Member(
@@ -108,28 +110,28 @@
 
 
 _EVENTS: dict[str, Callable[[list[str], api.Settings], api.Event]] = {
-    "INBOUND": _request,
-    "ENDED": _outcome,
-    "PROBE_RESULT": _probed,
-    "TIMED_OUT_CLIENT": lambda p, _: api.ClientGone(int(p[1])),
-    "PEER": lambda p, _: api.Message(int(p[1]), bytes.fromhex(_text(p, 2) or "")),
-    "UNDER_WAY": lambda p, _: api.Started(int(p[1]), _integer(p, 2)),
-    "REPLACED": lambda p, _: api.Purge(_integer(p, 1), _integer(p, 2), _number(p, 3)),
-    "REMINDER": lambda p, _: api.Timer(p[1]),
+    "INBOUND": _parse_request,
+    "ENDED": _parse_outcome,
+    "PROBE_RESULT": _parse_probe_result,
+    "TIMED_OUT_CLIENT": lambda parts, _: api.ClientGone(int(parts[1])),
+    "PEER": lambda parts, _: api.Message(int(parts[1]), bytes.fromhex(_text(parts, 2) or "")),
+    "UNDER_WAY": lambda parts, _: api.Started(int(parts[1]), _integer(parts, 2)),
+    "REPLACED": lambda parts, _: api.Purge(_integer(parts, 1), _integer(parts, 2), _number(parts, 3)),
+    "REMINDER": lambda parts, _: api.Timer(parts[1]),
 }
 
-# --- writing --------------------------------------------------------------------------------------------
+# --- formatting of actions ------------------------------------------------------------------------------
 
 
-def _fetch(a: api.Fetch) -> str:
-    how = a.join * 1 + a.source_holds_only * 2 + a.parent_keeps_none * 4 + a.renew * 8
-    age = f"{a.max_age_ms:.3f}" if a.max_age_ms else "-"
-    return f"PULL_VIA {a.id} {a.timeout_ms:.3f} {a.store} {a.rank} {age} {a.source} {how}"
+def _format_fetch(a: api.Fetch) -> str:
+    flags = a.join * 1 + a.source_holds_only * 2 + a.parent_keeps_none * 4 + a.renew * 8
+    max_age = f"{a.max_age_ms:.3f}" if a.max_age_ms else "-"
+    return f"PULL_VIA {a.id} {a.timeout_ms:.3f} {a.store} {a.rank} {max_age} {a.source} {flags}"
 
 
 _ACTIONS: dict[type, Callable[[Any], str]] = {
     api.Lookup: lambda a: f"ISSUE {a.id} {a.store} {a.timeout_ms:.3f}",
-    api.Fetch: _fetch,
+    api.Fetch: _format_fetch,
     api.Cancel: lambda a: f"DROP_ATTEMPT {a.id} {a.attempt}",
     api.Probe: lambda a: f"ASK_LOAD {a.store}",
     api.Refuse: lambda a: f"REFUSE {a.id} {a.come_back_ms:.3f}",
@@ -143,99 +145,102 @@
 
 
 class Host:
-    """Reads batches and writes replies; each proxy number has its own router and settings."""
+    """Reads batches of messages and writes replies. Each director number has its own router and settings.
+
+    `line` is the last line that was read.
+    """
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self._lines = iter(source)
         self._sink = sink
         self._routers: dict[int, Router] = {}
         self._settings: dict[int, api.Settings] = {}
-        self._rosters: dict[int, tuple[api.Member, ...]] = {}
-        self._now = 0.0
-        self._proxy = -1
+        self._endpoint_lists: dict[int, tuple[api.Member, ...]] = {}
+        self._now_ms = 0.0
+        self._director = -1  # that the messages are for
         self._reply: list[str] = []
-        self._named = -1
+        self._reply_director = -1  # that the last actions in the reply are from
         self.line = ""
 
-    def _next(self) -> str | None:
+    def _next_line(self) -> str | None:
         line = next(self._lines, None)
         if line is not None:
             self.line = line.rstrip("\r\n")
         return None if line is None else self.line
 
     def serve(self) -> None:
-        """Serves batches until the input ends. Raises ValueError for a line that cannot be read."""
-        while (line := self._next()) is not None:
+        """Serves batches until the input ends. Raises ValueError for a malformed line."""
+        while (line := self._next_line()) is not None:
             parts = line.split(" ")
             if parts[0] != "CLOCK":
                 raise ValueError("expected a CLOCK line")
-            self._now = float(parts[1])
-            self._proxy = self._named = -1
+            self._now_ms = float(parts[1])
+            self._director = self._reply_director = -1
             self._reply = []
-            self._batch()
+            self._read_batch()
             self._sink.write("\n".join([*self._reply, "DONE", ""]))
             self._sink.flush()
 
-    def _batch(self) -> None:
-        while (line := self._next()) != "YOUR_TURN":
+    def _read_batch(self) -> None:
+        while (line := self._next_line()) != "YOUR_TURN":
             if line is None:
                 raise ValueError("the input ends within a batch")
             parts = line.split(" ")
             if parts[0] == "ABOUT":
-                self._proxy = int(parts[1])
+                self._director = int(parts[1])
             elif parts[0] == "REGISTER":
-                self._register(int(parts[1]), int(parts[2]))
+                self._read_endpoint_list(int(parts[1]), int(parts[2]))
             elif parts[0] == "BORN":
                 _, seed, text = line.split(" ", 2)
                 settings = settings_from_wire(json.loads(text))
-                self._settings[self._proxy] = settings
-                self._routers[self._proxy] = Router(settings, int(seed))
+                self._settings[self._director] = settings
+                self._routers[self._director] = Router(settings, int(seed))
             elif parts[0] == "DOWN":
-                self._routers.pop(self._proxy, None)
+                self._routers.pop(self._director, None)
             else:
-                self._event(parts)
+                self._handle_event(parts)
 
-    def _register(self, number: int, count: int) -> None:
+    def _read_endpoint_list(self, number: int, count: int) -> None:
         entries = []
         for _ in range(count):
-            line = self._next()
+            line = self._next_line()
             if line is None:
                 raise ValueError("the input ends within a list")
-            entries.append(_entry(line.split(" ")))
-        self._rosters[number] = tuple(entries)
+            entries.append(_parse_store(line.split(" ")))
+        self._endpoint_lists[number] = tuple(entries)
 
-    def _event(self, parts: list[str]) -> None:
+    def _handle_event(self, parts: list[str]) -> None:
         if parts[0] not in _EVENTS and parts[0] != "VIEW":
             raise ValueError("unknown message")
-        router = self._routers.get(self._proxy)
+        router = self._routers.get(self._director)
         if router is None:
             return
-        settings = self._settings[self._proxy]
+        settings = self._settings[self._director]
         if parts[0] == "VIEW":
-            kind = _LISTS[parts[3]]
-            stores = () if kind is api.ListKind.FAILED else self._rosters[int(parts[1])]
+            kind = _LIST_KINDS[parts[3]]
+            stores = () if kind is api.ListKind.FAILED else self._endpoint_lists[int(parts[1])]
             for store in stores:
-                settings.known_zone(store.zone)
+                settings.check_zone(store.zone)
             event: api.Event = api.Members(kind, stores)
         else:
             event = _EVENTS[parts[0]](parts, settings)
-        actions = router.handle(self._now, event)
-        if actions and self._named != self._proxy:
-            self._named = self._proxy
-            self._reply.append(f"AT {self._proxy}")
+        actions = router.handle(self._now_ms, event)
+        if actions and self._reply_director != self._director:
+            self._reply_director = self._director
+            self._reply.append(f"AT {self._director}")
         self._reply.extend(_ACTIONS[type(action)](action) for action in actions)
 
 
 def main() -> int:
-    """Serves standard input and output. The exit code is 1 after an error, which is also reported as a line
-    of the output."""
+    """Serves standard input and output. After an error the exit code is 1, and the output has a line with the
+    error."""
     host = Host(sys.stdin, sys.stdout)
     try:
         host.serve()
-    except Exception as error:  # any error ends the run with one message and no partial reply
+    except Exception as error:  # any error ends the run with one message and without a partial reply
         print(f"simhost: {type(error).__name__}: {error}; at line: {host.line[:300]}", file=sys.stderr)
-        words = f"{type(error).__name__}: {error}".replace("\n", " ")[:300]
-        print(f"BUG {words}\nDONE", flush=True)
+        message = f"{type(error).__name__}: {error}".replace("\n", " ")[:300]
+        print(f"BUG {message}\nDONE", flush=True)
         return 1
     return 0
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -84,7 +84,7 @@
 
     def ask(self, cls: str = "film", object: int = 1, part: int = 0, **more: Any) -> list[Action]:
         self.ids += 1
-        deadline = self.now + self.settings.class_named(cls).deadline_ms
+        deadline = self.now + self.settings.get_class(cls).deadline_ms
         return self.tell(
             Request(self.ids, cls, object, deadline, more.pop("size_kb", 400.0), part=part, **more)
         )
--- a/tests/test_interface.py
+++ b/tests/test_interface.py
@@ -39,9 +39,9 @@
 def test_unknown_keys_are_passed_over_and_unknown_names_are_errors() -> None:
     known = settings(colour="blue")
     with pytest.raises(ValueError, match="unknown class 'song'"):
-        known.class_named("song")
+        known.get_class("song")
     with pytest.raises(ValueError, match="unknown zone 'moon'"):
-        known.known_zone("moon")
+        known.check_zone("moon")
 
 
 ROUTING = sorted((ROOT / "gladelane" / "routing").glob("*.py"))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -191,7 +191,7 @@
         elif isinstance(a, (Fetch, Lookup)):
             assert a.id in self.open and a.timeout_ms > 0
             request = self.open[a.id]
-            spec = d.settings.class_named(request.cls)
+            spec = d.settings.get_class(request.cls)
             others = [k for k in self.out if k[0] == a.id]
             assert d.settings.second_copies or not others
             if spec.effect is Effect.UNSAFE:
@@ -212,7 +212,7 @@
             self.out[(a.id, number)] = (a.store, now)
         elif isinstance(a, (Refuse, Fail)):
             assert a.id in self.open, "a second final answer"
-            spec = d.settings.class_named(self.open[a.id].cls)
+            spec = d.settings.get_class(self.open[a.id].cls)
             ran = a.id in self.maybe or any(k[0] == a.id for k in self.out)
             if isinstance(a, Refuse):
                 assert spec.effect is not Effect.UNSAFE or not ran
--- a/tests/test_settings_files.py
+++ b/tests/test_settings_files.py
@@ -185,7 +185,7 @@
 
     paths = {f"settings.{path}" for path in reader._PATHS.values()}
     paths |= {f"settings.classes[0].{name}" for name in reader._CLASS_KEYS.values()}
-    paths |= {f"settings.family_info.{name}" for name in reader._CLASS_ROWS.values()}
+    paths |= {f"settings.family_info.{name}" for name in reader._CLASS_LISTS.values()}
     assert paths <= FIELDS.keys()
 
 
