--- a/tests/data/stored/make.py
+++ b/tests/data/stored/make.py
@@ -1,7 +1,7 @@
-"""Writes one folder of each stored form beside this script, with the program as it is now.
+"""Writes one folder of each stored form next to this script, by the present version of the program.
 
-The folders are committed: `tests/storage/test_stored_forms.py` has the present program read what an earlier
-one wrote. Run this only when a form is added, and commit the new folder alone:
+The folders are committed, and `tests/storage/test_stored_forms.py` checks that later versions can read them.
+Run this only when a form is added, and commit only the new folder:
 
     python tests/data/stored/make.py NAME...
 """
@@ -41,13 +41,13 @@
 
 NOW_MS = 1_700_000_000_000.0
 DIRECTOR = "director-0"
-START = 1_700_000_000_000
+START_MS = 1_700_000_000_000
 VIEW = View(
     list_source="board", rev=3, list="digest", purges="feed:1=2", settings="s", operator="o", program="p"
 )
 
 
-def busy_router() -> Router:
+def make_busy_router() -> Router:
     router = Router(settings(), 1)
     router.handle(NOW_MS - 2_000.0, Members(ListKind.COMPLETE, members()))
     for number in range(30):
@@ -57,7 +57,7 @@
 
 
 def make_log(folder: Path) -> None:
-    """A snapshot, two segments behind it, and half of a record."""
+    """A snapshot, two segments after it, and a torn record."""
     disk = Folder(folder)
     log, _ = recover(disk, segment_bytes=200)
     for number in range(12):
@@ -71,58 +71,64 @@
 
 def make_leases(folder: Path) -> None:
     now_ms = [0.0]
-    part = LeaseServer("lease-server", Folder(folder), str, lambda: now_ms[0], 100.0, [], is_first_start=True)
+    server = LeaseServer(
+        "lease-server", Folder(folder), str, lambda: now_ms[0], 100.0, [], is_first_start=True
+    )
     now_ms[0] = 1_000.0
 
-    async def ask(number: int, progress: str) -> None:
-        asks = LeaseRequestBatch(
-            [LeaseRequest("orders-001", DIRECTOR, number, 50.0)], {"orders-001": progress}
+    async def request_lease(token: int, progress: str) -> None:
+        batch = LeaseRequestBatch(
+            [LeaseRequest("orders-001", DIRECTOR, token, 50.0)], {"orders-001": progress}
+        )
+        await server._on_requests(
+            HttpRequest("POST", "/leases", "", {}, msgspec.json.encode(batch)), "caller"
         )
-        await part._on_requests(HttpRequest("POST", "/leases", "", {}, msgspec.json.encode(asks)), "caller")
         now_ms[0] += 1_000.0
 
-    for number in (1, 2, 5):
-        asyncio.run(ask(number, f"progress under {number}"))
-    asyncio.run(part.close())
+    for token in (1, 2, 5):
+        asyncio.run(request_lease(token, f"progress under {token}"))
+    asyncio.run(server.close())
 
 
 def make_audit(folder: Path) -> None:
-    collector = AuditServer("feed", Folder(folder), str, lambda: NOW_MS)
-    trail = ActivityLog(DIRECTOR, START, view_id(VIEW), {"page": 1.0}, NOW_MS - 9_000.0)
+    server = AuditServer("feed", Folder(folder), str, lambda: NOW_MS)
+    activity_log = ActivityLog(DIRECTOR, START_MS, view_id(VIEW), {"page": 1.0}, NOW_MS - 9_000.0)
     for number in range(3):
         for _ in range(number + 1):
-            trail.record_answer("page", trail.record_attempt("page"))
-        trail.close_interval(view_id(VIEW), {"page": [number + 1, 0, 0]}, NOW_MS - 8_000.0 + 1_000.0 * number)
+            activity_log.record_answer("page", activity_log.record_attempt("page"))
+        activity_log.close_interval(
+            view_id(VIEW), {"page": [number + 1, 0, 0]}, NOW_MS - 8_000.0 + 1_000.0 * number
+        )
 
-    async def report() -> None:
-        collector.start()
+    async def send_report() -> None:
+        server.start()
         views = {view_id(VIEW): VIEW}
-        told = Report(DIRECTOR, START, "edge", NOW_MS, VIEW, trail.unreported(10), views)
-        await collector._on_report(HttpRequest("POST", "/reports", "", {}, msgspec.json.encode(told)), "")
-        word = msgspec.json.encode(ExpectedDigests("settings", ("s",), NOW_MS))
-        await collector._on_expect(HttpRequest("POST", "/fleet/expect", "", {}, word), "operator")
-        await collector.close()
+        report = Report(DIRECTOR, START_MS, "edge", NOW_MS, VIEW, activity_log.unreported(10), views)
+        await server._on_report(HttpRequest("POST", "/reports", "", {}, msgspec.json.encode(report)), "")
+        expected = msgspec.json.encode(ExpectedDigests("settings", ("s",), NOW_MS))
+        await server._on_expect(HttpRequest("POST", "/fleet/expect", "", {}, expected), "operator")
+        await server.close()
 
-    asyncio.run(report())
+    asyncio.run(send_report())
 
 
-def make_trail(folder: Path) -> None:
+def make_activity_log(folder: Path) -> None:
     store = ActivityLogStore(folder)
-    trail = ActivityLog(DIRECTOR, START, view_id(VIEW), {"page": 1.0}, NOW_MS - 9_000.0)
+    activity_log = ActivityLog(DIRECTOR, START_MS, view_id(VIEW), {"page": 1.0}, NOW_MS - 9_000.0)
     for number in range(4):
-        trail.record_answer("page", trail.record_attempt("page"))
-        span = trail.close_interval(
+        activity_log.record_answer("page", activity_log.record_attempt("page"))
+        interval = activity_log.close_interval(
             view_id(VIEW), {"page": [number + 1, 0, 0]}, NOW_MS - 8_000.0 + 1_000.0 * number
         )
-        checkpoint = trail.checkpoint({"page": [number + 1, 0, 0]}, NOW_MS)
-        page = LogPage(DIRECTOR, START, [span], {view_id(VIEW): VIEW}, checkpoint)
-        whole = LogPage(DIRECTOR, START, trail.intervals(), {view_id(VIEW): VIEW}, checkpoint)
-        assert store.write(page, [whole] if number == 1 else None)
+        checkpoint = activity_log.checkpoint({"page": [number + 1, 0, 0]}, NOW_MS)
+        page = LogPage(DIRECTOR, START_MS, [interval], {view_id(VIEW): VIEW}, checkpoint)
+        full_page = LogPage(DIRECTOR, START_MS, activity_log.intervals(), {view_id(VIEW): VIEW}, checkpoint)
+        assert store.write(page, [full_page] if number == 1 else None)
     store.close()
 
 
-def make_learnt(folder: Path) -> None:
-    store = StateStore(folder, DIRECTOR, busy_router(), lambda: NOW_MS, 1_000.0, 60_000.0)
+def make_learned_state(folder: Path) -> None:
+    store = StateStore(folder, DIRECTOR, make_busy_router(), lambda: NOW_MS, 1_000.0, 60_000.0)
     asyncio.run(store.write())
     for number in range(3):
         store.keys.write(f"key-{number}", NOW_MS + number, "root")
@@ -133,7 +139,7 @@
     folder.mkdir()
     document = Handover(DIRECTOR, NOW_MS, {"c1": NOW_MS - 5.0}, {"c2": NOW_MS - 4.0}, rev=3)
     document.keys = {"key": [KeyAttempt(NOW_MS - 3.0, "root")]}
-    document.learnt = take_snapshot(busy_router())
+    document.learnt = take_snapshot(make_busy_router())
     assert HandoverFile(str(folder)).write(document)
 
 
@@ -141,8 +147,8 @@
     "log": make_log,
     "leases": make_leases,
     "audit": make_audit,
-    "trail": make_trail,
-    "learnt": make_learnt,
+    "trail": make_activity_log,
+    "learnt": make_learned_state,
     "handover": make_handover,
 }
 
--- a/tests/storage/test_compaction.py
+++ b/tests/storage/test_compaction.py
@@ -1,4 +1,4 @@
-"""Logs that are replaced by snapshots, also where a snapshot cannot be stored."""
+"""Replacement of a log by snapshots, also if a snapshot cannot be stored."""
 
 from __future__ import annotations
 
@@ -16,39 +16,39 @@
 from gladelane.storage.outage import Outage
 
 Write = Callable[[LogCompaction, bytes], None]
-WAYS: list[Write] = [
+WRITE_METHODS: list[Write] = [
     lambda compaction, payload: asyncio.run(compaction.write(payload)),
     lambda compaction, payload: compaction.write_blocking(payload),
 ]
 
 
-def compaction_on(disk: SimDisk, retry_after_records: int) -> LogCompaction:
+def open_compaction(disk: SimDisk, retry_after_records: int) -> LogCompaction:
     log, found = recover(disk)
     outage = Outage(logging.getLogger("test"), "snapshot")
     return LogCompaction(log, outage, len(found.records), 5, retry_after_records)
 
 
-@pytest.mark.parametrize("write", WAYS)
-def test_a_snapshot_is_due_after_the_stated_records_and_replaces_the_log(write: Write) -> None:
+@pytest.mark.parametrize("write", WRITE_METHODS)
+def test_a_snapshot_is_due_after_the_configured_number_of_records_and_replaces_the_log(write: Write) -> None:
     disk = SimDisk()
-    compaction = compaction_on(disk, 0)
+    compaction = open_compaction(disk, 0)
     compaction.add(4)
     assert not compaction.is_due
     compaction.add(1)
     assert compaction.is_due
     write(compaction, b"state")
     assert not compaction.is_due and compaction.record_count == 0
-    for found in (recover(left)[1] for left in disks_after_crash(disk)):
+    for found in (recover(crashed_disk)[1] for crashed_disk in disks_after_crash(disk)):
         assert found.snapshot == b"state" and not found.records
 
 
-@pytest.mark.parametrize("write", WAYS)
+@pytest.mark.parametrize("write", WRITE_METHODS)
 @pytest.mark.parametrize("retry_after_records", [0, 2])
-def test_a_snapshot_that_fails_is_due_again_after_the_stated_records(
+def test_a_snapshot_that_fails_is_due_again_after_the_configured_number_of_records(
     write: Write, retry_after_records: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     disk = SimDisk()
-    compaction = compaction_on(disk, retry_after_records)
+    compaction = open_compaction(disk, retry_after_records)
     compaction.add(6)
     disk.fault = fault(errno.EIO, Operation.REPLACE)
     for _ in range(2):
--- a/tests/storage/test_files.py
+++ b/tests/storage/test_files.py
@@ -1,4 +1,4 @@
-"""Atomic replacement of a file while the disk fails."""
+"""Atomic replacement of files under disk faults, and empty files in a folder."""
 
 from __future__ import annotations
 
@@ -10,28 +10,31 @@
 from gladelane.storage.files import Folder, replace_file
 
 
-def test_a_file_whose_sync_failed_is_written_anew_as_another_file(
+def test_after_a_failed_sync_the_content_is_written_to_a_new_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    path, synced = tmp_path / "state", list[int]()
+    """A second sync of the same file may succeed although the kernel has dropped its unwritten pages."""
+    path, synced_inodes = tmp_path / "state", list[int]()
     replace_file(path, b"old")
 
-    def failing(descriptor: int) -> None:
-        synced.append(os.fstat(descriptor).st_ino)
-        if len(synced) == 1:
+    def fail_first_sync(descriptor: int) -> None:
+        synced_inodes.append(os.fstat(descriptor).st_ino)
+        if len(synced_inodes) == 1:
             raise OSError(5, "Input/output error")
 
-    monkeypatch.setattr(os, "fsync", failing)
+    monkeypatch.setattr(os, "fsync", fail_first_sync)
     with pytest.raises(OSError, match="Input/output"):
         replace_file(path, b"new")
     assert path.read_bytes() == b"old"
-    keeps_the_inode = (tmp_path / "state.half").open("rb")  # so that the next file cannot be given its number
+    open_temporary = (tmp_path / "state.half").open(
+        "rb"
+    )  # so that the next file cannot reuse its inode number
     replace_file(path, b"new")
-    keeps_the_inode.close()
-    assert path.read_bytes() == b"new" and synced[1] != synced[0]
+    open_temporary.close()
+    assert path.read_bytes() == b"new" and synced_inodes[1] != synced_inodes[0]
 
 
-def test_an_empty_file_is_made_as_on_a_simulated_disk(tmp_path: Path) -> None:
+def test_an_append_of_no_bytes_creates_an_empty_file(tmp_path: Path) -> None:
     folder = Folder(tmp_path)
     folder.append("state", b"")
     folder.replace("state", "other")
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -1,4 +1,5 @@
-"""The write-ahead log under crashes at every operation, damage at every byte, full disks and concurrent use."""
+"""The write-ahead log under crashes at every operation, damage at every byte, full disks and concurrent
+use."""
 
 from __future__ import annotations
 
@@ -25,24 +26,26 @@
 )
 
 ROOT = Path(__file__).parents[2]
-SEGMENT = 150  # small: a few records each
+SEGMENT_BYTES = 150  # small, so that a segment has only a few records
 
 
-def state(found: RecoveredLog) -> list[bytes]:
-    """Snapshots here hold the records before them, joined."""
-    before = found.snapshot.split(b";") if found.snapshot else []
-    return [*before, *found.records]
+def recovered_records(found: RecoveredLog) -> list[bytes]:
+    """All records. The snapshots of these tests consist of the records before them, joined by semicolons."""
+    snapshot_records = found.snapshot.split(b";") if found.snapshot else []
+    return [*snapshot_records, *found.records]
 
 
-class Work:
-    """Appends in batches of one to three, and a snapshot now and then. `committed` counts the committed records."""
+class Workload:
+    """Appends batches of one to three records, and writes a snapshot after every fourth batch.
+
+    `committed` is the number of committed records."""
 
     def __init__(self) -> None:
         self.history = [b"record %d " % n + b"x" * (n * 7 % 40) for n in range(24)]
         self.committed = 0
 
     def run(self, disk: Disk, policy: SyncPolicy) -> None:
-        log, _ = recover(disk, policy, SEGMENT)
+        log, _ = recover(disk, policy, SEGMENT_BYTES)
         batch = 0
         while self.committed < len(self.history):
             batch += 1
@@ -57,53 +60,59 @@
 
 def count_operations(policy: SyncPolicy) -> int:
     disk = SimDisk()
-    Work().run(disk, policy)
+    Workload().run(disk, policy)
     return disk.operations
 
 
 @pytest.mark.parametrize("policy", ["always", "never"])
-def test_a_crash_at_every_operation_leaves_a_prefix_with_all_that_was_committed(policy: SyncPolicy) -> None:
+def test_a_crash_at_every_operation_leaves_a_prefix_with_all_committed_records(policy: SyncPolicy) -> None:
     points = 0
-    for at in range(1, count_operations(policy) + 1):
+    for crash_at in range(1, count_operations(policy) + 1):
         for lost in Lost:
             for names_survive in (True, False):
-                disk, work = SimDisk(at), Work()
+                disk, workload = SimDisk(crash_at), Workload()
                 with pytest.raises(Crash):
-                    work.run(disk, policy)
-                left = disk.after_crash(lost, names_survive)
-                log, found = recover(left, policy, SEGMENT)
-                got = state(found)
-                assert got == work.history[: len(got)], (at, lost, names_survive)
-                assert policy == "never" or len(got) >= work.committed, (at, lost, names_survive)
+                    workload.run(disk, policy)
+                disk_after_crash = disk.after_crash(lost, names_survive)
+                log, found = recover(disk_after_crash, policy, SEGMENT_BYTES)
+                got = recovered_records(found)
+                assert got == workload.history[: len(got)], (crash_at, lost, names_survive)
+                assert policy == "never" or len(got) >= workload.committed, (crash_at, lost, names_survive)
                 assert log.next_index == len(got)
-                log.append(b"after")  # what was found can be built upon, and a second recovery finds the same
+                log.append(b"after")  # the log accepts new records, and a second recovery finds the same ones
                 log.commit()
-                assert state(recover(left, policy, SEGMENT)[1]) == [*got, b"after"]
+                assert recovered_records(recover(disk_after_crash, policy, SEGMENT_BYTES)[1]) == [
+                    *got,
+                    b"after",
+                ]
                 points += 1
     assert points > 400
 
 
 @pytest.mark.parametrize("policy", ["always"])
-def test_a_second_crash_during_recovery_costs_nothing_either(policy: SyncPolicy) -> None:
-    for at in range(1, count_operations(policy) + 1, 3):
-        disk, work = SimDisk(at), Work()
+def test_a_second_crash_during_recovery_loses_no_committed_record(policy: SyncPolicy) -> None:
+    for crash_at in range(1, count_operations(policy) + 1, 3):
+        disk, workload = SimDisk(crash_at), Workload()
         with pytest.raises(Crash):
-            work.run(disk, policy)
+            workload.run(disk, policy)
         recovery_crash_at = 0
         while True:
             recovery_crash_at += 1
-            left = disk.after_crash(Lost.HALF, True)
-            left.crash_at = recovery_crash_at
+            disk_after_crash = disk.after_crash(Lost.HALF, True)
+            disk_after_crash.crash_at = recovery_crash_at
             try:
-                recover(left, policy, SEGMENT)
+                recover(disk_after_crash, policy, SEGMENT_BYTES)
             except Crash:
-                got = state(recover(left.after_crash(Lost.ALL, False), policy, SEGMENT)[1])
-                assert got == work.history[: len(got)] and len(got) >= work.committed
+                got = recovered_records(
+                    recover(disk_after_crash.after_crash(Lost.ALL, False), policy, SEGMENT_BYTES)[1]
+                )
+                assert got == workload.history[: len(got)] and len(got) >= workload.committed
             else:
                 break
 
 
-def written(disk: SimDisk, count: int = 6) -> str:
+def write_segment(disk: SimDisk, count: int = 6) -> str:
+    """Writes a log of `count` records and returns the name of its only segment."""
     log, _ = recover(disk)
     for n in range(count):
         log.append(b"payload %d" % n)
@@ -112,18 +121,18 @@
     return name
 
 
-def test_every_damaged_byte_in_the_middle_is_an_error_with_its_place_and_never_a_shorter_log() -> None:
-    plain = SimDisk()
-    name = written(plain)
-    intact = plain.read(name)
+def test_a_damaged_byte_before_the_last_record_is_an_error_with_its_place_and_never_a_shorter_log() -> None:
+    intact_disk = SimDisk()
+    name = write_segment(intact_disk)
+    intact = intact_disk.read(name)
     last = intact.rindex(b"payload") - 22  # where the last record starts
-    for at in range(len(intact)):
+    for offset in range(len(intact)):
         disk = SimDisk()
-        disk.put(name, intact[:at] + bytes([intact[at] ^ 0x41]) + intact[at + 1 :])
-        if at < last:
+        disk.put(name, intact[:offset] + bytes([intact[offset] ^ 0x41]) + intact[offset + 1 :])
+        if offset < last:
             with pytest.raises(CorruptLogError, match=name) as caught:
                 recover(disk)
-            assert caught.value.offset <= at
+            assert caught.value.offset <= offset
         else:
             found = recover(disk)[1]
             assert (
@@ -134,9 +143,9 @@
 
 
 def test_a_torn_tail_is_truncated_at_every_length_and_reported() -> None:
-    plain = SimDisk()
-    name = written(plain)
-    intact = plain.read(name)
+    intact_disk = SimDisk()
+    name = write_segment(intact_disk)
+    intact = intact_disk.read(name)
     for size in range(len(intact)):
         disk = SimDisk()
         disk.put(name, intact[:size])
@@ -148,10 +157,10 @@
 
 
 def test_a_missing_segment_or_a_damaged_snapshot_is_an_error() -> None:
-    disk, work = SimDisk(), Work()
-    work.history = work.history[:12]
-    log, _ = recover(disk, segment_bytes=SEGMENT)
-    for payload in work.history:
+    disk, workload = SimDisk(), Workload()
+    workload.history = workload.history[:12]
+    log, _ = recover(disk, segment_bytes=SEGMENT_BYTES)
+    for payload in workload.history:
         log.append(payload)
         log.commit()
     names = disk.names()
@@ -164,19 +173,21 @@
         recover(incomplete)
     log.snapshot(b"state")
     (name,) = disk.names()
-    for at in range(disk.size(name)):
-        wrong = SimDisk()
-        wrong.put(name, bytes(b ^ (0x20 if n == at else 0) for n, b in enumerate(disk.read(name))))
+    for damaged_offset in range(disk.size(name)):
+        damaged = SimDisk()
+        damaged.put(
+            name, bytes(b ^ (0x20 if n == damaged_offset else 0) for n, b in enumerate(disk.read(name)))
+        )
         with pytest.raises(CorruptLogError):
-            recover(wrong)
+            recover(damaged)
 
 
 @settings(max_examples=200)
 @given(st.binary(max_size=300), st.booleans())
-def test_any_bytes_are_a_log_or_damaged(data: bytes, headed: bool) -> None:
+def test_any_bytes_give_a_log_or_a_corruption_error(data: bytes, has_header: bool) -> None:
     disk = SimDisk()
     name = "0000000000000000.log"
-    if headed:
+    if has_header:
         log, _ = recover(disk)
         log.append(b"x")
         log.commit()
@@ -187,7 +198,7 @@
     except CorruptLogError as error:
         assert 0 <= error.offset <= len(data)
     else:
-        assert len(found.records) >= headed
+        assert len(found.records) >= has_header
 
 
 def test_a_full_disk_rejects_commits_keeps_earlier_ones_and_resumes_once_there_is_space() -> None:
@@ -226,7 +237,7 @@
             log.commit()
     assert recover(disk.after_crash(Lost.ALL, False))[1].records == [b"a"]
     disk.fault = None
-    log.commit()  # the next sync says yes, also for pages that the last one dropped
+    log.commit()  # the next sync succeeds, also for pages that the failed one dropped
     log.append(b"c")
     log.commit()
     for lost in Lost:
@@ -242,51 +253,53 @@
     assert recover(disk.after_crash(Lost.NOTHING, True))[1].records == [b"a", b"b", b"c", b"d"]
 
 
-def test_an_append_a_commit_and_a_close_beside_a_commit_in_a_thread_wait_for_it() -> None:
-    # a task that is cancelled leaves its commit running: its number was stored twice, and recovery refused it
-    class Slow(SimDisk):
-        syncing, go, closed_in_sync = threading.Event(), threading.Event(), False
+def test_an_append_a_commit_and_a_close_wait_for_a_commit_in_another_thread() -> None:
+    """A cancelled task leaves its commit running in a thread. Without a lock, a second commit then stored a
+    record with the same index, and recovery rejected the log."""
+
+    class SlowDisk(SimDisk):
+        syncing, may_continue, closed_in_sync = threading.Event(), threading.Event(), False
 
         def sync(self, name: str) -> None:
             self.syncing.set()
-            assert self.go.wait(5.0)
+            assert self.may_continue.wait(5.0)
             super().sync(name)
             self.syncing.clear()
 
         def close(self) -> None:
             self.closed_in_sync = self.syncing.is_set()
 
-    disk = Slow()
+    disk = SlowDisk()
     log, _ = recover(disk)
     log.append(b"first")
     first = threading.Thread(target=log.commit)
     first.start()
     assert disk.syncing.wait(5.0)
-    done: list[int] = []
+    appended_indexes: list[int] = []
 
-    def second() -> None:
-        done.append(log.append(b"second"))
+    def append_commit_and_close() -> None:
+        appended_indexes.append(log.append(b"second"))
         log.commit()
         log.close()
 
-    beside = threading.Thread(target=second)
-    beside.start()
-    beside.join(0.05)
-    assert not done
-    disk.go.set()
+    second = threading.Thread(target=append_commit_and_close)
+    second.start()
+    second.join(0.05)
+    assert not appended_indexes
+    disk.may_continue.set()
     first.join(5.0)
-    beside.join(5.0)
-    assert done == [1] and not disk.closed_in_sync
+    second.join(5.0)
+    assert appended_indexes == [1] and not disk.closed_in_sync
     assert recover(disk)[1].records == [b"first", b"second"]
 
 
-def test_a_folder_keeps_what_a_simulated_disk_keeps(tmp_path: Path) -> None:
-    folder, disk, work = Folder(tmp_path / "a" / "b"), SimDisk(), Work()
-    work.run(folder, "always")
-    Work().run(disk, "always")
+def test_a_folder_stores_the_same_files_as_a_simulated_disk(tmp_path: Path) -> None:
+    folder, disk, workload = Folder(tmp_path / "a" / "b"), SimDisk(), Workload()
+    workload.run(folder, "always")
+    Workload().run(disk, "always")
     assert folder.names() == disk.names() and all(folder.read(n) == disk.read(n) for n in disk.names())
     folder.close()
-    assert state(recover(Folder(tmp_path / "a" / "b"))[1]) == work.history
+    assert recovered_records(recover(Folder(tmp_path / "a" / "b"))[1]) == workload.history
 
 
 def test_two_processes_cannot_open_one_folder(tmp_path: Path) -> None:
@@ -303,7 +316,7 @@
     assert subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=False).returncode == 0
 
 
-def test_a_folder_without_permission_is_an_error_of_its_own(tmp_path: Path) -> None:
+def test_a_path_below_a_file_and_a_folder_without_permission_are_errors(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("x")
     for path in (tmp_path / "file" / "below", tmp_path / "file"):
         with pytest.raises(OSError):
--- a/tests/storage/test_log_faults.py
+++ b/tests/storage/test_log_faults.py
@@ -1,5 +1,5 @@
-"""The write-ahead log under transient disk faults: each operation of a short workload fails in turn, alone or with
-those after it, and the process is killed or the power is cut at each later operation."""
+"""The write-ahead log under transient disk faults: each operation of a short workload fails in turn, alone or
+with those after it, and the process is killed or the power is cut at each later operation."""
 
 from __future__ import annotations
 
@@ -12,20 +12,22 @@
 from gladelane.storage.files import Disk
 from gladelane.storage.log import RecoveredLog, SyncPolicy, WriteAheadLog, recover
 
-SEGMENT_BYTES = 120  # small: two records or three
+SEGMENT_BYTES = 120  # small, so that a segment has two or three records
 SYNCS = frozenset({Operation.SYNC, Operation.SYNC_FOLDER})
 ROUNDS = 7
 
 
-def state(found: RecoveredLog) -> list[bytes]:
-    """Snapshots here hold the records before them, joined."""
-    before = found.snapshot.split(b";") if found.snapshot else []
-    return [*before, *found.records]
+def recovered_records(found: RecoveredLog) -> list[bytes]:
+    """All records. The snapshots of these tests consist of the records before them, joined by semicolons."""
+    snapshot_records = found.snapshot.split(b";") if found.snapshot else []
+    return [*snapshot_records, *found.records]
 
 
-class Work:
-    """Offers a batch of one or two records a round, and a snapshot now and then. What fails is offered again,
-    or in every third round dropped for good. `accepted`: what was committed; `offered`: all that ever was."""
+class Workload:
+    """Appends a batch of one or two records in each round, and writes a snapshot after every fourth round.
+
+    A failed commit is retried, except in every third round, where the batch is discarded. `accepted` has the
+    committed records, `offered` all records that were ever appended."""
 
     def __init__(self) -> None:
         self.accepted: list[bytes] = []
@@ -33,7 +35,7 @@
 
     def run(self, disk: Disk, policy: SyncPolicy, rounds: int = ROUNDS) -> WriteAheadLog:
         log, found = recover(disk, policy, SEGMENT_BYTES)
-        assert state(found) == self.accepted
+        assert recovered_records(found) == self.accepted
         for round_number in range(rounds):
             self.offer(log, round_number)
         return log
@@ -58,43 +60,43 @@
                 log.snapshot(b";".join(self.accepted))
 
 
-def recovered(disk: SimDisk, policy: SyncPolicy) -> list[bytes]:
-    return state(recover(disk, policy, SEGMENT_BYTES)[1])
+def recover_records(disk: SimDisk, policy: SyncPolicy) -> list[bytes]:
+    return recovered_records(recover(disk, policy, SEGMENT_BYTES)[1])
 
 
-def check(work: Work, disk: SimDisk, policy: SyncPolicy, power_cut: bool, where: object) -> None:
-    """All that was accepted is there, in its order, and behind it at most what was being offered last; what a
-    start has found is found again after the power was cut, whatever the disk before it had dropped."""
+def check(workload: Workload, disk: SimDisk, policy: SyncPolicy, power_cut: bool, where: object) -> None:
+    """Checks that all accepted records are recovered in order, followed at most by those of the last batch.
+    What one recovery found must also be found after a power cut, whichever unsynced bytes the disk lost."""
     log, found = recover(disk, policy, SEGMENT_BYTES)
-    got = state(found)
+    got = recovered_records(found)
     if policy == "always" or not power_cut:
-        assert got[: len(work.accepted)] == work.accepted, where
-        extra = got[len(work.accepted) :]
-        assert len(extra) <= 2 and set(extra) <= work.offered, where
-    else:  # the end of a log that does not sync may be lost, never its middle
-        shorter = min(len(got), len(work.accepted))
-        assert got[:shorter] == work.accepted[:shorter], where
+        assert got[: len(workload.accepted)] == workload.accepted, where
+        extra = got[len(workload.accepted) :]
+        assert len(extra) <= 2 and set(extra) <= workload.offered, where
+    else:  # a log that does not sync may lose its end, but no record before that
+        common_count = min(len(got), len(workload.accepted))
+        assert got[:common_count] == workload.accepted[:common_count], where
     if policy == "always":
         for lost in (Lost.ALL, Lost.GARBLED):
-            assert recovered(disk.after_crash(lost, False), policy) == got, (where, lost)
+            assert recover_records(disk.after_crash(lost, False), policy) == got, (where, lost)
     log.append(b"after")
     log.commit()
-    assert recovered(disk.after_kill(), policy) == [*got, b"after"], where
+    assert recover_records(disk.after_kill(), policy) == [*got, b"after"], where
 
 
-def counted(fault: Fault | None, policy: SyncPolicy) -> int:
+def count_operations(fault: Fault | None, policy: SyncPolicy) -> int:
     disk = SimDisk(fault=fault)
     with suppress(OSError):
-        Work().run(disk, policy)
+        Workload().run(disk, policy)
     return disk.operations
 
 
-def after(disk: SimDisk) -> list[tuple[bool, SimDisk]]:
-    """The disks that a process may find after the crash, and whether the power was cut."""
-    found = [
+def disks_after_crash(disk: SimDisk) -> list[tuple[bool, SimDisk]]:
+    """The disks that a process may find after a crash, each with whether the power was cut."""
+    after_power_cut = [
         (True, disk.after_crash(lost, names_survive)) for lost in Lost for names_survive in (True, False)
     ]
-    return [(False, disk.after_kill()), *found]
+    return [(False, disk.after_kill()), *after_power_cut]
 
 
 FAULTS = {
@@ -109,19 +111,19 @@
 @pytest.mark.parametrize("policy", ["always", "never"])
 @pytest.mark.parametrize("fault_length", [1, 3, 12])
 @pytest.mark.parametrize("name", FAULTS)
-def test_a_fault_at_each_operation_and_a_crash_at_each_later_one_lose_nothing_that_was_accepted(
+def test_a_fault_at_each_operation_and_a_crash_at_each_later_one_lose_no_accepted_record(
     name: str, fault_length: int, policy: SyncPolicy
 ) -> None:
     operations, error = FAULTS[name]
     points = 0
-    for first in range(1, counted(None, policy) + 1):
+    for first in range(1, count_operations(None, policy) + 1):
         fault = Fault(error, operations, first, first + fault_length - 1)
-        for crash_at in range(first + 1, counted(fault, policy) + 1):
-            disk, work = SimDisk(crash_at, fault=fault), Work()
+        for crash_at in range(first + 1, count_operations(fault, policy) + 1):
+            disk, workload = SimDisk(crash_at, fault=fault), Workload()
             with suppress(Crash, OSError):
-                work.run(disk, policy)
-            for power_cut, left in after(disk):
-                check(work, left, policy, power_cut, (first, crash_at, power_cut))
+                workload.run(disk, policy)
+            for power_cut, crashed_disk in disks_after_crash(disk):
+                check(workload, crashed_disk, policy, power_cut, (first, crash_at, power_cut))
                 points += 1
     assert points > 3_000
 
@@ -129,48 +131,51 @@
 @pytest.mark.parametrize("name", FAULTS)
 def test_the_log_resumes_without_a_restart_once_the_fault_ends(name: str) -> None:
     operations, error = FAULTS[name]
-    struck = 0
-    for first in range(1, counted(None, "always") + 1):
-        disk, work = SimDisk(fault=Fault(error, operations, first)), Work()
+    affected_count = 0
+    for first in range(1, count_operations(None, "always") + 1):
+        disk, workload = SimDisk(fault=Fault(error, operations, first)), Workload()
         try:
-            log = work.run(disk, "always")
-        except OSError:  # raised by the start alone
+            log = workload.run(disk, "always")
+        except OSError:  # only opening the log may raise
             assert first <= 2
             continue
         disk.fault = None
-        struck += len(work.accepted) < 10
-        before = len(work.accepted)
+        affected_count += len(workload.accepted) < 10
+        accepted_count = len(workload.accepted)
         for round_number in range(20, 26):
-            work.offer(log, round_number)
-        assert len(work.accepted) == before + 9
-        for power_cut, left in after(disk):
-            check(work, left, "always", power_cut, first)
-    assert struck > 5
+            workload.offer(log, round_number)
+        assert len(workload.accepted) == accepted_count + 9
+        for power_cut, crashed_disk in disks_after_crash(disk):
+            check(workload, crashed_disk, "always", power_cut, first)
+    assert affected_count > 5
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_a_start_while_the_disk_fails_reads_all_and_stores_again_once_it_does_not(name: str) -> None:
+def test_a_start_during_a_fault_reads_all_records_and_accepts_new_ones_once_it_ends(name: str) -> None:
     operations, error = FAULTS[name]
-    for crash_at in range(1, counted(None, "always") + 1):
-        disk, work = SimDisk(crash_at), Work()
+    for crash_at in range(1, count_operations(None, "always") + 1):
+        disk, workload = SimDisk(crash_at), Workload()
         with suppress(Crash):
-            work.run(disk, "always")
-        left = disk.after_kill()
-        left.fault = Fault(error, operations)
-        log, found = recover(left, "always", SEGMENT_BYTES)
-        got = state(found)
-        assert got[: len(work.accepted)] == work.accepted
-        left.fault = None
+            workload.run(disk, "always")
+        disk_after_kill = disk.after_kill()
+        disk_after_kill.fault = Fault(error, operations)
+        log, found = recover(disk_after_kill, "always", SEGMENT_BYTES)
+        got = recovered_records(found)
+        assert got[: len(workload.accepted)] == workload.accepted
+        disk_after_kill.fault = None
         log.append(b"after")
         log.commit()
         for lost in Lost:
-            assert recovered(left.after_crash(lost, False), "always") == [*got, b"after"], crash_at
+            assert recover_records(disk_after_kill.after_crash(lost, False), "always") == [
+                *got,
+                b"after",
+            ], crash_at
 
 
 @pytest.mark.parametrize(
     "operation", [Operation.REPLACE, Operation.SYNC_FOLDER, Operation.REMOVE, Operation.SYNC]
 )
-def test_records_behind_a_snapshot_that_failed_half_way_are_found_with_it_and_without_it(
+def test_records_after_a_partly_failed_snapshot_are_recovered_with_or_without_it(
     operation: Operation,
 ) -> None:
     disk = SimDisk()
@@ -184,7 +189,7 @@
     disk.fault = None
     log.append(b"c")
     log.commit()
-    for _, left in after(disk):
-        assert recovered(left, "always") == [b"a", b"b", b"c"]
+    for _, crashed_disk in disks_after_crash(disk):
+        assert recover_records(crashed_disk, "always") == [b"a", b"b", b"c"]
     log.snapshot(b"a;b;c")
     assert [name for name in disk.names() if name.endswith(".snap")] == ["0000000000000003.snap"]
