--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,5 @@
-"""An operator's file: what is wrong is one line with the key; the commands; what the platform's start imports."""
+"""The operator's file: errors, its digest, the commands that read it, the imports of a director without one, and
+the formats of the log."""
 
 from __future__ import annotations
 
@@ -23,7 +24,7 @@
 RULE = "{endpoints: {rules: [{name: 'x', %s}]}}"
 
 
-@pytest.mark.parametrize("text,says", [
+@pytest.mark.parametrize("text,message", [
     ("{\n\nendpoints: {,}}", "line 3: .*expected JSON5"), ("[]", "the whole file: expected object"),
     ("{endpoint: {}}", "endpoint: unknown key; expected one of endpoints, purges, recovery, fleet, owners, logs"),
     (RULE % "match: {zon: 'a'}", r"endpoints.rules\[0\].match.zon: unknown key; expected one of id, zone"),
@@ -45,21 +46,24 @@
     (FEEDS % "report_ms: 0", "fleet.report_ms: 0; expected a number from 100"), (FEEDS % "board: ''", "fleet.board: ''; expected a name"),
     ("{logs: {format: 'xml'}}", "logs.format: 'xml'; expected one of json, keyvalue, plain"),
 ])  # fmt: skip
-def test_what_is_wrong_is_one_line_with_the_key_and_what_was_expected(text: str, says: str) -> None:
-    with pytest.raises(OperatorFileError, match=says) as caught:
+def test_an_error_is_one_line_with_the_key_and_what_was_expected(text: str, message: str) -> None:
+    with pytest.raises(OperatorFileError, match=message) as caught:
         read_operator(text.encode())
     assert "\n" not in str(caught.value)
 
 
-def test_the_digest_of_a_file_leaves_places_out() -> None:
+def test_the_digest_of_a_file_ignores_paths_and_addresses() -> None:
     def digest(text: str) -> str:
-        told = read_operator(text.encode()).fleet
-        assert told is not None
-        return told.digest
+        audit_options = read_operator(text.encode()).fleet
+        assert audit_options is not None
+        return audit_options.digest
 
-    moved = (FEEDS % "dir: '/a'").replace("127.0.0.1:1", "127.0.0.1:2").replace("'t'", "'u'")
+    other_paths = (FEEDS % "dir: '/a'").replace("127.0.0.1:1", "127.0.0.1:2").replace("'t'", "'u'")
     assert (
-        digest(FEEDS % "dir: ''") == digest(FEEDS % "") == digest(moved) != digest(FEEDS % "alone: 'strict'")
+        digest(FEEDS % "dir: ''")
+        == digest(FEEDS % "")
+        == digest(other_paths)
+        != digest(FEEDS % "alone: 'strict'")
     )
 
 
@@ -79,7 +83,7 @@
         assert f"{name}:" in EXAMPLE.read_text()
 
 
-def test_check_and_explain_say_who_gets_what_and_fail_in_one_line(tmp_path: Path) -> None:
+def test_check_and_explain_print_the_addresses_of_servers_and_fail_in_one_line(tmp_path: Path) -> None:
     good, bad = tmp_path / "good.json5", tmp_path / "bad.json5"
     good.write_text(
         "{endpoints: {rules: [{name: 'box', match: {id: 'c*'}, add: ['unix:@shared', '[fd00::{octet4}]:{port}']}]}}"
@@ -88,29 +92,31 @@
     known = tmp_path / "config.json"
     known.write_bytes(config({"c0": "10.0.0.1:80", "c1": "10.0.0.2:80", "r0": "10.0.0.3:80"}))
     run = CliRunner().invoke
-    done = run(build(), ["check", str(good), "--config", str(known)])
+    result = run(build(), ["check", str(good), "--config", str(known)])
     assert (
-        done.exit_code == 0
-        and "3 servers" in done.output
-        and "unix:@shared: c1 owns it, c0 claims it too" in done.output
+        result.exit_code == 0
+        and "3 servers" in result.output
+        and "unix:@shared: c1 owns it, c0 claims it too" in result.output
     )
-    done = run(build(), ["addresses", "explain", str(good), "c*", "x9=10.0.0.9:1", "--config", str(known)])
-    lines = done.output.splitlines()
-    assert done.exit_code == 0 and "  box: 10.0.0.1:80 unix:@shared [fd00::1]:80" in lines
+    result = run(build(), ["addresses", "explain", str(good), "c*", "x9=10.0.0.9:1", "--config", str(known)])
+    lines = result.output.splitlines()
+    assert result.exit_code == 0 and "  box: 10.0.0.1:80 unix:@shared [fd00::1]:80" in lines
     assert "  unix:@shared belongs to c1, which also claims it" in lines
     assert [line.split()[1] for line in lines if line.startswith(("1 ", "2 "))] == [
         "10.0.0.1:80", "[fd00::1]:80", "unix:@shared", "10.0.0.2:80", "10.0.0.9:1"]  # fmt: skip
-    for arguments, says in ((["check", str(bad)], "endpoints.rules: expected array"), (["check", str(tmp_path / "no")], "No such file"),
-                            (["addresses", "explain", str(good), "zz"], "zz: no such server")):  # fmt: skip
+    for arguments, message in ((["check", str(bad)], "endpoints.rules: expected array"), (["check", str(tmp_path / "no")], "No such file"),
+                               (["addresses", "explain", str(good), "zz"], "zz: no such server")):  # fmt: skip
         command = [sys.executable, "-c", "from gladelane.cli import main; main()", *arguments]
         process = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, check=False)
-        assert process.returncode == 1 and says in process.stderr and len(process.stderr.splitlines()) == 1
+        assert process.returncode == 1 and message in process.stderr and len(process.stderr.splitlines()) == 1
 
 
-def test_the_platforms_start_imports_none_of_the_heavy_parts() -> None:
+def test_a_director_without_an_operators_file_imports_no_optional_packages() -> None:
     code = "import sys, gladelane.__main__; print(sorted(m for m in sys.modules if '.' not in m or 'gladelane' in m))"
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True)
-    for heavy in (
+    process = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, check=True
+    )
+    for module in (
         "typer",
         "rich",
         "structlog",
@@ -122,21 +128,23 @@
         "gladelane.audit",
         "gladelane.leases",
     ):
-        assert f"'{heavy}'" not in done.stdout
+        assert f"'{module}'" not in process.stdout
 
 
-@pytest.mark.parametrize("form", ["plain", "keyvalue", "json"])
-def test_the_three_forms_of_the_log_hold_the_same_words(form: str, capfd: pytest.CaptureFixture[str]) -> None:
-    root, before = logging.getLogger(), logging.getLogger().handlers[:]
+@pytest.mark.parametrize("log_format", ["plain", "keyvalue", "json"])
+def test_the_three_log_formats_have_the_same_text_and_fields(
+    log_format: str, capfd: pytest.CaptureFixture[str]
+) -> None:
+    root, handlers_before = logging.getLogger(), logging.getLogger().handlers[:]
     try:
-        logs.set_up(form, "info")
+        logs.set_up(log_format, "info")
         log = logging.getLogger("gladelane.x")
         log.debug("unseen")
         for _ in range(9):
             log.warning("mute peer=%s open=%d", "10.0.0.1:80", 3)
         lines = capfd.readouterr().err.splitlines()
         assert len(lines) == logs.MAX_LINES_PER_S
-        if form == "json":
+        if log_format == "json":
             event = json.loads(lines[0])
             assert (event["event"], event["peer"], event["open"], event["level"]) == (
                 "mute",
@@ -144,10 +152,10 @@
                 "3",
                 "warning",
             )
-        elif form == "keyvalue":
+        elif log_format == "keyvalue":
             assert "event='mute'" in lines[0] and "peer='10.0.0.1:80'" in lines[0]
         else:
             assert "WARNING gladelane.x mute peer=10.0.0.1:80 open=3" in lines[0]
     finally:
         logging.basicConfig(force=True)
-        root.handlers[:] = before
+        root.handlers[:] = handlers_before
--- a/tests/test_settings_files.py
+++ b/tests/test_settings_files.py
@@ -1,4 +1,5 @@
-"""The platform's file with one setting missing, of a wrong kind or out of range: its key is named, in one line."""
+"""The platform's file with one setting that is missing, of a wrong type or out of range: the error must be one
+line with the setting's key."""
 
 from __future__ import annotations
 
@@ -24,19 +25,19 @@
 from gladelane.net.config import ConfigError, read_config
 
 ROOT = Path(__file__).parent.parent
-WHOLE = json.loads((ROOT / "example" / "config.json").read_text())
-WHOLE["ops"] = ""
-WHOLE["settings"]["family_info"].setdefault("inlet_kb_per_s", [0.0, 9000.0])
+VALID = json.loads((ROOT / "example" / "config.json").read_text())
+VALID["ops"] = ""
+VALID["settings"]["family_info"].setdefault("inlet_kb_per_s", [0.0, 9000.0])
 NOT_A_NUMBER = ["5", True, [], {}, -1, float("nan"), float("inf"), float("-inf"), 1e300, 10**400]
-NOT_WHOLE = [*NOT_A_NUMBER, 2.5]
+NOT_AN_INTEGER = [*NOT_A_NUMBER, 2.5]
 NOT_A_SHARE = [*NOT_A_NUMBER, 1.5]
 NOT_A_FLAG = ["yes", 1, 0.0, []]
-NOT_A_WORD = ["nobody-knows", "", 1, [], True]
+NOT_A_CHOICE = ["nobody-knows", "", 1, [], True]
 NOT_A_NAME = ["", 1, [], True]
 NOT_AN_OBJECT = ["x", 1, [], True]
 NOT_A_LIST = ["x", 1, {}, True]
 
-#: path in the file -> whether it may be left out, and values that will not do
+#: path in the file -> whether the setting is optional, and invalid values
 FIELDS: dict[str, tuple[bool, list[Any]]] = {
     "name": (False, NOT_A_NAME),
     "listen": (False, [1, "", "4100", "a:b", "a:70000", "a:-1", "a:²"]),
@@ -45,7 +46,7 @@
     "ops": (True, [1, "4100"]),
     "limits": (False, NOT_AN_OBJECT),
     "limits.memory_mb": (False, [*NOT_A_NUMBER, 0]),
-    "limits.sockets": (False, [*NOT_WHOLE, 0]),
+    "limits.sockets": (False, [*NOT_AN_INTEGER, 0]),
     "known": (False, NOT_AN_OBJECT),
     "known.rev": (False, ["1", True, [], 2.5]),
     "known.notices": (False, ["x", 1, {}]),
@@ -59,21 +60,21 @@
     "known.notices[0].pool.instances[1].weight": (True, ["4", True]),
     "known.notices[0].pool.instances[1].startedAtMs": (True, ["4", True]),
     "settings": (False, NOT_AN_OBJECT),
-    "settings.me": (False, [*NOT_WHOLE, 1]),  # of one director
-    "settings.balancers": (False, [*NOT_WHOLE, 0]),
+    "settings.me": (False, [*NOT_AN_INTEGER, 1]),  # must be below the number of directors, which is 1
+    "settings.balancers": (False, [*NOT_AN_INTEGER, 0]),
     "settings.zone": (False, [*NOT_A_NAME, "nowhere"]),
     "settings.areas": (False, [*NOT_A_LIST, []]),
     "settings.kinds": (False, [*NOT_A_LIST, []]),
-    "settings.registry_mode": (True, NOT_A_WORD),
-    "settings.weights": (True, NOT_A_WORD),
+    "settings.registry_mode": (True, NOT_A_CHOICE),
+    "settings.weights": (True, NOT_A_CHOICE),
     "settings.tick_ms": (True, NOT_A_NUMBER),
     "settings.report": (True, NOT_AN_OBJECT),
-    "settings.report.how": (True, NOT_A_WORD),
+    "settings.report.how": (True, NOT_A_CHOICE),
     "settings.report.fields": (True, NOT_A_LIST),
     "settings.classes": (False, [*NOT_A_LIST, []]),
     "settings.classes[0].name": (False, NOT_A_NAME),
-    "settings.classes[0].effect": (False, NOT_A_WORD),
-    "settings.classes[0].group": (True, NOT_A_WORD),
+    "settings.classes[0].effect": (False, NOT_A_CHOICE),
+    "settings.classes[0].group": (True, NOT_A_CHOICE),
     "settings.classes[0].window_ms": (True, NOT_A_NUMBER),
     "settings.classes[0].aim_ms": (False, NOT_A_NUMBER),
     "settings.classes[0].aim_stretch": (True, NOT_A_NUMBER),
@@ -82,12 +83,12 @@
     "settings.classes[0].late_worth": (True, NOT_A_SHARE),
     "settings.classes[0].stream": (True, NOT_A_FLAG),
     "settings.family_info": (False, NOT_AN_OBJECT),
-    "settings.family_info.store_kind": (False, [*NOT_WHOLE, 3]),
-    "settings.family_info.upper_kind": (True, ["1", True, 1.5, -2, 3, 2]),  # 2 is the origin's
+    "settings.family_info.store_kind": (False, [*NOT_AN_INTEGER, 3]),
+    "settings.family_info.upper_kind": (True, ["1", True, 1.5, -2, 3, 2]),  # 2 is the kind of the origin
     "settings.family_info.hub_of": (True, [*NOT_A_LIST, [0], [0, 0, 0]]),
-    "settings.family_info.hub_of[1]": (False, [*NOT_WHOLE, 2]),
+    "settings.family_info.hub_of[1]": (False, [*NOT_AN_INTEGER, 2]),
     "settings.family_info.seats_by_zone": (True, [*NOT_A_LIST, [0], [0, 0, 0]]),
-    "settings.family_info.seats_by_zone[1]": (False, NOT_WHOLE),
+    "settings.family_info.seats_by_zone[1]": (False, NOT_AN_INTEGER),
     "settings.family_info.inlet_kb_per_s": (True, [*NOT_A_LIST, [0], [0, 0, 0]]),
     "settings.family_info.inlet_kb_per_s[0]": (False, NOT_A_NUMBER),
     "settings.family_info.pass_on": (False, [*NOT_A_LIST, [], [False]]),
@@ -98,8 +99,8 @@
     "settings.family_info.stale_for_ms[1]": (False, NOT_A_NUMBER),
     "settings.family_info.segmented": (True, [*NOT_A_LIST, [False]]),
     "settings.family_info.segmented[1]": (False, NOT_A_FLAG),
-    "settings.family_info.notes_given": (True, NOT_A_WORD),
-    "settings.family_info.peers_fill": (True, NOT_A_WORD),
+    "settings.family_info.notes_given": (True, NOT_A_CHOICE),
+    "settings.family_info.peers_fill": (True, NOT_A_CHOICE),
     "settings.family_info.straight": (True, NOT_A_FLAG),
     "settings.family_info.merges_fills": (True, NOT_A_FLAG),
     "settings.family_info.one_flow_kb_per_s": (True, NOT_A_NUMBER),
@@ -117,11 +118,11 @@
     "settings.limits.may_tell": (True, NOT_A_FLAG),
     "settings.limits.retry_after": (True, NOT_A_FLAG),
     "settings.limits.max_retry_after_ms": (True, NOT_A_NUMBER),
-    "settings.limits.max_attempts": (False, [*NOT_WHOLE, 0]),
-    "settings.limits.max_open": (False, [*NOT_WHOLE, 0]),
+    "settings.limits.max_attempts": (False, [*NOT_AN_INTEGER, 0]),
+    "settings.limits.max_open": (False, [*NOT_AN_INTEGER, 0]),
     "settings.limits.dial_timeout_ms": (False, [*NOT_A_NUMBER, 0]),
     "settings.limits.conn_idle_ms": (False, [*NOT_A_NUMBER, 0]),
-    "settings.limits.max_streams": (False, [*NOT_WHOLE, 0]),
+    "settings.limits.max_streams": (False, [*NOT_AN_INTEGER, 0]),
     "settings.rules": (False, NOT_AN_OBJECT),
     "settings.rules.ask_within_ms": (True, NOT_A_NUMBER),
     "settings.rules.grace_to_answer_ms": (True, NOT_A_NUMBER),
@@ -133,26 +134,27 @@
 }  # fmt: skip
 
 
-def steps_of(path: str) -> list[str | int]:
+def split_path(path: str) -> list[str | int]:
     parts = path.replace("[", ".[").split(".")
     return [int(part[1:-1]) if part.startswith("[") else part for part in parts]
 
 
-def changed(path: str, value: Any) -> bytes:
-    """The example with one value put in, or taken out where it is MISSING."""
-    raw = copy.deepcopy(WHOLE)
-    *steps, last = steps_of(path)
-    at: Any = raw
+def file_with(path: str, value: Any) -> bytes:
+    """The example file with one value replaced, or removed if `value` is MISSING."""
+    raw = copy.deepcopy(VALID)
+    *steps, last = split_path(path)
+    parent: Any = raw
     for step in steps:
-        at = at[step]
+        parent = parent[step]
     if value is MISSING:
-        at.pop(last, None)
+        parent.pop(last, None)
     else:
-        at[last] = value
+        parent[last] = value
     return json.dumps(raw).encode()
 
 
-def told_of(data: bytes) -> BadSetting:
+def read_error(data: bytes) -> BadSetting:
+    """Reads an invalid file; returns the error, after checking that its message is one short line."""
     with pytest.raises(ConfigError) as caught:
         read_config(data)
     assert len(str(caught.value).splitlines()) == 1 and len(str(caught.value)) < 400
@@ -161,67 +163,71 @@
 
 
 @pytest.mark.parametrize("path", [path for path in FIELDS if not path.endswith("]")])
-def test_a_setting_that_is_missing_is_named_or_may_be_left_out(path: str) -> None:
-    for data in (changed(path, MISSING), changed(path, None)):
-        if FIELDS[path][0] and data == changed(path, MISSING):
+def test_a_missing_setting_is_optional_or_an_error_with_its_key(path: str) -> None:
+    for data in (file_with(path, MISSING), file_with(path, None)):
+        if FIELDS[path][0] and data == file_with(path, MISSING):
             read_config(data)
         elif not FIELDS[path][0]:
-            told = told_of(data)
-            assert told.key == path and told.expected
-            assert told.found is MISSING or told.found is None
-
-
-@pytest.mark.parametrize("path,value", [(path, value) for path, (_, bad) in FIELDS.items() for value in bad])
-def test_a_setting_of_a_wrong_kind_or_out_of_range_is_named(path: str, value: Any) -> None:
-    told = told_of(changed(path, value))
-    assert told.key == path and told.expected
-    assert str(told).startswith(f"{path} is ") and "; expected " in str(told)
+            error = read_error(data)
+            assert error.key == path and error.expected
+            assert error.found is MISSING or error.found is None
+
+
+@pytest.mark.parametrize(
+    "path,value", [(path, value) for path, (_, invalid) in FIELDS.items() for value in invalid]
+)
+def test_a_setting_of_a_wrong_type_or_out_of_range_is_an_error_with_its_key(path: str, value: Any) -> None:
+    error = read_error(file_with(path, value))
+    assert error.key == path and error.expected
+    assert str(error).startswith(f"{path} is ") and "; expected " in str(error)
     if isinstance(value, (str, bool, int, list, dict)):
-        assert told.found == value
+        assert error.found == value
 
 
-def test_the_table_has_every_setting_that_the_reader_knows() -> None:
-    from gladelane.deployment import wire as reader
+def test_the_table_of_these_tests_has_every_setting_that_is_read() -> None:
+    from gladelane.deployment import wire
 
-    paths = {f"settings.{path}" for path in reader._PATHS.values()}
-    paths |= {f"settings.classes[0].{name}" for name in reader._CLASS_KEYS.values()}
-    paths |= {f"settings.family_info.{name}" for name in reader._CLASS_LISTS.values()}
+    paths = {f"settings.{path}" for path in wire._PATHS.values()}
+    paths |= {f"settings.classes[0].{name}" for name in wire._CLASS_KEYS.values()}
+    paths |= {f"settings.family_info.{name}" for name in wire._CLASS_LISTS.values()}
     assert paths <= FIELDS.keys()
 
 
 @pytest.mark.parametrize("path,value,key", [
-    ("settings.classes[1].name", WHOLE["settings"]["classes"][0]["name"], "settings.classes[1].name"),
-    ("settings.areas[1]", WHOLE["settings"]["areas"][0], "settings.areas[1]"),
+    ("settings.classes[1].name", VALID["settings"]["classes"][0]["name"], "settings.classes[1].name"),
+    ("settings.areas[1]", VALID["settings"]["areas"][0], "settings.areas[1]"),
     ("settings.areas[1]", 5, "settings.areas[1]"),
     ("settings.kinds[0]", 5, "settings.kinds[0]"),
     ("settings.report.fields", ["busy", 5], "settings.report.fields[1]"),
     ("settings.classes[1]", 5, "settings.classes[1]"),
 ])  # fmt: skip
-def test_settings_that_contradict_each_other_are_named(path: str, value: Any, key: str) -> None:
-    assert told_of(changed(path, value)).key == key
+def test_a_duplicate_or_invalid_list_element_is_an_error_with_its_key(
+    path: str, value: Any, key: str
+) -> None:
+    assert read_error(file_with(path, value)).key == key
 
 
 @pytest.mark.parametrize("path", [
     "colour", "limits.colour", "known.colour", "known.notices[0].colour", "known.notices[0].pool.instances[0].colour", "settings.colour",
     "settings.classes[0].colour", "settings.family_info.colour", "settings.limits.colour", "settings.rules.colour", "settings.report.colour",
 ])  # fmt: skip
-def test_a_field_that_nobody_knows_is_passed_over(path: str) -> None:
-    assert read_config(changed(path, {"red": [1]})) == read_config(json.dumps(WHOLE).encode())
+def test_an_unknown_key_is_ignored(path: str) -> None:
+    assert read_config(file_with(path, {"red": [1]})) == read_config(json.dumps(VALID).encode())
 
 
-def test_the_words_that_are_expected_are_those_of_the_file() -> None:
-    told = told_of(changed("settings.classes[0].effect", "safe"))
-    assert str(told) == "settings.classes[0].effect is 'safe'; expected one of retryable, dedup, fragile"
+def test_the_expected_enumerated_values_are_those_of_the_file() -> None:
+    error = read_error(file_with("settings.classes[0].effect", "safe"))
+    assert str(error) == "settings.classes[0].effect is 'safe'; expected one of retryable, dedup, fragile"
 
 
-def test_the_facts_stand_on_the_error_and_the_file_before_the_key() -> None:
+def test_the_error_has_file_key_and_value_and_its_message_begins_with_the_file() -> None:
     with pytest.raises(ConfigError) as caught:
-        read_config(changed("settings.rules.fall_ms", "soon"))
-    told = caught.value.in_file("/etc/config.json")
-    assert told.setting is not None
-    assert (told.setting.file, told.setting.key, told.setting.found) == (
+        read_config(file_with("settings.rules.fall_ms", "soon"))
+    error = caught.value.in_file("/etc/config.json")
+    assert error.setting is not None
+    assert (error.setting.file, error.setting.key, error.setting.found) == (
         "/etc/config.json", "settings.rules.fall_ms", "soon")  # fmt: skip
-    assert str(told).startswith(
+    assert str(error).startswith(
         "/etc/config.json: settings.rules.fall_ms is 'soon'; expected a number from 0"
     )
     assert str(ConfigError("nothing is there").in_file("a.json")) == "a.json: nothing is there"
@@ -230,9 +236,9 @@
 @given(st.recursive(st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=9),
                     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=5), inner, max_size=3), max_leaves=6),
        st.sampled_from(sorted(FIELDS)))  # fmt: skip
-def test_any_value_anywhere_is_used_or_told_in_one_line(value: Any, path: str) -> None:
+def test_any_value_at_any_path_is_accepted_or_gives_an_error_of_one_line(value: Any, path: str) -> None:
     try:
-        read_config(changed(path, value))
+        read_config(file_with(path, value))
     except ConfigError as error:
         assert len(str(error).splitlines()) == 1 and "expected" in str(error)
 
@@ -241,32 +247,32 @@
     ("settings.rules.drain_grace_ms", MISSING), ("settings.limits.max_streams", "many"), ("settings.classes[0].effect", "maybe"),
     ("settings.family_info.pass_on", [False]),
 ])  # fmt: skip
-def test_a_director_does_not_start_on_a_bad_file_and_says_why_in_one_line(
+def test_a_director_does_not_start_with_an_invalid_file_and_prints_one_line(
     tmp_path: Path, path: str, value: Any
 ) -> None:
     file = tmp_path / "config.json"
-    file.write_bytes(changed(path, value))
-    done = subprocess.run(
+    file.write_bytes(file_with(path, value))
+    process = subprocess.run(
         [sys.executable, "-m", "gladelane"], cwd=ROOT, env={**os.environ, "GW_CONFIG": str(file)},
         capture_output=True, text=True, timeout=60, check=False,
     )  # fmt: skip
-    assert done.returncode != 0 and done.stdout == ""
-    assert len(done.stderr.splitlines()) == 1
-    assert str(file) in done.stderr and f"{path} is " in done.stderr and "expected " in done.stderr
+    assert process.returncode != 0 and process.stdout == ""
+    assert len(process.stderr.splitlines()) == 1
+    assert str(file) in process.stderr and f"{path} is " in process.stderr and "expected " in process.stderr
 
 
 @pytest.mark.parametrize("path,value", [
     ("settings.rules.fall_ms", MISSING), ("settings.limits.max_attempts", "three"), ("settings.classes[0].deadline_ms", float("nan")),
 ])  # fmt: skip
-def test_a_bad_file_at_a_reload_is_named_and_the_one_in_use_stays(
+def test_a_reload_of_an_invalid_file_logs_the_key_and_keeps_the_old_configuration(
     tmp_path: Path, path: str, value: Any
 ) -> None:
-    async def scene() -> None:
-        good = json.dumps({**WHOLE, "listen": "127.0.0.1:0", "board": "127.0.0.1:1"}).encode()
-        process = start_process(good, tmp_path)
+    async def reload_invalid_file() -> None:
+        valid = json.dumps({**VALID, "listen": "127.0.0.1:0", "board": "127.0.0.1:1"}).encode()
+        process = start_process(valid, tmp_path)
         try:
             port = await ready(process)
-            (tmp_path / "config.json").write_bytes(changed(path, value))
+            (tmp_path / "config.json").write_bytes(file_with(path, value))
             process.send_signal(signal.SIGHUP)
             assert process.stderr is not None
             line = ""
@@ -284,4 +290,4 @@
                 process.kill()
             process.communicate()
 
-    asyncio.run(scene())
+    asyncio.run(reload_invalid_file())
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The wire adapter: translation both ways, malformed lines, a clean end."""
+"""The simulator's adapter: translation in both directions, malformed lines, the end of the input."""
 
 import json
 import subprocess
@@ -20,54 +20,59 @@
     "rules": {"drain_grace_ms": 1000.0, "cold_from": 0.2, "warm_after_ms": 9000.0, "fall_multiple": 2.0,
               "fall_ms": 2000.0},
 }  # fmt: skip
-START = (
+START_TEMPLATE = (
     "CLOCK 1000\nABOUT 3\nBORN 5 {settings}\nREGISTER 0 3\nSTORE 1.1.1.1:1 edge box 0 IN 1 -\n"
     "STORE 1.1.1.2:1 hub mid 0 IN 1 -\nSTORE 1.1.1.3:1 hub root 0 IN 1 -\nVIEW 0 1 warm_copy\nYOUR_TURN\n"
 )
 
 
-def run(text: str) -> subprocess.CompletedProcess[str]:
+def run_simhost(text: str) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-m", "gladelane.simhost"]
     return subprocess.run(command, input=text, capture_output=True, text=True, cwd=ROOT, check=False)
 
 
-def start(**changes: object) -> str:
-    return START.replace("{settings}", json.dumps({**WIRE, **changes}))
+def start_messages(**changes: object) -> str:
+    return START_TEMPLATE.replace("{settings}", json.dumps({**WIRE, **changes}))
 
 
-def test_a_request_becomes_a_fetch_and_the_end_of_input_is_clean() -> None:
-    done = run(start() + "CLOCK 1010\nABOUT 3\nINBOUND 42 film - 99 4010 640 11 3 1\nYOUR_TURN\n")
-    assert done.returncode == 0 and done.stderr == ""
-    replies = done.stdout.split("DONE\n")
+def test_a_request_is_answered_by_a_fetch_and_the_end_of_the_input_is_no_error() -> None:
+    process = run_simhost(
+        start_messages() + "CLOCK 1010\nABOUT 3\nINBOUND 42 film - 99 4010 640 11 3 1\nYOUR_TURN\n"
+    )
+    assert process.returncode == 0 and process.stderr == ""
+    replies = process.stdout.split("DONE\n")
     assert len(replies) == 3
     assert "AT 3\n" in replies[1]
     assert "PULL_VIA 42 3000.000 1.1.1.1:1 0 - 1.1.1.2:1 1\n" in replies[1]
 
 
 def test_an_empty_batch_gets_an_empty_reply() -> None:
-    assert run("CLOCK 8412.25\nYOUR_TURN\n").stdout == "DONE\n"
+    assert run_simhost("CLOCK 8412.25\nYOUR_TURN\n").stdout == "DONE\n"
 
 
-def test_malformed_lines_end_with_one_message_and_the_failure_action() -> None:
-    for bad in (
+def test_a_malformed_line_ends_the_run_with_one_message_and_a_failure_line() -> None:
+    for malformed in (
         "HELLO 1",
         "INBOUND x film - 9 4010",
         "INBOUND 1 song - 9 4010",
         "VIEW 9 1 total",
         "ENDED 1 999",
     ):
-        done = run(start() + f"CLOCK 1010\nABOUT 3\n{bad}\nYOUR_TURN\n")
-        assert done.returncode != 0
-        assert bad in done.stderr and len(done.stderr.splitlines()) == 1
-        assert done.stdout.split("DONE\n")[1].startswith("BUG ")
-        assert done.stdout.endswith("DONE\n")
+        process = run_simhost(start_messages() + f"CLOCK 1010\nABOUT 3\n{malformed}\nYOUR_TURN\n")
+        assert process.returncode != 0
+        assert malformed in process.stderr and len(process.stderr.splitlines()) == 1
+        assert process.stdout.split("DONE\n")[1].startswith("BUG ")
+        assert process.stdout.endswith("DONE\n")
 
 
-def test_bad_settings_name_the_key() -> None:
-    done = run(start(balancers="many"))
-    assert done.returncode != 0 and "balancers is 'many'; expected a whole number" in done.stderr
+def test_the_error_for_an_invalid_setting_has_its_key() -> None:
+    process = run_simhost(start_messages(balancers="many"))
+    assert process.returncode != 0 and "balancers is 'many'; expected a whole number" in process.stderr
 
 
-def test_a_stopped_instance_holds_nothing() -> None:
-    text = start() + "CLOCK 1010\nABOUT 3\nDOWN\nYOUR_TURN\nCLOCK 1020\nABOUT 3\nREMINDER sweep\nYOUR_TURN\n"
-    assert run(text).stdout.split("DONE\n")[2] == ""
+def test_a_stopped_director_ignores_later_messages() -> None:
+    text = (
+        start_messages()
+        + "CLOCK 1010\nABOUT 3\nDOWN\nYOUR_TURN\nCLOCK 1020\nABOUT 3\nREMINDER sweep\nYOUR_TURN\n"
+    )
+    assert run_simhost(text).stdout.split("DONE\n")[2] == ""
