--- a/gladelane/recovery/service.py
+++ b/gladelane/recovery/service.py
@@ -41,7 +41,8 @@
     ) -> None:
         """Opens the folder. `is_listening` tells whether the director accepts clients.
 
-        Raises OSError if the folder cannot be used for a reason that will not end by itself."""
+        Raises OSError if the folder cannot be opened, unless the error is transient or another process has
+        the folder open: then it is tried again later."""
         self._options, self._name, self._director, self._purges = options, name, director, purges
         self._clock, self._is_listening = clock, is_listening
         self.phases = Phases(clock())
--- a/gladelane/settings/operator.py
+++ b/gladelane/settings/operator.py
@@ -58,7 +58,7 @@
 
 
 class DelaySection(msgspec.Struct, forbid_unknown_fields=True):
-    """The delay between two parallel connection attempts to one server."""
+    """The delay between the starts of two parallel connection attempts to one server."""
 
     first_ms: float = 250.0
     least_ms: float = 20.0
