--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -204,10 +204,8 @@
 
 @trial
 async def test_answers_are_passed_on_also_if_their_notes_waits_and_reports_are_malformed() -> None:
-    fields = ["remark=f,first=12,report=util:0.61;x1:2", "remark=?,first=soon,report=util:;x1,dated=never"]
-    cache = Cache(
-        lambda command: (f"served digest=aa,dated=1,{fields[len(cache.seen) % 2]}", hit(command)[1])
-    )  # type: ignore[index]
+    heads = ["remark=f,first=12,report=util:0.61;x1:2", "remark=?,first=soon,report=util:;x1,dated=never"]
+    cache = Cache(lambda command: (f"served digest=aa,dated=1,{heads[len(cache.seen) % 2]}", hit(command)[1]))  # type: ignore[index]
     reported: list[tuple[Note, object]] = []
     async with running(second_deployment_config({"c0": await cache.start(), "r0": REFUSED})) as (
         node,
