--- a/gladelane/hot_restart/decoding.py
+++ b/gladelane/hot_restart/decoding.py
@@ -1,4 +1,4 @@
-"""Decoding and checks that the channel's messages and the handover document have in common. Pure."""
+"""Errors, decoding and checks shared by the channel's messages and the handover document. Pure."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class HandoverError(Exception):
-    """Something that another process sent or stored cannot be used. `reason` says why, for a log line."""
+    """Data that another process sent or stored cannot be used. `reason` is the text for a log line."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -31,20 +31,22 @@
     """A document ends before its last byte, or has more bytes than its header says."""
 
     def __init__(self, length: int, remark: str) -> None:
-        """`length`: the bytes that there are; `remark`: what was expected."""
+        """`length` is the number of bytes present, and `remark` a suffix of the message with what was
+        expected."""
         super().__init__(f"ends at byte {length}{remark}")
         self.length = length
 
 
 class Decoder(Protocol[T_co]):
-    """A decoder of msgspec, for any of its formats."""
+    """The interface that msgspec's decoders of all formats share."""
 
     def decode(self, data: bytes, /) -> T_co:
         """Raises msgspec.MsgspecError."""
 
 
 def decode_with(decoder: Decoder[T_co], data: bytes, context: str = "unreadable") -> T_co:
-    """Decodes data that another process wrote; `context` begins the error's text. Raises HandoverError."""
+    """Decodes data that another process wrote. Raises HandoverError, with a text that begins with
+    `context`."""
     try:
         return decoder.decode(data)
     except msgspec.MsgspecError as error:
--- a/gladelane/hot_restart/key_replication.py
+++ b/gladelane/hot_restart/key_replication.py
@@ -1,17 +1,19 @@
-"""Attempts with idempotency keys, as the processes of one director report them to each other: a client may
-retry at either process, and its retry counts from the window of the first attempt."""
+"""Replication of attempts with idempotency keys between the processes of one director.
+
+A client may retry at either process, and the window of its first attempt applies to the retry.
+"""
 
 from __future__ import annotations
 
 from ..clock import Clock
 from ..net.director import Director
 from .channel import Channel
-from .messages import MAY_HAVE_RUN, NEVER_RAN, ORDER, Message
+from .messages import MAY_HAVE_RUN, NEVER_RAN, UPDATE, Message
 
 
 class KeyReplication:
-    """Sends this process's attempts to its peers, and records theirs here. Times are ms of this process's
-    timeline."""
+    """Sends this process's attempts to its peers, and records theirs here. Times are in ms of this process's
+    clock."""
 
     def __init__(self, channel: Channel, clock: Clock, director: Director) -> None:
         self._channel = channel
@@ -19,31 +21,31 @@
         self._director = director
 
     def may_have_run(self, key: str, at_ms: float, store: str) -> None:
-        """The first byte of an attempt is about to be written here, at `at_ms`."""
+        """Reports that the first byte of an attempt is about to be written, at `at_ms`."""
         self._send(MAY_HAVE_RUN, key, at_ms, store)
 
     def never_ran(self, key: str, at_ms: float, store: str) -> None:
-        """The attempt that was reported with this moment is proven not to have run."""
+        """Reports that the attempt which was reported with the same `at_ms` is proven not to have run."""
         self._send(NEVER_RAN, key, at_ms, store)
 
     def receive(self, message: Message) -> None:
-        """Records what a peer reports of its attempt."""
+        """Records the outcome that a peer reports of its attempt."""
         windows = self._director.keys
-        at_ms = self._local_moment(message)
-        # Also for an attempt that may have run: a handover that was written meanwhile may contain it already,
-        # and it must not be recorded twice.
+        at_ms = self._local_time(message)
+        # An attempt that may have run is removed first as well: a handover that was written in the meantime
+        # may contain it already, and it must not be recorded twice.
         windows.never_ran(message.key, at_ms, message.store)
-        if message.word == MAY_HAVE_RUN:
+        if message.operation == MAY_HAVE_RUN:
             windows.may_have_run(message.key, at_ms, message.store)
 
-    def _send(self, word: str, key: str, at_ms: float, store: str) -> None:
+    def _send(self, operation: str, key: str, at_ms: float, store: str) -> None:
         if self._channel.peer_count == 0:
             return
         shared = self._clock.shared()
         self._channel.broadcast(
             Message(
-                ORDER,
-                word=word,
+                UPDATE,
+                operation=operation,
                 store=store,
                 key=key,
                 at_ms=float(self._clock.dated(at_ms, shared)),
@@ -52,11 +54,12 @@
             )
         )
 
-    def _local_moment(self, message: Message) -> float:
-        """The message's moment on this timeline.
+    def _local_time(self, message: Message) -> float:
+        """Returns the message's `at_ms` as a time of this process's clock.
 
-        A date of an older version is used as it is, but for no later than it can have been sent: a moment
-        that is too early costs a retry, and one that is too late would allow a retry past its window.
+        A date that an older version sent is used unchanged, but limited to the latest time at which it can
+        have been sent. A time that is too early costs a retry, whereas a time that is too late would allow a
+        retry past its window.
         """
         shift_ms = self._clock.shift_from(message.clock)
         if shift_ms is not None:
--- a/gladelane/hot_restart/rendezvous_socket.py
+++ b/gladelane/hot_restart/rendezvous_socket.py
@@ -1,6 +1,6 @@
-"""The Unix socket in the processes' shared folder, at which a new process finds the old one.
+"""The Unix socket in the processes' shared folder, through which a new process connects to the old one.
 
-The first process creates it; each later one replaces it by its own.
+The first process creates it, and each later process replaces it by its own.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from ..sockets import close_socket
 from .decoding import HandoverError
-from .messages import HELLO, HERE, Message, encode_message, read_message
+from .messages import HELLO, HELLO_REPLY, Message, encode_message, read_message
 
 log = logging.getLogger(__name__)
 
@@ -24,46 +24,48 @@
 SOCKET_MODE = 0o600
 BACKLOG = 4
 READ_BYTES = 65_536
-#: For each step in which the old process answers; a new process has 6 s to start.
+#: Timeout of each step in which the old process replies; a new process has 6 s to start.
 REPLY_TIMEOUT_S = 1.5
-#: Until the socket is created again where that failed.
+#: Delay before another attempt to create the socket.
 LISTEN_RETRY_S = 2.0
 
 
 @dataclass(frozen=True)
 class Reply:
-    """The old process's answer to a new one."""
+    """The old process's reply to a new one."""
 
     sock: socket.socket  # the connection between the two
-    listener: socket.socket  # the clients' listening socket
-    here: Message
-    rest: bytes  # of later messages, read with the answer
+    listener: socket.socket  # on which the director accepts clients
+    message: Message
+    extra_data: bytes  # the beginning of later messages, which was read together with the reply
 
 
 class NoReplyError(Exception):
-    """An old process may run, but it gave nothing over; the reason has been logged."""
+    """An old process may be running but did not hand over its listening socket. The reason has been
+    logged."""
 
 
 def request_listener(folder: str, name: str) -> Reply | None:
     """Asks the running process of the director `name` for its listening socket.
 
-    None where there is no such process. Raises NoReplyError where it gives nothing. Blocks for up to
-    REPLY_TIMEOUT_S a step: a process that starts has nothing else to do yet.
+    Returns None if there is no such process. Raises NoReplyError if that process does not hand over its
+    socket. Blocks for up to REPLY_TIMEOUT_S in each step, since a process that starts has nothing else to do
+    yet.
     """
     try:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     except OSError as error:
-        log.warning("upgrade: the old process is not asked: %s", error)
+        log.warning("upgrade: cannot create a socket to the old process: %s", error)
         raise NoReplyError from error
     try:
         sock.settimeout(REPLY_TIMEOUT_S)
         with _short_path(folder) as path:
             sock.connect(path)
-        sock.sendall(encode_message(Message(HELLO, name=name, keys=True)))
+        sock.sendall(encode_message(Message(HELLO, name=name, reads_key_updates=True)))
         return _receive_reply(sock, name)
     except (FileNotFoundError, ConnectionRefusedError):
         close_socket(sock)
-        return None  # usual: no process runs
+        return None  # no process is running, as at a usual start
     except (OSError, HandoverError) as error:
         log.warning("upgrade: the old process gives nothing over: %s", error)
         close_socket(sock)
@@ -71,23 +73,23 @@
 
 
 def _receive_reply(sock: socket.socket, name: str) -> Reply:
-    """Raises OSError, HandoverError."""
+    """Receives the reply to HELLO. Raises OSError and HandoverError."""
     data, descriptors, _, _ = socket.recv_fds(sock, READ_BYTES, 1)
     try:
         while data and b"\n" not in data and (more := sock.recv(READ_BYTES)):
             data += more
-        line, end, rest = data.partition(b"\n")
-        if not end or not descriptors:
-            raise HandoverError("it gave no listening socket")
-        here = read_message(line, name)
-        if here.kind != HERE:
-            raise HandoverError("it gave no listening socket")
+        line, line_break, extra_data = data.partition(b"\n")
+        if not line_break or not descriptors:
+            raise HandoverError("no listening socket was received")
+        message = read_message(line, name)
+        if message.kind != HELLO_REPLY:
+            raise HandoverError("no listening socket was received")
         listener = socket.socket(fileno=descriptors[0])
     except BaseException:
         for descriptor in descriptors:
             os.close(descriptor)
         raise
-    return Reply(sock, listener, here, rest)
+    return Reply(sock, listener, message, extra_data)
 
 
 class RendezvousSocket:
@@ -106,14 +108,15 @@
         return self._listener is not None
 
     def open(self) -> None:
-        """Creates the socket in place of an older process's. Where that fails it is logged and tried again;
-        until then a new process listens by SO_REUSEPORT and starts without any state."""
+        """Creates the socket, and replaces that of an older process. A failure is logged, and creation is
+        tried again; until it succeeds a new process listens with SO_REUSEPORT and starts without any
+        state."""
         listener: socket.socket | None = None
         try:
             listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
             self._bind(listener)
         except OSError as error:
-            log.warning("upgrade: no meeting place in %s: %s", self._folder, error)
+            log.warning("upgrade: cannot create the rendezvous socket in %s: %s", self._folder, error)
             if listener is not None:
                 close_socket(listener)
             self._retry = asyncio.get_running_loop().call_later(LISTEN_RETRY_S, self._open_unless_taken)
@@ -123,7 +126,7 @@
         asyncio.get_running_loop().add_reader(listener.fileno(), self._accept)
 
     def close(self) -> None:
-        """Stops listening, and trying to. The file stays: it may be a newer process's."""
+        """Stops listening and retrying. The file stays, because it may belong to a newer process."""
         if self._retry is not None:
             self._retry.cancel()
             self._retry = None
@@ -133,7 +136,7 @@
             self._listener = None
 
     def _bind(self, listener: socket.socket) -> None:
-        """Raises OSError."""
+        """Binds the listener under a temporary name and moves it into place. Raises OSError."""
         with (
             _short_path(self._folder, f".{os.getpid()}") as temporary,
             _short_path(self._folder) as path,
@@ -146,8 +149,8 @@
             os.replace(temporary, path)
 
     def _open_unless_taken(self) -> None:
-        """Opens the socket unless a newer process has created its own meanwhile, which is the one to be
-        found."""
+        """Opens the socket unless a newer process has created its own in the meantime: still newer processes
+        have to connect to that one."""
         with suppress(OSError), socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
             probe.setblocking(False)
             with _short_path(self._folder) as path:
@@ -166,8 +169,8 @@
 
 @contextmanager
 def _short_path(folder: str, suffix: str = "") -> Iterator[str]:
-    """The socket's path by way of a descriptor of the folder: the address of a Unix socket has 107 bytes at
-    most, and the folder's own path may be longer. Raises OSError."""
+    """Yields the socket's path through a descriptor of the folder: the address of a Unix socket has at most
+    107 bytes, and the path of the folder itself may be longer. Raises OSError."""
     descriptor = os.open(folder, os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
         yield str(Path(f"/proc/self/fd/{descriptor}") / (SOCKET_NAME + suffix))
--- a/gladelane/recovery/state_store.py
+++ b/gladelane/recovery/state_store.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ..hot_restart.learnt import take_snapshot
+from ..hot_restart.learned_state import take_snapshot
 from ..routing.idempotency import KeyWindows, retention_for
 from ..routing.router import Router
 from ..storage.boot import BootMoment, boot_moment
@@ -106,8 +106,8 @@
         self.is_warm = True
         log.info(
             "warm start: took stores=%d objects=%d keys=%d age_ms=%.0f",
-            len(document.learnt.stores),
-            len(document.learnt.objects),
+            len(document.learned_state.stores),
+            len(document.learned_state.objects),
             len(self.keys.found),
             age_ms,
         )
--- a/gladelane/recovery/warm_start.py
+++ b/gladelane/recovery/warm_start.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ..hot_restart.learnt import Learnt, restore
+from ..hot_restart.learned_state import LearnedState, restore
 from ..routing.cache_admission import AGEING_MS, FORGET_BELOW
 from ..routing.events import Settings
 from ..routing.router import Router
@@ -34,7 +34,7 @@
     name: str  # the director's, with its address
     settings: str  # digest of the settings under which it was learnt
     written_ms: float  # Unix ms
-    learnt: Learnt
+    learned_state: LearnedState
     boot: str = ""  # with since_ms: the same moment as a BootMoment
     since_ms: float = 0.0
 
@@ -74,7 +74,7 @@
     return ""
 
 
-def decayed(learnt: Learnt, age_ms: float) -> Learnt:
+def decayed(learnt: LearnedState, age_ms: float) -> LearnedState:
     """What of it is still true after `age_ms`."""
     factor = 0.5 ** (age_ms / AGEING_MS)
     objects = [
@@ -93,7 +93,7 @@
     return msgspec.structs.replace(learnt, objects=objects, stores=stores)
 
 
-def with_moments_shifted(learnt: Learnt, by_ms: float) -> Learnt:
+def with_moments_shifted(learnt: LearnedState, by_ms: float) -> LearnedState:
     """With all moments moved, for a clock that was stepped since they were written."""
     stores = [
         msgspec.structs.replace(
@@ -117,12 +117,12 @@
     at once, none may have saved up for a retry storm."""
     same = sum(
         one.store in router.stores and router.stores[one.store].member.came_up_ms == one.came_up_ms
-        for one in document.learnt.stores
+        for one in document.learned_state.stores
     )
-    if same < SAME_SERVERS_SHARE * max(len(document.learnt.stores), len(router.stores), 1):
+    if same < SAME_SERVERS_SHARE * max(len(document.learned_state.stores), len(router.stores), 1):
         return f"{same} of {len(router.stores)} servers are the same"
     clock_step_ms = now_ms - age_ms - document.written_ms
-    learnt = with_moments_shifted(decayed(document.learnt, age_ms), clock_step_ms)
+    learnt = with_moments_shifted(decayed(document.learned_state, age_ms), clock_step_ms)
     retries, hedges = min(learnt.retries, router.budgets.retries), min(learnt.hedges, router.budgets.hedges)
     restore(router, msgspec.structs.replace(learnt, retries=retries, hedges=hedges))
     return ""
--- a/tests/data/stored/make.py
+++ b/tests/data/stored/make.py
@@ -29,7 +29,7 @@
 from gladelane.control_plane.http import Request as HttpRequest  # noqa: E402
 from gladelane.hot_restart.handover import Handover  # noqa: E402
 from gladelane.hot_restart.handover_file import HandoverFile  # noqa: E402
-from gladelane.hot_restart.learnt import take_snapshot  # noqa: E402
+from gladelane.hot_restart.learned_state import take_snapshot  # noqa: E402
 from gladelane.leases.messages import LeaseRequest, LeaseRequestBatch  # noqa: E402
 from gladelane.leases.server import LeaseServer  # noqa: E402
 from gladelane.recovery.state_store import StateStore  # noqa: E402
@@ -133,7 +133,7 @@
     folder.mkdir()
     document = Handover(DIRECTOR, NOW_MS, {"c1": NOW_MS - 5.0}, {"c2": NOW_MS - 4.0}, rev=3)
     document.keys = {"key": [KeyAttempt(NOW_MS - 3.0, "root")]}
-    document.learnt = take_snapshot(busy_router())
+    document.learned_state = take_snapshot(busy_router())
     assert HandoverFile(str(folder)).write(document)
 
 
--- a/tests/golden/test_upgrade_channel.py
+++ b/tests/golden/test_upgrade_channel.py
@@ -21,7 +21,7 @@
 from gladelane.hot_restart.decoding import MismatchError
 from gladelane.hot_restart.handover import Handover, decode, encode
 from gladelane.hot_restart.handover_file import FILE_NAME
-from gladelane.hot_restart.learnt import Learnt, ObjectLearnt, StoreLearnt
+from gladelane.hot_restart.learned_state import LearnedState, ObjectLearnedState, StoreLearnedState
 from gladelane.hot_restart.messages import MAY_HAVE_RUN, NEVER_RAN, Message, read_message
 from gladelane.hot_restart.rendezvous_socket import SOCKET_NAME
 
@@ -76,14 +76,14 @@
 }
 ORDERS = [name for name, (_, line) in MESSAGES.items() if b'"order"' in line]
 INSTANCE = Instance("cache-1", "127.0.0.1:5001", "edge", "box", "in_service", 3, 2.5, 5.5, ["[::1]:5001"])
-LEARNT = Learnt(
+LEARNT = LearnedState(
     1.5,
     0.25,
     1e6,
     (2.5, 3.5),
     {"film": 0.75},
-    [StoreLearnt("cache-1", 5.0, 0.5, 0.25, 0.125, 6.0, 7.0, 500.0, 8.0, 2.0, True, (1.5, 9.0, 0.0))],
-    [ObjectLearnt(2**64 - 1, 3.0, 0.5, 2, 4, False, 1.25)],
+    [StoreLearnedState("cache-1", 5.0, 0.5, 0.25, 0.125, 6.0, 7.0, 500.0, 8.0, 2.0, True, (1.5, 9.0, 0.0))],
+    [ObjectLearnedState(2**64 - 1, 3.0, 0.5, 2, 4, False, 1.25)],
 )
 #: a hand-over, and its file: magic, version, length and checksum; then the payload
 HANDOVERS: dict[str, tuple[Handover, str]] = {
--- a/tests/hot_restart/test_clock_across_processes.py
+++ b/tests/hot_restart/test_clock_across_processes.py
@@ -1,5 +1,5 @@
-"""Two processes of one director that started at different wall clocks, as a step between the starts makes them:
-windows of keyed requests and what was learnt go over all the same."""
+"""Two processes of one director that started at different wall clocks, as a step between the starts makes
+them: windows of keyed requests and what was learnt go over all the same."""
 
 from __future__ import annotations
 
@@ -145,9 +145,9 @@
         limits: Any = SimpleNamespace(cap=1, max_buffered_bytes=1.0)
         self.coordinator = RestartCoordinator(str(folder), "n0", self.clock, director, limits, limits, limits)
 
-    def receive(self, word: str, at_ms: float, boot_id: str = "", zero_ms: float = 0.0) -> None:
+    def receive(self, operation: str, at_ms: float, boot_id: str = "", zero_ms: float = 0.0) -> None:
         message = Message(
-            "order", word=word, store="r0", key="k", at_ms=at_ms, boot_id=boot_id, zero_ms=zero_ms
+            "order", operation=operation, store="r0", key="k", at_ms=at_ms, boot_id=boot_id, zero_ms=zero_ms
         )
         self.coordinator.on_message(message)
 
--- a/tests/hot_restart/test_handover_faults.py
+++ b/tests/hot_restart/test_handover_faults.py
@@ -26,7 +26,7 @@
 from gladelane.hot_restart import coordinator, rendezvous_socket
 from gladelane.hot_restart.handover import Handover, missing_requests, to_shared_time
 from gladelane.hot_restart.handover_file import FILE_NAME, HandoverFile
-from gladelane.hot_restart.learnt import Learnt, split_off
+from gladelane.hot_restart.learned_state import LearnedState, split_learned_state
 from gladelane.lab.processes import START_S
 
 NOW_MS = 1.7e12
@@ -44,7 +44,7 @@
     file = HandoverFile(str(tmp_path))
     document = Handover(NAME, NOW_MS, {"c1": NOW_MS})
     assert file.write(document)
-    later = msgspec.structs.replace(document, out={"c2": NOW_MS})
+    later = msgspec.structs.replace(document, maintenance_started_ms={"c2": NOW_MS})
     with monkeypatch.context() as broken:
         broken.setattr(os, call, failing)
         assert not any(file.write(later) for _ in range(3))
@@ -85,7 +85,7 @@
             assert file.read(NAME) is None
         await asyncio.sleep(0.05)
         stored = file.read(NAME)
-        assert stored is not None and stored.out == {"c1": NOW_MS}
+        assert stored is not None and stored.maintenance_started_ms == {"c1": NOW_MS}
         one.close()
 
     asyncio.run(scene())
@@ -96,7 +96,7 @@
 
 RETENTION_MS = 5000.0
 UNSTORED = "the former process stored no hand-over"
-SILENT = "the former process gave nothing over"
+SILENT = "the former process handed nothing over"
 MEETINGS = 3
 
 
@@ -110,7 +110,7 @@
         self.register = MaintenanceRegister()
         self.heard: list[AdminRequest] = []
         self.refused_until_ms = 0.0
-        self.taken: list[Learnt | None] = []
+        self.taken: list[LearnedState | None] = []
         director: Any = SimpleNamespace(
             register=self.register,
             router=self.router,
@@ -143,8 +143,8 @@
         given = self.coordinator.connect()
         assert given is not None
         given.close()
-        handed = self.coordinator._inherited
-        self.taken = [handed.learnt if handed is not None else None]
+        handed = self.coordinator._inherited_handover
+        self.taken = [handed.learned_state if handed is not None else None]
         await until(lambda: len(self.heard) >= orders)
         self.coordinator.close()
 
@@ -236,7 +236,9 @@
             await until(written.is_set)
         assert side.file.read(NAME) is None, "the loop goes on while it is written"
         release.set()
-        await until(lambda: (stored := side.file.read(NAME)) is not None and len(stored.out) == 2)
+        await until(
+            lambda: (stored := side.file.read(NAME)) is not None and len(stored.maintenance_started_ms) == 2
+        )
         side.coordinator.close()
 
     asyncio.run(scene())
@@ -257,7 +259,7 @@
         side.coordinator.share_admin_request(AdminRequest(AdminAction.MAINT, "c1"))
         side.coordinator.close()
         stored = side.file.read(NAME)
-        assert stored is not None and stored.out.keys() == {"c1"}
+        assert stored is not None and stored.maintenance_started_ms.keys() == {"c1"}
 
     asyncio.run(scene())
 
@@ -271,7 +273,7 @@
         (Handover(NAME, 1.0, {"a": 1.0}), {}, {"a": 2.0}, False, ["maint a", "ready a"]),
         (Handover(NAME, 1.0, {}, {"a": 1.0}), {"a": 2.0}, {}, False, ["maint a"]),
         (Handover(NAME, 1.0, {}, {"a": 1.0}), {}, {"a": 2.0}, False, ["maint a", "ready a"]),
-        (Handover(NAME, 1.0, failed_ms=1.0), {}, {}, False, ["ok"]),
+        (Handover(NAME, 1.0, draining_since_ms=1.0), {}, {}, False, ["ok"]),
     ],
 )
 def test_the_orders_that_a_stored_hand_over_lacks(
@@ -287,13 +289,14 @@
 
 def remember_for_long(made: Upgrade) -> None:
     """A process that starts from now on refuses keys that it may not know for longer than any step of a test
-    takes on a busy machine. Usual settings would let it take them for new ones 5 s after its start, which is right:
-    no client asks so late."""
+    takes on a busy machine. Usual settings would let it take them for new ones 5 s after its start, which is
+    right: no client asks so late."""
     made.director.raw["settings"]["classes"][1]["deadline_ms"] = 1000.0 * 10 * START_S
 
 
 async def is_met_without_a_hand_over(has_earlier: bool) -> bool:
-    """False where a busy machine held the old process up for longer than a new one waits for it: they never met."""
+    """False where a busy machine held the old process up for longer than a new one waits for it: they never
+    met."""
     origin = Origin()
     async with upgrade(origin, 1, has_parent=False) as made:
         director = made.director
@@ -375,7 +378,7 @@
     monkeypatch.setattr(rendezvous_socket, "REPLY_TIMEOUT_S", 0.05 if answer is None else 5.0)
     new = Side(tmp_path)
     if has_earlier:
-        earlier = Handover(NAME, NOW_MS, {"c2": NOW_MS}, learnt=split_off(new.router))
+        earlier = Handover(NAME, NOW_MS, {"c2": NOW_MS}, learned_state=split_learned_state(new.router))
         assert new.file.write(to_shared_time(earlier, new.clock))
 
     def old(listener: socket.socket) -> None:
@@ -390,8 +393,8 @@
         assert new.coordinator.connect() is None
         assert new.refused_until_ms == new.clock.now() + RETENTION_MS
         assert ("c2" in new.register.out) == has_earlier
-        inherited = new.coordinator._inherited
-        assert inherited is None or inherited.learnt is None, "its budgets may be another process's"
+        inherited = new.coordinator._inherited_handover
+        assert inherited is None or inherited.learned_state is None, "its budgets may be another process's"
         new.coordinator.close()
 
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as listener:
--- a/tests/hot_restart/test_hold_ups.py
+++ b/tests/hot_restart/test_hold_ups.py
@@ -1,5 +1,6 @@
-"""A process that is held up, as by the start of a new version beside it, reads all that came meanwhile at once.
-What lay unread here is no lateness of the servers: neither their limits nor their health are to pay for it."""
+"""A process that is held up, as by the start of a new version beside it, reads all that came meanwhile at
+once. What lay unread here is no lateness of the servers: neither their limits nor their health are to pay for
+it."""
 
 from __future__ import annotations
 
--- a/tests/hot_restart/test_keys_across_processes.py
+++ b/tests/hot_restart/test_keys_across_processes.py
@@ -1,5 +1,5 @@
-"""A keyed request whose first try left one process and whose retry reaches the other: the retry counts from the
-first try's window, whichever of the two came first and however the first one ended."""
+"""A keyed request whose first try left one process and whose retry reaches the other: the retry counts from
+the first try's window, whichever of the two came first and however the first one ended."""
 
 from __future__ import annotations
 
@@ -24,7 +24,8 @@
 
 WINDOW_S = CLASSES[1]["window_ms"] / 1000.0
 KEY = "5eed" * 8
-#: a client leaves a connection that had no request for 4 s, by the protocol; the director closes one after 4.2 s
+#: a client leaves a connection that had no request for 4 s, by the protocol; the director closes one after
+#: 4.2 s
 REST_S = 3.5
 
 
@@ -79,8 +80,8 @@
         self.clients[number] = Connection(client, used_s)
 
     async def _connection(self, number: int) -> Client:
-        """To that process, and not rested for so long that a request could meet its close: starts of processes
-        and waits for windows take what the machine needs."""
+        """To that process, and not rested for so long that a request could meet its close: starts of
+        processes and waits for windows take what the machine needs."""
         if time.monotonic() - self.clients[number].used_s > REST_S:
             self.clients[number].client.writer.close()
             await self.connect(number)
@@ -109,7 +110,8 @@
 
 @asynccontextmanager
 async def upgrade(origin: Origin, processes: int = 2, has_parent: bool = True) -> AsyncIterator[Upgrade]:
-    """`has_parent`: a server is listed that refuses all connections, and so counts as down once it was tried."""
+    """`has_parent`: a server is listed that refuses all connections, and so counts as down once it was
+    tried."""
     with tempfile.TemporaryDirectory() as folder:
         servers = {"c0": await Cache(hit).start(), "r0": await origin.start()}
         if has_parent:
@@ -201,8 +203,8 @@
             new.close()
 
 
-def keyed(number: int, word: str = MAY_HAVE_RUN) -> Message:
-    return Message("order", word=word, store="r0", key=f"{number:032x}", at_ms=float(number))
+def keyed(number: int, operation: str = MAY_HAVE_RUN) -> Message:
+    return Message("order", operation=operation, store="r0", key=f"{number:032x}", at_ms=float(number))
 
 
 @trial
@@ -246,8 +248,8 @@
     heard: list[Message] = []
     async with two_channels(heard) as (old, _):
         for peer in old._peers:
-            peer.reads_keys = False  # as its hello says that has no such word
-        order = Message("order", word="maint", store="c0")
+            peer.reads_key_updates = False  # as its hello says that has no such word
+        order = Message("order", operation="maint", store="c0")
         old.broadcast(keyed(1))
         old.broadcast(order)
         await until(lambda: heard)
--- a/tests/hot_restart/test_two_processes.py
+++ b/tests/hot_restart/test_two_processes.py
@@ -122,13 +122,14 @@
         with pytest.raises(HandoverError):
             read_message(b'{"kind":"order","version":0}', "n0")
         assert read_message(b'{"kind":"order","word":"maint","store":"x"}', "n0") == Message(
-            "order", word="maint", store="x"
+            "order", operation="maint", store="x"
         )
         made[0].close()
 
 
 async def asked(cache: Cache, port: int, first: int) -> int:
-    """How many of twenty requests came to this cache. One that is refused, as on a slow machine, is asked again."""
+    """How many of twenty requests came to this cache. One that is refused, as on a slow machine, is asked
+    again."""
     before = len(cache.seen)
     client, stream = await Client.to(port), 0
     for number in range(first, first + 20):
@@ -230,7 +231,7 @@
                 await director.serving()
             await asyncio.sleep(0.1)
             if how == "torn":  # nothing of it is taken, and that is said once
-                assert director.log().count("hand-over is passed over: ends at byte") == 1
+                assert director.log().count("hand-over is ignored: ends at byte") == 1
                 assert (await director.figures())["hosts_down"] == 0
                 return
             if how != "killed":
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -14,7 +14,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gladelane.hot_restart.learnt import take_snapshot
+from gladelane.hot_restart.learned_state import take_snapshot
 from gladelane.lab.simdisk import SimDisk
 from gladelane.purges.backfill import BackfillSchedule
 from gladelane.purges.purge import Purge
--- a/tests/routing/test_cold.py
+++ b/tests/routing/test_cold.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gladelane.hot_restart.learnt import restore, split_off, take_snapshot
+from gladelane.hot_restart.learned_state import restore, split_learned_state, take_snapshot
 from gladelane.lab.cold import (
     KINDS,
     START_MS,
@@ -483,7 +483,7 @@
     after, beside = Driver(members(2)).router, Driver(members(2)).router
     restore(after, take_snapshot(old))
     assert after.stores["c0"].tokens.left == 0.0
-    restore(beside, split_off(old))
+    restore(beside, split_learned_state(old))
     assert beside.stores["c0"].tokens.left == old.stores["c0"].tokens.left == 40.0
 
 
--- a/tests/storage/test_stored_forms.py
+++ b/tests/storage/test_stored_forms.py
@@ -97,6 +97,8 @@
 
 def test_a_hand_over(stored: Path) -> None:
     document = HandoverFile(str(stored / "handover")).read(DIRECTOR)
-    assert document is not None and document.out == {"c1": NOW_MS - 5.0} and document.rev == 3
+    assert (
+        document is not None and document.maintenance_started_ms == {"c1": NOW_MS - 5.0} and document.rev == 3
+    )
     assert document.keys == {"key": [(NOW_MS - 3.0, "root")]}
-    assert document.learnt is not None and len(document.learnt.objects) == 5
+    assert document.learned_state is not None and len(document.learned_state.objects) == 5
