--- a/gladelane/lab/leases.py
+++ b/gladelane/lab/leases.py
@@ -68,7 +68,7 @@
 
     def copy(self) -> _ModelAcceptor:
         made = copy.copy(self)
-        made.tokens, made.peers_heard = dict(self.tokens), set(self.peers_heard)
+        made.tokens, made.synced_peers = dict(self.tokens), set(self.synced_peers)
         made._grants = dict(self._grants)
         return made
 
@@ -77,7 +77,7 @@
             tuple(self.tokens.items()),
             tuple(self._grants.items()),
             self._ready_from_ms,
-            tuple(sorted(self.peers_heard)),
+            tuple(sorted(self.synced_peers)),
         )
 
 
@@ -194,7 +194,7 @@
     for name in names:
         server = _ModelAcceptor(name, SERVER_COUNT, LEASE_MS, 0.0)
         server.fault = fault
-        server.peers_heard = set(names) - {name}
+        server.synced_peers = set(names) - {name}
         world.servers.append(server)
     for client in range(CLIENT_COUNT):
         name, rng = f"c{client}", _ShortestDelays(0)
@@ -256,7 +256,7 @@
 def _peer_replies(world: World) -> Iterator[tuple[str, World]]:
     for place, server in enumerate(world.servers):
         for peer in world.servers:
-            if peer is not server and peer.name not in server.peers_heard:
+            if peer is not server and peer.name not in server.synced_peers:
                 later = world.copy()
                 later.servers[place].learn_tokens(peer.name, peer.tokens)
                 yield f"{server.name} learns from {peer.name}", later
--- a/gladelane/leases/acceptor.py
+++ b/gladelane/leases/acceptor.py
@@ -1,16 +1,16 @@
-"""The decisions of one lease server, of which a majority has to grant a lease. Pure.
+"""The decisions of one lease server. A lease is held once a majority of the servers has granted it. Pure.
 
 The scheme is close to PaxosLease (Trencseni, Gazso and Reinhardt, arXiv:1209.4187, 2012), but fencing tokens
-are stored. A server grants a fencing token once: it is higher than any that the server has seen for the
-resource, and no other lease on the resource is active. Two majorities share a server, so no two holders have
-the same token.
-
-Leases themselves are not stored. A server that starts therefore waits for the longest lease to end, whatever
-its disk has, and asks its peers for the tokens that they know. It grants once it has heard `recovery_quorum`
-of them, because every majority that granted without it contains one of these. A server that has lost its disk
-recovers all tokens in this way. If several servers lose their disks at the same time, a token could be known
-to none of them; such a server uses the wall clock in milliseconds as a lower bound, which is above any token
-that was counted up from 1.
+are stored. A server grants a fencing token only once: the token has to be higher than any that the server has
+seen for the resource, and no other lease on the resource may be active. Any two majorities share a server, so
+no two holders have the same token.
+
+Leases themselves are not stored. A server that starts therefore waits for the longest possible lease to end,
+regardless of what is on its disk, and asks its peers for the tokens that they know. It grants leases once
+`recovery_quorum` peers have answered, because every majority that granted without this server contains one of
+them. A server that has lost its disk recovers all tokens in this way. If several servers lose their disks at
+the same time, a token may be unknown to all of them. A server that has lost its disk therefore uses the wall
+clock in milliseconds as a lower bound, which is above any token that was counted up from 1.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Grant(msgspec.Struct, frozen=True):
-    """A lease that this server granted, until `expires_ms` of the server's own clock."""
+    """A lease that this server granted until `expires_ms`, a time of its own clock."""
 
     holder: str
     fencing_token: int
@@ -36,16 +36,16 @@
 
 
 class AcceptorDecision(msgspec.Struct, frozen=True):
-    """A reply, and whether the token of the request has to be stored before the reply is sent."""
+    """A reply. If `is_new_token`, the token of the request has to be stored before the reply is sent."""
 
     reply: LeaseReply
     is_new_token: bool
 
 
 class LeaseAcceptor:
-    """Grants, renews and releases leases, and knows the highest fencing token of each resource.
+    """Grants, renews and releases leases, and tracks the highest fencing token of each resource.
 
-    Times are in milliseconds of this server's clock, which is never set.
+    Times are in milliseconds of this server's clock, which is monotonic.
     """
 
     def __init__(
@@ -57,47 +57,48 @@
         tokens: Mapping[str, int] | None = None,
         disk_lost_unix_ms: float = 0.0,
     ) -> None:
-        """Starts from the stored tokens, by resource.
+        """`tokens` are the stored tokens by resource, and `server_count` includes this server.
 
-        `server_count` includes this server. `disk_lost_unix_ms` is the wall clock at the start if the disk
-        of this server is known to be lost, else 0.
+        `disk_lost_unix_ms` is the wall clock at the start if this server is known to have lost its disk, else
+        0.
         """
         self.name, self.max_lease_ms = name, max_lease_ms
         self.tokens = dict(tokens or {})
         self.token_floor = int(disk_lost_unix_ms)
-        self.peers_heard: set[str] = set()
-        self._peers_needed = recovery_quorum(server_count)
+        self.synced_peers: set[str] = set()
+        self._required_peers = recovery_quorum(server_count)
         self._ready_from_ms = server_expiry_ms(now_ms, max_lease_ms)
         self._grants: dict[str, Grant] = {}
 
     def learn_tokens(self, peer: str, tokens: Mapping[str, int]) -> None:
-        """Takes over the tokens of a peer that answered after the start of this server."""
-        self.peers_heard.add(peer)
+        """Merges the tokens of a peer that answered after the start of this server."""
+        self.synced_peers.add(peer)
         for resource, fencing_token in tokens.items():
             self.tokens[resource] = max(self.tokens.get(resource, 0), fencing_token)
 
     def is_ready(self, now_ms: float) -> bool:
-        """Returns whether this server may grant leases: earlier leases have ended, and peers were heard."""
-        return now_ms >= self._ready_from_ms and len(self.peers_heard) >= self._peers_needed
+        """Returns whether this server may grant leases: earlier leases have ended, and enough peers
+        answered."""
+        return now_ms >= self._ready_from_ms and len(self.synced_peers) >= self._required_peers
 
     def highest_token(self, resource: str) -> int:
-        """Returns the highest fencing token that may have been granted for a resource."""
+        """Returns an upper bound of the fencing tokens that were granted for a resource."""
         return max(self.tokens.get(resource, 0), self.token_floor)
 
     def active_grant(self, resource: str, now_ms: float) -> Grant | None:
-        """Returns the grant that has not expired, if there is one."""
+        """Returns the grant for a resource, or None if there is none or it has expired."""
         grant = self._grants.get(resource)
         return grant if grant is not None and now_ms < grant.expires_ms else None
 
     def is_granted(self, request: LeaseRequest) -> bool:
-        """Returns whether the last grant for a resource is the one that a request asks for."""
+        """Returns whether the latest grant for the resource of a request belongs to that request."""
         grant = self._grants.get(request.resource)
         return grant is not None and grant.belongs_to(request)
 
     def revoke_grant(self, resource: str, fencing_token: int) -> None:
-        """Removes a grant whose token could not be stored, so that no reply may confirm it.
+        """Removes a grant whose token could not be stored, so that no reply confirms it.
 
-        The token stays used: it is not granted a second time.
+        The token counts as used and is not granted a second time.
         """
         grant = self._grants.get(resource)
         if grant is not None and grant.fencing_token == fencing_token:
@@ -121,7 +122,7 @@
         return AcceptorDecision(self._reply(request, is_granted, active, now_ms), is_new_token)
 
     def _release(self, request: LeaseRequest, active: Grant | None) -> Grant | None:
-        """Ends the active grant if it is the one to release; returns the grant that remains."""
+        """Ends the active grant if it belongs to the request; returns the grant that is active afterwards."""
         if active is None or not active.belongs_to(request):
             return active
         del self._grants[request.resource]
--- a/gladelane/leases/client.py
+++ b/gladelane/leases/client.py
@@ -1,7 +1,7 @@
-"""A director's leases: sends the requests of all its lease state machines to every lease server.
+"""The lease client of a director, which sends the requests of its lease state machines to every lease server.
 
-The decisions are those of `lease`; this module does the calls. What a holder has done so far travels with its
-renewals as progress, and a new holder receives it with its first grant.
+The state machines are those of `lease`; this module does the calls. A holder reports its progress with its
+renewals, and a new holder receives that progress with its first grant.
 """
 
 from __future__ import annotations
@@ -28,21 +28,22 @@
 
 TICK_S = 0.05
 REPLY_TIMEOUT_S = 0.5
-QUORUM_LOST_AFTER_LEASES = 2.0  # durations without a majority, after which no director can hold a lease
+QUORUM_LOST_AFTER_LEASES = 2.0  # lease durations without a majority until no director can hold a lease
 
 
 class ProgressHandler(Protocol):
-    """The work that leases are for, as far as its progress is handed from one holder to the next."""
+    """Exports and imports the progress of the leased work, so that a new holder continues where the last one
+    stopped."""
 
     def export_progress(self, resource: str) -> str:
-        """Returns what the next holder of a resource has to know; empty if there is nothing."""
+        """Returns the progress that the next holder of a resource needs; empty if there is none."""
 
     def import_progress(self, resource: str, text: str) -> None:
-        """Takes over what the last holder of a resource exported."""
+        """Applies the progress that the last holder of a resource exported."""
 
 
 class _ServerAddress(NamedTuple):
-    """Where a lease server listens."""
+    """The address of a lease server."""
 
     host: str
     port: int
@@ -51,8 +52,8 @@
 class LeaseClient:
     """Acquires, renews and releases the leases of one director.
 
-    `progress_handler` may be set before `start`, for work whose progress is handed over. Times
-    are in milliseconds of a clock that is never set.
+    `progress_handler` may be set before `start`, for work whose progress is handed over. Times are in
+    milliseconds of a monotonic clock.
     """
 
     def __init__(
@@ -65,10 +66,8 @@
         steady_clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        """`ranks` has this director's rank for each resource that it may hold.
-
-        `servers` are hosts and ports.
-        """
+        """`ranks` has this director's rank for each resource that it may hold. `servers` are hosts and
+        ports."""
         now_ms = steady_clock()
         self.progress_handler: ProgressHandler | None = None
         self._servers = [_ServerAddress(*address) for address in servers]
@@ -78,19 +77,19 @@
             resource: Lease(resource, name, len(self._servers), duration_ms, rng, now_ms, rank)
             for resource, rank in ranks.items()
         }
-        # Servers count as reachable at first, so that no director acts without a lease at its start.
+        # Servers count as reachable at first: a director that starts must not act as if the quorum was lost.
         self._last_reply_ms = dict.fromkeys(self._servers, now_ms)
         self._last_round_ms = now_ms
         self._received_progress: dict[str, ResourceProgress] = {}
-        self._announced_tokens: dict[str, int] = {}  # of the leases that were held at the last look
+        self._announced_tokens: dict[str, int] = {}  # of leases held at the last check
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begins to acquire leases."""
+        """Starts acquiring leases."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Releases all leases, so that other directors may claim them at once."""
+        """Stops, and releases all leases so that other directors can claim them at once."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -104,25 +103,26 @@
         return lease is not None and lease.is_held(self._steady_clock())
 
     def has_lost_quorum(self) -> bool:
-        """Returns whether no majority of servers has replied lately, so that no director can hold a lease."""
+        """Returns whether no majority of servers has replied recently, so that no director can hold a
+        lease."""
         oldest_ms = self._steady_clock() - QUORUM_LOST_AFTER_LEASES * self._duration_ms
-        reachable = sum(replied_ms >= oldest_ms for replied_ms in self._last_reply_ms.values())
-        return reachable < majority(len(self._servers))
+        reachable_count = sum(replied_ms >= oldest_ms for replied_ms in self._last_reply_ms.values())
+        return reachable_count < majority(len(self._servers))
 
     async def _run(self) -> None:
         while True:
             try:
                 await self._run_round()
-            except Exception:  # a loop that ended would hold no lease until the process is restarted
-                log.exception("owner failed")
+            except Exception:  # without this loop no lease is held until the process is restarted
+                log.exception("lease client failed")
             await asyncio.sleep(TICK_S)
 
     async def _run_round(self) -> None:
-        """Sends what is due, and the requests that follow from the replies."""
+        """Sends the requests that are due, then those that follow from the replies."""
         now_ms = self._steady_clock()
         requests = [request for lease in self._leases.values() if (request := lease.next_request(now_ms))]
         if not requests and now_ms - self._last_round_ms >= self._duration_ms:
-            await self._call_all([])  # a director that waits has to know whether the servers are reachable
+            await self._call_all([])  # a waiting director has to know whether the servers are reachable
         while requests:
             requests = await self._call_all(requests)
         self._announce_changes()
@@ -153,7 +153,7 @@
         return list(next_requests.values())
 
     def _progress_of(self, requests: list[LeaseRequest]) -> dict[str, str]:
-        """Returns the progress of the resources that are to be renewed, where there is some."""
+        """Returns the progress of the resources that are to be renewed, without empty ones."""
         if self.progress_handler is None:
             return {}
         renewed = [
@@ -188,21 +188,21 @@
             )
             batch = reply_batch_decoder.decode(answer)
         except CALL_ERRORS as error:
-            log.debug("keeper did not answer feed=%s:%d: %s", *server, error)
+            log.debug("lease server did not answer feed=%s:%d: %s", *server, error)
             return None
         self._last_reply_ms[server] = self._steady_clock()
         return batch
 
     def _announce_changes(self) -> None:
-        """Logs the leases that were gained or lost, and hands the progress of a new one to its work."""
+        """Logs the leases that were gained or lost, and imports the progress of those that were gained."""
         for resource, lease in self._leases.items():
             is_held = self.is_held(resource)
             if is_held and self._announced_tokens.get(resource) != lease.fencing_token:
                 self._announced_tokens[resource] = lease.fencing_token
                 self._import_progress(resource, lease.fencing_token)
-                log.info("owner of work=%s number=%d", resource, lease.fencing_token)
+                log.info("acquired the lease of work=%s number=%d", resource, lease.fencing_token)
             elif not is_held and self._announced_tokens.pop(resource, 0):
-                log.warning("no longer owner of work=%s", resource)
+                log.warning("lost the lease of work=%s", resource)
 
     def _import_progress(self, resource: str, fencing_token: int) -> None:
         progress = self._received_progress.pop(resource, None)
--- a/gladelane/leases/fencing.py
+++ b/gladelane/leases/fencing.py
@@ -1,7 +1,7 @@
-"""Fencing: rejects operations whose token is lower than the highest token that was seen.
+"""Fencing, which rejects operations whose token is lower than the highest token seen so far.
 
-A holder that was paused past the end of its lease may still send an operation that it began. Whoever executes
-operations makes that harmless by the check below (M. Kleppmann, "How to do distributed locking", 2016; the
+A holder that was paused past the end of its lease may still send an operation that it started before. The
+executor of operations rejects it by the check below (M. Kleppmann, "How to do distributed locking", 2016; the
 sequencers of M. Burrows, "The Chubby lock service", OSDI 2006). Pure.
 """
 
@@ -14,8 +14,8 @@
     """Remembers the highest fencing token for each resource and rejects lower ones.
 
     The caller stores a token for which `is_new_token` is true before it executes the operation, and passes
-    the stored tokens to the constructor after a restart. An operation that a holder began under an earlier
-    lease of its own is rejected like that of any other holder.
+    the stored tokens to the constructor after a restart. An operation that a holder started under an earlier
+    lease of its own is rejected like one of any other holder.
     """
 
     def __init__(self, tokens: Mapping[str, int] | None = None) -> None:
--- a/gladelane/leases/lease.py
+++ b/gladelane/leases/lease.py
@@ -1,16 +1,18 @@
-"""The client's side of one lease: when to send which request, and until when the lease is held. Pure.
+"""The client's state machine for one lease: when to send which request, and until when the lease is held.
+Pure.
 
     IDLE -> QUERYING -> CLAIMING -> HELD
 
 A client first asks all servers for the highest fencing token of the resource, and for its holder. If a
 majority answers and nobody holds the lease, the client claims the next token at all servers. The lease is
-held once a majority of servers has granted it. It is counted from before the first claim was sent, less the
-clock drift. A claim that fails is released, and the next attempt waits for a random time, so that clients
-which failed together do not collide again. While another client holds the lease, a client of a near rank
-asks again after half a duration at the latest, since the holder may have released the lease. A lease that
-ends sooner than that is awaited to its end, and clients of a lower rank then ask earlier.
-
-The order of query and claim is that of Paxos; see `acceptor` for the source.
+held once a majority of servers has granted it. Its duration is counted from the time before the first claim
+was sent, less the clock drift. A claim that fails is released, and the next attempt waits for a random time,
+so that clients which failed together do not collide again. While another client holds the lease, a client of
+a near rank asks again after half a lease duration at the latest, since the holder may have released the
+lease. If the lease ends sooner than that, the client waits until its end, and clients of a lower rank then
+ask earlier.
+
+Query and claim follow the two phases of Paxos; see `acceptor` for the source.
 """
 
 from __future__ import annotations
@@ -24,16 +26,16 @@
 RENEWAL_FRACTION = 1.0 / 3.0  # of the duration, after which a lease is renewed
 REPLY_TIMEOUT_MS = 400.0
 MIN_RETRY_MS, MAX_RETRY_MS = 50.0, 350.0  # after a failed attempt
-LOOK_FRACTION = 1.0 / 2.0  # of the duration, after which a near rank looks whether a lease was released
-LOOK_JITTER_FRACTION = 1.0 / 6.0  # by which a look comes earlier at most, so that clients get out of step
-NEAR_RANKS = 4  # the ranks up to this one are near: they take over from one another
-NEAR_RANK_DELAY_MS = 150.0  # by which each near rank asks later than the one before it
-FAR_RANK_DELAY_MS = 20.0  # by which each further rank asks later than the one before it
-FAR_RANK_WAIT_LEASES = 5.0  # durations for which a far rank does not ask again while a lease is active
+RECHECK_FRACTION = 1.0 / 2.0  # of the duration, after which a near rank checks whether a lease was released
+MAX_RECHECK_JITTER_FRACTION = 1.0 / 6.0  # of the duration; checks come earlier to desynchronize the clients
+MAX_NEAR_RANK = 4  # clients up to this rank take over from one another
+NEAR_RANK_DELAY_MS = 150.0  # of each near rank relative to the rank before it
+FAR_RANK_DELAY_MS = 20.0  # of each far rank relative to the rank before it
+FAR_RANK_WAIT_LEASES = 5.0  # lease durations for which a far rank waits while a lease is active
 
 
 class LeasePhase(Enum):
-    """What a client is doing about a lease."""
+    """The state of a client with regard to one lease."""
 
     IDLE = "idle"
     QUERYING = "querying"
@@ -43,13 +45,13 @@
 
 def rank_delay_ms(rank: int) -> float:
     """Returns how much later than rank 0 a client of this rank asks for a lease."""
-    return NEAR_RANK_DELAY_MS * min(rank, NEAR_RANKS) + FAR_RANK_DELAY_MS * max(rank - NEAR_RANKS, 0)
+    return NEAR_RANK_DELAY_MS * min(rank, MAX_NEAR_RANK) + FAR_RANK_DELAY_MS * max(rank - MAX_NEAR_RANK, 0)
 
 
 class Lease:
     """The state machine of one client for the lease on one resource.
 
-    Times are in milliseconds of the client's clock, which is never set. The caller sends each request that a
+    Times are in milliseconds of the client's clock, which is monotonic. The caller sends each request that a
     method returns to all servers, and passes every reply to `handle_reply`.
     """
 
@@ -80,11 +82,13 @@
         self._refused_by: set[str] = set()
 
     def is_held(self, now_ms: float) -> bool:
-        """Returns whether this client holds the lease; to be asked before each operation under it."""
+        """Returns whether this client holds the lease. Has to be called before each operation under the
+        lease."""
         return self.phase is LeasePhase.HELD and now_ms < self.expires_ms
 
     def next_request(self, now_ms: float) -> LeaseRequest | None:
-        """Returns the request that is due, or None. To be called often; it ends attempts that timed out."""
+        """Returns the request that is due, or None. Must be called often, since it ends attempts that timed
+        out."""
         if self.phase is LeasePhase.HELD and now_ms >= self.expires_ms:
             self._schedule_retry(now_ms)
         if now_ms < self._next_action_ms:
@@ -118,7 +122,7 @@
         return None
 
     def stop(self) -> LeaseRequest | None:
-        """Gives the lease up for good; returns the release to send.
+        """Gives up the lease permanently; returns the release to send, if the lease was held.
 
         Another client may claim the lease once the release has arrived.
         """
@@ -128,7 +132,8 @@
         return self._release_request() if was_held else None
 
     def _is_expected(self, request: LeaseRequest) -> bool:
-        """Returns whether a reply to this request still matters, rather than one to an earlier attempt."""
+        """Returns whether a request belongs to the current attempt, so that replies to it are to be
+        applied."""
         if request.is_release:
             return False
         if self.phase is LeasePhase.QUERYING:
@@ -150,12 +155,12 @@
         return self._claim_request()
 
     def _wait_for_holder(self, remaining_ms: float, now_ms: float) -> None:
-        look_ms = LOOK_FRACTION * self.duration_ms
-        if self.rank <= NEAR_RANKS and remaining_ms > look_ms:
-            wait_ms = look_ms - self._rng.uniform(0.0, LOOK_JITTER_FRACTION * self.duration_ms)
+        recheck_ms = RECHECK_FRACTION * self.duration_ms
+        if self.rank <= MAX_NEAR_RANK and remaining_ms > recheck_ms:
+            wait_ms = recheck_ms - self._rng.uniform(0.0, MAX_RECHECK_JITTER_FRACTION * self.duration_ms)
         else:
             wait_ms = remaining_ms + rank_delay_ms(self.rank) + self._rng.uniform(MIN_RETRY_MS, MAX_RETRY_MS)
-        if self.rank > NEAR_RANKS:
+        if self.rank > MAX_NEAR_RANK:
             wait_ms += FAR_RANK_WAIT_LEASES * self.duration_ms
         self.phase, self._next_action_ms = LeasePhase.IDLE, now_ms + wait_ms
 
@@ -171,7 +176,7 @@
         self._next_action_ms = self._sent_ms + self.duration_ms * RENEWAL_FRACTION
 
     def _abandon_attempt(self, now_ms: float) -> LeaseRequest | None:
-        """Ends a query or a claim; returns the release of the claim, which some servers may have granted."""
+        """Ends a query or a claim; returns the release of a claim, since some servers may have granted it."""
         release = self._release_request() if self.phase is LeasePhase.CLAIMING else None
         self._schedule_retry(now_ms)
         return release
--- a/gladelane/leases/messages.py
+++ b/gladelane/leases/messages.py
@@ -2,9 +2,9 @@
 
     POST /leases          `LeaseRequestBatch`, answered by `LeaseReplyBatch` once new tokens are stored
     GET  /leases/numbers  `KnownTokens`, for a peer that has just started
-    GET  /leases          `LeaseServerStatus`, for commands
+    GET  /leases          `LeaseServerStatus`, for operators' commands
 
-The bodies are JSON. Fields keep the names that they had on the wire before they were renamed in the code.
+The bodies are JSON. Some fields have an older name on the wire than in the code.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 MAX_BATCH_REQUESTS = 512
 MAX_PROGRESS_CHARS = 65_536
-# A reply without a lease has to use this object: msgspec leaves out a default only if it is the same object.
+# A reply without a lease has to use this object: msgspec omits a default value only if it is the same object.
 NO_REMAINING_MS = 0.0
 
 
 class LeaseRequest(msgspec.Struct, frozen=True, omit_defaults=True):
     """A request of one client about one resource: a query, a claim, a renewal or a release.
 
-    `fencing_token` is 0 for a query, else the token that is claimed, renewed or released. A server grants at
-    most its own longest lease, whatever `duration_ms` says.
+    `fencing_token` is 0 for a query, otherwise the token that is claimed, renewed or released. A server
+    limits `duration_ms` to the longest lease that it grants.
     """
 
     resource: str = msgspec.field(name="work")
@@ -48,9 +48,9 @@
 
 
 class ResourceProgress(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """How far the work on a resource has come, as its holder under `fencing_token` reported it.
+    """The progress of the work on a resource, as reported by its holder under `fencing_token`.
 
-    Lease servers store the text for the next holder and do not interpret it.
+    Lease servers store the text for the next holder without interpreting it.
     """
 
     fencing_token: int
@@ -58,7 +58,8 @@
 
 
 class LeaseRequestBatch(msgspec.Struct, forbid_unknown_fields=True):
-    """Requests of one client. `progress` is the client's own, by resource; only that of grants is stored."""
+    """Requests of one client. `progress` is its progress by resource, stored only if the request is
+    granted."""
 
     requests: list[LeaseRequest] = msgspec.field(name="asks")
     progress: dict[str, str] = {}
@@ -67,7 +68,7 @@
 class LeaseReplyBatch(msgspec.Struct):
     """One reply for each request, in the same order.
 
-    `progress` has what the last holder reported, by resource, for the resources that were granted.
+    `progress` has the last reported progress by resource, for the resources that were granted.
     """
 
     replies: list[LeaseReply]
@@ -75,7 +76,7 @@
 
 
 class KnownTokens(msgspec.Struct):
-    """The highest fencing token and the last progress of each resource that a server knows."""
+    """The highest fencing token and the last progress that a server knows, by resource."""
 
     server: str = msgspec.field(name="keeper")
     tokens: dict[str, int] = msgspec.field(name="numbers")
@@ -83,7 +84,8 @@
 
 
 class LeaseStatus(msgspec.Struct):
-    """One resource as a server sees it. `holder` is empty and the times are 0 while no lease is active."""
+    """The state of one resource at a server. `holder` is empty and the times are 0 while no lease is
+    active."""
 
     resource: str = msgspec.field(name="work")
     fencing_token: int = msgspec.field(name="number")
--- a/gladelane/leases/options.py
+++ b/gladelane/leases/options.py
@@ -1,4 +1,4 @@
-"""The settings of leases in an operator's file."""
+"""The lease settings in an operator's file."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 
 
 class LeaseOptions(msgspec.Struct, frozen=True):
-    """`duration_ms` is that of a lease; `shard_count` is how many parts the purge orders are divided into."""
+    """`duration_ms` is the duration of a lease, and `shard_count` the number of shards of the purge
+    orders."""
 
     duration_ms: float = 3_000.0
     shard_count: int = 16
--- a/gladelane/leases/quorum.py
+++ b/gladelane/leases/quorum.py
@@ -1,8 +1,8 @@
-"""How many lease servers have to agree, and how the clocks of holders and servers are compared. Pure.
+"""Quorum sizes, and expiry times that allow for the clock drift between holders and servers. Pure.
 
-A holder counts its lease shorter than the duration it asked for, and a server counts it longer, so that two
-clocks which run apart by at most `CLOCK_DRIFT` never let two holders overlap. Times are in milliseconds of a
-clock that is never set and that goes on during sleep (CLOCK_BOOTTIME).
+A holder counts its lease shorter than the duration that it asked for, and a server counts it longer. Two
+leases therefore never overlap as long as the rates of any two clocks differ by at most `CLOCK_DRIFT`. Times
+are in milliseconds of a monotonic clock that continues during suspend (CLOCK_BOOTTIME).
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 
 
 def recovery_quorum(server_count: int) -> int:
-    """Returns how many peers a restarted server has to hear before it may grant.
+    """Returns how many peers have to answer a restarted server before it may grant leases.
 
-    Every majority that granted a lease without the restarted server contains at least one of them.
+    Every majority that granted a lease without the restarted server contains at least one of these peers.
     """
     return min(server_count - majority(server_count) + 1, server_count - 1)
 
@@ -30,5 +30,5 @@
 
 
 def server_expiry_ms(granted_ms: float, duration_ms: float) -> float:
-    """Returns when a server may grant a lease again that it granted at `granted_ms`."""
+    """Returns when a server may grant a resource again whose lease it granted at `granted_ms`."""
     return granted_ms + (duration_ms * (1.0 + CLOCK_DRIFT) + CLOCK_SLACK_MS)
--- a/gladelane/leases/server.py
+++ b/gladelane/leases/server.py
@@ -1,6 +1,6 @@
-"""A lease server as a part of a control server: HTTP handlers, storage and the first contact with its peers.
+"""The lease server, a part of a control server: HTTP handlers, storage and recovery from its peers.
 
-The decisions are those of `acceptor`. A token is stored before the reply that grants it leaves. While the
+The decisions are made by `acceptor`. A token is stored before the reply that grants it is sent. While the
 disk fails, leases whose token is stored are renewed, and no new token is granted.
 """
 
@@ -41,7 +41,7 @@
 
 
 class _Peer(NamedTuple):
-    """Where another lease server listens."""
+    """The address of another lease server."""
 
     host: str
     port: int
@@ -49,14 +49,14 @@
 
 
 class _GrantTime(NamedTuple):
-    """When a token was stored, in milliseconds of this server's clock."""
+    """The time at which a token was stored, in milliseconds of this server's clock."""
 
     fencing_token: int
     stored_ms: float
 
 
 class LeaseServer:
-    """Grants leases to the clients that call this server, together with its peers."""
+    """Grants leases to clients; a client needs the grants of a majority of the lease servers."""
 
     def __init__(
         self,
@@ -72,15 +72,16 @@
     ) -> None:
         """Recovers from the disk. Raises CorruptLogError, FolderInUseError and OSError.
 
-        `steady_clock` returns milliseconds of a clock that is never set. `peers` are hosts and ports.
-        `is_first_start` says that an empty disk was not lost, and `unix_ms` is the wall clock now.
+        `steady_clock` returns milliseconds of a monotonic clock. `peers` are hosts and ports.
+        `is_first_start` says that an empty disk is new and not a lost one. `unix_ms` is the current wall
+        clock.
         """
         self._auth_token, self._steady_clock = auth_token, steady_clock
         self._peers = [_Peer(host, port, tls) for host, port in peers]
         self.store = TokenStore(disk)
         is_disk_lost = self.store.is_empty and not is_first_start and unix_ms != 0.0
         if is_disk_lost:
-            log.error("keeper: the folder is empty, and nobody said that this is the first start")
+            log.error("lease server: the folder is empty although this is not declared as the first start")
         self.acceptor = LeaseAcceptor(
             name,
             len(self._peers) + 1,
@@ -94,7 +95,7 @@
         self._peer_sync: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begins to ask the peers for the tokens that this server's disk may have lost."""
+        """Starts asking the peers for the tokens that this server's disk may have lost."""
         self._peer_sync = asyncio.create_task(self._sync_with_peers())
 
     async def close(self) -> None:
@@ -113,18 +114,18 @@
         )
 
     def streams(self) -> Sequence[StreamRoute]:
-        """Returns the event streams of this part, of which there are none."""
+        """Returns no event streams: this part has none."""
         return ()
 
     def lease_statuses(self) -> list[LeaseStatus]:
-        """Returns what this server knows of each resource, sorted by name."""
+        """Returns the status of each resource that this server knows, sorted by name."""
         now_ms = self._steady_clock()
         return [self._lease_status(resource, now_ms) for resource in sorted(self.acceptor.tokens)]
 
     async def handle_requests(self, batch: LeaseRequestBatch) -> LeaseReplyBatch:
-        """Applies the requests of one client, and returns once every token that it grants is stored.
+        """Applies the requests of one client, and returns once every token that is granted is stored.
 
-        Raises HttpStatusError for a batch that is too large or has a request that cannot be.
+        Raises HttpStatusError for a batch that is too large or contains an invalid request.
         """
         if len(batch.requests) > MAX_BATCH_REQUESTS or any(
             len(text) > MAX_PROGRESS_CHARS for text in batch.progress.values()
@@ -162,7 +163,11 @@
 
     def _apply(self, request: LeaseRequest, progress: str, now_ms: float) -> LeaseReply:
         """Applies one request; stages its token and its progress if it is granted."""
-        if not _is_name(request.resource) or not _is_name(request.holder) or request.fencing_token < 0:
+        if (
+            not _is_valid_name(request.resource)
+            or not _is_valid_name(request.holder)
+            or request.fencing_token < 0
+        ):
             raise HttpStatusError(400, "work, holder, number; expected two short names and a number from 0")
         decision = self.acceptor.handle_request(request, now_ms)
         if decision.is_new_token:
@@ -172,28 +177,29 @@
         return decision.reply
 
     def _confirmed(self, request: LeaseRequest, reply: LeaseReply) -> LeaseReply:
-        """Returns the reply after the commit: a token that could not be stored is not granted."""
+        """Returns the reply to send after the commit: a token that could not be stored is not granted."""
         if not reply.is_granted or self.acceptor.is_granted(request):
             return reply
         return LeaseReply(reply.server, False, reply.highest_token, is_ready=reply.is_ready)
 
     async def _commit_staged(self) -> None:
-        """Stores all that is staged, also for other callers; revokes the grants if that fails.
+        """Stores everything that is staged, including records of other callers; revokes the grants on
+        failure.
 
-        The lock makes a caller whose token is being stored wait for the result.
+        Because of the lock, a caller whose token is being stored waits for the result.
         """
         async with self._commit_lock:
             batch = self.store.staged()
             if not batch.records():
                 return
             if await self.store.commit(batch):
-                self._note_granted(batch.tokens)
+                self._record_grant_times(batch.tokens)
             else:
                 for record in batch.tokens.values():
                     self.acceptor.revoke_grant(record.resource, record.fencing_token)
             await self.store.compact(self.acceptor.tokens)
 
-    def _note_granted(self, tokens: Mapping[str, StoredRecord]) -> None:
+    def _record_grant_times(self, tokens: Mapping[str, StoredRecord]) -> None:
         now_ms = self._steady_clock()
         for resource, record in tokens.items():
             grant = self.acceptor.active_grant(resource, now_ms)
@@ -217,20 +223,20 @@
 
     async def _sync_with_peers(self) -> None:
         """Asks every peer for its tokens until each has answered once."""
-        waiting = list(self._peers)
-        while waiting:
-            waiting = [peer for peer in waiting if not await self._learn_from(peer)]
+        unsynced = list(self._peers)
+        while unsynced:
+            unsynced = [peer for peer in unsynced if not await self._sync_with_peer(peer)]
             await asyncio.sleep(PEER_RETRY_S)
-        log.info("keeper has heard all others works=%d", len(self.acceptor.tokens))
+        log.info("lease server has synced with all peers works=%d", len(self.acceptor.tokens))
 
-    async def _learn_from(self, peer: _Peer) -> bool:
-        """Takes over the tokens and the progress of a peer; returns whether it answered."""
+    async def _sync_with_peer(self, peer: _Peer) -> bool:
+        """Merges the tokens and the progress of a peer; returns whether it answered."""
         auth_token, path = self._auth_token(), "/leases/numbers"
         call = fetch(peer.host, peer.port, "GET", path, auth_token, tls=peer.tls, within_s=PEER_TIMEOUT_S)
         try:
             known = known_tokens_decoder.decode(await call)
         except CALL_ERRORS as error:
-            log.debug("keeper not heard feed=%s:%d: %s", peer.host, peer.port, error)
+            log.debug("lease server did not answer feed=%s:%d: %s", peer.host, peer.port, error)
             return False
         self.acceptor.learn_tokens(known.server, known.tokens)
         for resource, progress in known.progress.items():
@@ -243,5 +249,5 @@
     return {request.resource for request, reply in pairs if reply.is_granted}
 
 
-def _is_name(text: str) -> bool:
+def _is_valid_name(text: str) -> bool:
     return 0 < len(text) <= MAX_NAME_CHARS
--- a/gladelane/leases/shards.py
+++ b/gladelane/leases/shards.py
@@ -1,9 +1,9 @@
-"""Purge orders divided into shards, each of which is one leased resource. Pure.
+"""Division of the purge orders into shards, each of which is one leased resource. Pure.
 
-A purge order tells a cache server to drop its copies of an object. Every director could send every order,
-since an order may be repeated without harm; a lease for each shard saves the repetitions, and needs no
-fencing. A cache server belongs to a shard by a hash of its name. The preferred holders of the shards are
-spread evenly over the directors, so that a director which stops hands over its own shards only.
+A purge order tells a cache server to drop its copies of an object. Orders are idempotent, so every director
+could send every order. A lease for each shard avoids the duplicates, and needs no fencing. A hash of its name
+assigns a cache server to a shard. The preferred holders of the shards are spread evenly over the directors,
+so that a director which stops hands over only its own shards.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class ServerProgress(msgspec.Struct, array_like=True):
-    """Up to which purge one cache server has acknowledged, and the start of the process that did."""
+    """The purges that one cache server has acknowledged, and the start time of its process."""
 
     process_start: float
     acknowledged: str
@@ -49,10 +49,10 @@
 
 
 class ShardedOrders:
-    """Decides for which cache servers this director sends purge orders, and hands progress over.
+    """Decides for which cache servers this director sends purge orders, and exports and imports progress.
 
-    A director that does not hold the lease of a shard sends its orders all the same while no director can
-    hold any lease: an order that is sent twice does no harm, and one that is not sent does.
+    While no director can hold any lease, every director sends the orders of all shards: a duplicate order is
+    harmless, and a missing one is not.
     """
 
     def __init__(
@@ -63,9 +63,10 @@
         has_lost_quorum: Callable[[], bool],
         known_positions: Callable[[], Vector],
     ) -> None:
-        """`is_held` tells whether this director holds a resource; `has_lost_quorum`, whether nobody can.
+        """`is_held` returns whether this director holds a resource, and `has_lost_quorum` whether no director
+        can.
 
-        `known_positions` returns the last purge of each stream that this director knows.
+        `known_positions` returns the last purge that this director knows of each stream.
         """
         self._orders, self._shard_count = orders, shard_count
         self._is_held, self._has_lost_quorum = is_held, has_lost_quorum
@@ -83,7 +84,8 @@
         return self._is_held(self.resource_of(server)) or self._has_lost_quorum()
 
     def export_progress(self, resource: str) -> str:
-        """Returns what the cache servers of a shard have acknowledged, for the next holder; may be empty."""
+        """Returns the acknowledgements of a shard's cache servers for the next holder; empty if there are
+        none."""
         progress = {
             server: ServerProgress(process_start, format_vector(vector))
             for server, (process_start, vector) in self._orders.acknowledged_by(
@@ -96,11 +98,11 @@
     def import_progress(self, resource: str, text: str) -> None:
         """Continues where the last holder of a shard stopped.
 
-        Text that cannot be read is ignored: the orders are then sent from the start, which does no harm.
+        Malformed text is ignored: all orders are then sent again, which is harmless.
         """
         try:
             progress = _progress_decoder.decode(text)
-            vectors = {server: parse_vector(one.acknowledged) for server, one in progress.items()}
+            vectors = {server: parse_vector(entry.acknowledged) for server, entry in progress.items()}
         except (msgspec.MsgspecError, InvalidPositionError):
             return
         for server, vector in vectors.items():
--- a/gladelane/leases/token_store.py
+++ b/gladelane/leases/token_store.py
@@ -1,8 +1,8 @@
-"""Fencing tokens and progress of a lease server on disk, in a write-ahead log with snapshots.
+"""Storage of a lease server's fencing tokens and progress, in a write-ahead log with snapshots.
 
-A token that is granted has to be on disk before the reply leaves; progress may be lost. Records are staged
-first and committed together. While the disk fails, staged tokens are dropped at each commit, since their
-grants are revoked, and staged progress waits for the next commit.
+A granted token has to be on disk before the reply is sent; progress may be lost. Records are staged first and
+committed together. While the disk fails, each commit drops the staged tokens, since their grants are revoked,
+and staged progress is kept for the next commit.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class StoredRecord(msgspec.Struct, array_like=True):
-    """A record of the log: a token of a resource, or the progress that was reported under it."""
+    """A record of the log: a fencing token of a resource, or the progress that was reported under a token."""
 
     resource: str
     fencing_token: int
@@ -33,7 +33,7 @@
 
 
 class StagedBatch(msgspec.Struct, frozen=True):
-    """What is to be committed together, by resource."""
+    """The records to commit together, by resource."""
 
     tokens: Mapping[str, StoredRecord]
     progress: Mapping[str, StoredRecord]
@@ -44,10 +44,10 @@
 
 
 class TokenStore:
-    """Recovers what was stored, then stages and commits new records.
+    """Recovers the stored records, then stages and commits new ones.
 
-    `is_empty` says that the disk held nothing at the start: it is new, or it was lost. `recovered_tokens` has
-    the highest token of each resource at the start, `progress` the last known progress at any time.
+    `is_empty` is true if the disk was empty at the start, because it is new or was lost. `recovered_tokens`
+    has the highest token of each resource at the start, and `progress` the last known progress at any time.
     """
 
     def __init__(self, disk: Disk) -> None:
@@ -59,9 +59,9 @@
         self.progress: dict[str, ResourceProgress] = {}
         self._staged_tokens: dict[str, StoredRecord] = {}
         self._staged_progress: dict[str, StoredRecord] = {}
-        self._outage = Outage(log, "keeper: numbers")
+        self._outage = Outage(log, "lease server: tokens")
         self._compaction = LogCompaction(
-            self._log, Outage(log, "keeper: snapshot"), len(recovery.records), SNAPSHOT_AFTER_RECORDS
+            self._log, Outage(log, "lease server: snapshot"), len(recovery.records), SNAPSHOT_AFTER_RECORDS
         )
         for record in _recovered_records(recovery):
             token = max(self.recovered_tokens.get(record.resource, 0), record.fencing_token)
@@ -69,7 +69,7 @@
             self.learn_progress(record.resource, ResourceProgress(record.fencing_token, record.progress))
 
     def learn_progress(self, resource: str, progress: ResourceProgress) -> None:
-        """Takes over progress that was stored, here or at a peer, unless it is older or empty."""
+        """Merges progress that was stored, here or at a peer, unless it is older or empty."""
         known = self.progress.get(resource)
         if progress.text and (known is None or progress.fencing_token >= known.fencing_token):
             self.progress[resource] = progress
@@ -79,7 +79,7 @@
         self._staged_tokens[resource] = StoredRecord(resource, fencing_token)
 
     def stage_progress(self, resource: str, progress: ResourceProgress) -> None:
-        """Takes over the progress that a holder reports, and adds it to the next commit if it is new."""
+        """Records the progress that a holder reports, and adds it to the next commit if it has changed."""
         known = self.progress.get(resource)
         if known is not None and known.text == progress.text:
             return
@@ -87,17 +87,17 @@
         self._staged_progress[resource] = StoredRecord(resource, progress.fencing_token, progress.text)
 
     def has_staged(self, resources: set[str]) -> bool:
-        """Returns whether something of these resources is not stored yet."""
+        """Returns whether records of these resources are staged."""
         return bool(resources & (self._staged_tokens.keys() | self._staged_progress.keys()))
 
     def staged(self) -> StagedBatch:
-        """Returns all that is staged now."""
+        """Returns all records that are staged now."""
         return StagedBatch(dict(self._staged_tokens), dict(self._staged_progress))
 
     async def commit(self, batch: StagedBatch) -> bool:
-        """Stores a batch; returns whether it is on disk. One commit may run at a time.
+        """Stores a batch; returns whether it is on disk. Only one commit may run at a time.
 
-        Records that were staged meanwhile stay staged.
+        Records that are staged during the commit stay staged.
         """
         for record in batch.records():
             self._log.append(msgspec.msgpack.encode(record))
@@ -117,13 +117,13 @@
     async def compact(self, tokens: Mapping[str, int]) -> None:
         """Replaces a long log by a snapshot of these tokens and of the progress.
 
-        A snapshot that fails is only logged: the log has all records, and the next call tries again.
+        A failed snapshot is only logged, since the log still has all records; the next call tries again.
         """
         if self._compaction.is_due and not self._outage.is_ongoing:
             await self._compaction.write(self._encode_snapshot(tokens))
 
     def close(self) -> None:
-        """Closes the log, once a write that is under way has ended."""
+        """Closes the log, after a write that is in progress."""
         self._log.close()
 
     def _encode_snapshot(self, tokens: Mapping[str, int]) -> bytes:
@@ -144,7 +144,7 @@
 
 
 def _unstage(staged: dict[str, StoredRecord], committed: Mapping[str, StoredRecord]) -> None:
-    """Removes what was committed, but not a newer record of the same resource."""
+    """Removes the committed records, but not newer records of the same resources."""
     for resource, record in committed.items():
         if staged.get(resource) is record:
             del staged[resource]
--- a/tests/leases/test_lease_server.py
+++ b/tests/leases/test_lease_server.py
@@ -61,7 +61,7 @@
             assert found.store.progress == {"held": ResourceProgress(1, "during")}
 
     asyncio.run(scene())
-    assert said_once(caplog, "keeper: numbers")
+    assert said_once(caplog, "lease server: tokens")
 
 
 def test_a_claim_that_is_repeated_while_its_token_is_being_stored_waits_for_it() -> None:
@@ -105,4 +105,4 @@
             assert len(restarted(left).acceptor.tokens) == 5
 
     asyncio.run(scene())
-    assert said_once(caplog, "keeper: snapshot")
+    assert said_once(caplog, "lease server: snapshot")
