--- a/gladelane/control_plane/errors.py
+++ b/gladelane/control_plane/errors.py
@@ -1,4 +1,4 @@
-"""Errors that operators know by a fixed name, in log lines, status texts and the output of commands."""
+"""Errors that have a fixed name for operators, in log lines, status texts and the output of commands."""
 
 from __future__ import annotations
 
@@ -6,14 +6,16 @@
 
 
 class LabelledError(Exception):
-    """An error whose `label` stays the same when its class is renamed. Each subclass has its own."""
+    """An error whose `label` does not change when its class is renamed. Each subclass defines its own
+    label."""
 
     label: ClassVar[str]
 
 
 def error_label(error: BaseException) -> str:
-    """The name of an error for operators: the label of its class, or the name of a class without one."""
+    """Returns the name of an error for operators: the label of its class, or the class name if it has no
+    label."""
     name = type(error).__name__
     if isinstance(error, LabelledError):
-        return str(vars(type(error)).get("label", name))  # an inherited label names another class
+        return str(vars(type(error)).get("label", name))  # an inherited label belongs to another class
     return name
--- a/gladelane/control_plane/event_stream.py
+++ b/gladelane/control_plane/event_stream.py
@@ -1,4 +1,4 @@
-"""The server's end of a stream of server-sent events."""
+"""The sending side of a stream of server-sent events."""
 
 from __future__ import annotations
 
@@ -7,22 +7,23 @@
 from ..sse import encode_event
 from .http import encode_response
 
-MAX_UNSENT_BYTES = 1_000_000  # buffered for a slow subscriber before the sender waits
+MAX_UNSENT_BYTES = 1_000_000  # limit of the buffer of a slow subscriber, at which the sender waits
 
 
 class EventSink:
-    """Sends events to one subscriber, no faster than it reads them."""
+    """Sends events to one subscriber, at most as fast as the subscriber reads them."""
 
     def __init__(self, writer: asyncio.StreamWriter) -> None:
-        """Sends on a connection whose request has been read."""
+        """`writer` is a connection whose request has been read."""
         self._writer = writer
 
     def send_header(self) -> None:
-        """Sends the header of the response; until then the request can still be rejected with an error."""
+        """Sends the header of the response. Before that the request can still be rejected with an error."""
         self._writer.transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
         self._writer.write(encode_response(200, "text/event-stream", None))
 
     async def send(self, data: bytes) -> None:
-        """Sends one event; its data has no line break. Raises OSError once the subscriber has left."""
+        """Sends one event, whose data has no line break. Raises OSError once the subscriber has
+        disconnected."""
         self._writer.write(encode_event(data.decode()))
         await self._writer.drain()
--- a/gladelane/control_plane/group_commit.py
+++ b/gladelane/control_plane/group_commit.py
@@ -1,4 +1,4 @@
-"""Group commit: entries that arrive while a batch is being stored are stored together with the next one."""
+"""Group commit: entries that arrive while a batch is being stored form the next batch."""
 
 from __future__ import annotations
 
@@ -19,22 +19,23 @@
         max_waiting: int,
         max_batch: int,
     ) -> None:
-        """`commit` stores a batch; `on_failure` gets a batch whose commit raised, and answers its senders."""
+        """`commit` stores a batch. `on_failure` is called with a batch whose commit raised, and the
+        exception."""
         self._commit = commit
         self._on_failure = on_failure
         self._max_batch = max_batch
         self._queue: asyncio.Queue[Entry] = asyncio.Queue(max_waiting)
 
     def put(self, entry: Entry) -> None:
-        """Queues an entry. Raises asyncio.QueueFull."""
+        """Queues an entry. Raises asyncio.QueueFull if `max_waiting` entries are queued."""
         self._queue.put_nowait(entry)
 
     def is_empty(self) -> bool:
-        """Whether no entry waits for the next batch; the current batch may still be being stored."""
+        """Returns whether the queue is empty; a batch may still be in progress."""
         return self._queue.empty()
 
     async def run(self) -> None:
-        """Commits batches until it is cancelled. A failed batch does not end it."""
+        """Commits batches until it is cancelled, and continues after a failed batch."""
         while True:
             batch = [await self._queue.get()]
             while not self._queue.empty() and len(batch) < self._max_batch:
--- a/gladelane/control_plane/http.py
+++ b/gladelane/control_plane/http.py
@@ -1,5 +1,5 @@
-"""HTTP/1.1 of control servers and their clients, on h11: one request per connection, bounded in size and
-time.
+"""HTTP/1.1 for control servers and their clients, based on h11. A connection carries one request, whose size
+and duration are limited.
 """
 
 from __future__ import annotations
@@ -18,40 +18,41 @@
 
 READ_BYTES = 65_536
 CONNECT_TIMEOUT_S = 1.0
-MAX_ERROR_BYTES = 2_000  # of an error's text that a client reads; the rest is dropped
+MAX_ERROR_BYTES = 2_000  # of an error's text; a client drops the rest
 
 
 class HttpStatusError(LabelledError):
-    """An error response, raised by a handler that sends it and by a client that receives it.
+    """An error response: raised by a handler to send it, and by a client that has received it.
 
-    `status` is the HTTP status, the message is the body's text in one line.
+    `status` is the HTTP status, and the message is the text of the body in one line.
     """
 
     label = "Refused"
 
     def __init__(self, status: int, text: str) -> None:
-        """`text` becomes the message."""
+        """`text` is the message."""
         super().__init__(text)
         self.status = status
 
 
 class BodyTooLargeError(HttpStatusError):
-    """The body of a request is longer than its route accepts, which is `max_bytes`."""
+    """The body of a request is longer than the `max_bytes` that its route accepts."""
 
     label = "TooLarge"
 
     def __init__(self, max_bytes: int) -> None:
-        """Status 413."""
+        """Sets status 413."""
         super().__init__(413, f"a body of more than {max_bytes} bytes")
         self.max_bytes = max_bytes
 
 
-#: What a call may raise if the server is unreachable, rejects it, or sends a body that cannot be decoded.
+#: The errors of a call if the server is unreachable, rejects the call, or sends a body that cannot be
+#: decoded.
 CALL_ERRORS = (OSError, HttpStatusError, TimeoutError, msgspec.MsgspecError)
 
 
 class Request(NamedTuple):
-    """A complete request. The names in `headers` are in lower case."""
+    """A complete request. The header names are in lower case."""
 
     method: str
     path: str
@@ -91,7 +92,7 @@
 
 
 def encode_response(status: int, content_type: str, body: bytes | None) -> bytes:
-    """A complete response, or without a body the header of a stream that ends with the connection."""
+    """Returns a complete response, or without a body the header of a stream that ends with the connection."""
     lines = [
         f"HTTP/1.1 {status} {HTTPStatus(status).phrase}",
         f"Content-Type: {content_type}",
@@ -165,9 +166,9 @@
     tls: ssl.SSLContext | None = None,
     within_s: float = 5.0,
 ) -> bytes:
-    """Sends a request and returns the complete body of the response, within `within_s` seconds.
+    """Sends a request and returns the complete body of the response. Times out after `within_s` seconds.
 
-    Raises what `stream_response` raises.
+    Raises the errors of `stream_response`.
     """
     async with asyncio.timeout(within_s):
         parts = stream_response(host, port, method, target, token, body, headers, tls)
--- a/gladelane/control_plane/part.py
+++ b/gladelane/control_plane/part.py
@@ -1,4 +1,5 @@
-"""The protocol of a control server's parts: services that add routes and streams to it, each on its own."""
+"""The interface of a control server's parts, which are independent services that add routes and streams to
+it."""
 
 from __future__ import annotations
 
@@ -9,17 +10,17 @@
 from .http import Request
 
 MAX_BODY_BYTES = 65_536  # of a request, unless its route sets another limit
-MAX_LARGE_BODY_BYTES = 2_000_000  # of a request that carries many records, and the limit of all routes
+MAX_LARGE_BODY_BYTES = 2_000_000  # of a request with many records; no route may set a higher limit
 
 #: Called with a request and the caller's name; returns a JSON body. May raise `HttpStatusError`, and
 #: ValueError or msgspec's errors for an invalid request.
 Handler = Callable[[Request, str], Awaitable[bytes]]
-#: Returns when the stream has ended. May raise what a handler raises until it calls `EventSink.send_header`.
+#: Returns when the stream has ended. May raise the errors of a `Handler` before `EventSink.send_header`.
 StreamHandler = Callable[[Request, EventSink], Awaitable[None]]
 
 
 class Route(NamedTuple):
-    """A call: method and path, who handles it, and the largest body that it accepts."""
+    """A call with its method, path and handler, and the size limit of its request body."""
 
     method: str
     path: str
@@ -35,16 +36,16 @@
 
 
 class ControlPart(Protocol):
-    """A service of the fleet. It recovers its own state before it is passed to a server."""
+    """A service of the fleet, which has recovered its state before it is passed to a server."""
 
     def routes(self) -> Sequence[Route]:
-        """The calls that it handles."""
+        """Returns the calls that it handles."""
 
     def streams(self) -> Sequence[StreamRoute]:
-        """The event streams that it serves."""
+        """Returns the event streams that it serves."""
 
     def start(self) -> None:
-        """Starts background tasks. The server is already listening."""
+        """Starts background tasks. Called when the server is already listening."""
 
     async def close(self) -> None:
-        """Stops background tasks and closes files. No request is open any more."""
+        """Stops background tasks and closes files. Called when no request is open any more."""
--- a/gladelane/control_plane/positions.py
+++ b/gladelane/control_plane/positions.py
@@ -1,7 +1,7 @@
-"""How far streams of numbered entries were received, here and by other servers. Pure.
+"""Positions, which track how far this and other servers have received streams of numbered entries. Pure.
 
-An issuer numbers its entries from 1 in each epoch, and each start of an issuer begins an epoch. A position
-only moves past an entry once all earlier ones of its epoch were received, so that gaps are detected and
+An issuer numbers its entries from 1 in each epoch, and each start of an issuer begins a new epoch. A position
+moves past an entry only once all earlier entries of its epoch were received, so that gaps are detected and
 requested again. A vector holds the positions of all streams.
 """
 
@@ -15,22 +15,22 @@
 
 ISSUER = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 VECTOR_ITEM = re.compile(r"([^:=,]{1,64}):([0-9]{1,16})=([0-9]{1,16})", re.ASCII)
-MAX_AHEAD = 200_000  # entries of one epoch received beyond a gap
-MAX_STREAMS = 4_096  # epochs of all issuers
-MAX_GAPS = 64  # reported at once
-MAX_QUOTED_CHARS = 80  # of invalid input, in an error message
+MAX_AHEAD = 200_000  # entries of one epoch that were received beyond a gap
+MAX_STREAMS = 4_096  # over the epochs of all issuers
+MAX_GAPS = 64  # per report
+MAX_QUOTED_CHARS = 80  # of invalid input in an error message
 Stream = tuple[str, int]  # issuer and epoch
 Vector = Mapping[Stream, int]  # for each stream, the last number up to which all entries were received
 
 
 class InvalidPositionError(LabelledError, ValueError):
-    """A position or vector that is malformed or exceeds a limit. It must not be acted upon."""
+    """A position or vector that is malformed or exceeds a limit, and must not be used."""
 
     label = "BadPosition"
 
 
 class Gap(NamedTuple):
-    """Missing entries of an epoch, from `first` to `last` inclusive, when later ones are known to exist."""
+    """Missing entries of an epoch, from `first` to `last` inclusive, that are known to exist."""
 
     issuer: str
     epoch: int
@@ -39,16 +39,16 @@
 
 
 class Positions:
-    """The received entries of all streams, as positions and entries beyond gaps."""
+    """Tracks the received entries of all streams, as positions and entries beyond gaps."""
 
     def __init__(self) -> None:
-        """Nothing is received yet."""
-        self._received: dict[Stream, int] = {}  # up to this number without a gap
+        """Starts without any received entry."""
+        self._received: dict[Stream, int] = {}  # highest number without an earlier gap
         self._ahead: dict[Stream, set[int]] = {}  # numbers received beyond a gap
-        self._announced: dict[Stream, int] = {}  # the highest number that any server said exists
+        self._announced: dict[Stream, int] = {}  # highest number that exists according to any server
 
     def contains(self, issuer: str, epoch: int, seq: int) -> bool:
-        """Whether an entry was received."""
+        """Returns whether an entry was received."""
         stream = issuer, epoch
         return seq <= self._received.get(stream, 0) or seq in self._ahead.get(stream, ())
 
@@ -64,7 +64,7 @@
                 raise InvalidPositionError(f"more than {MAX_STREAMS} epochs")
             received = self._received[stream] = 0
         ahead = self._ahead.get(stream)
-        if seq == received + 1 and not ahead:  # nearly always
+        if seq == received + 1 and not ahead:  # the usual case
             self._received[stream] = seq
             return True
         if ahead is None:
@@ -78,12 +78,12 @@
         return True
 
     def announce(self, vector: Vector) -> None:
-        """Records that entries up to a vector exist: those not received up to there are gaps."""
+        """Records that all entries up to a vector exist, so that those not received are gaps."""
         for stream, last in vector.items():
             self._announced[stream] = max(self._announced.get(stream, 0), last)
 
     def advance_to(self, vector: Vector) -> None:
-        """Records that all entries up to a vector were received, or are covered by a snapshot that was."""
+        """Records that all entries up to a vector were received, as entries or as part of a snapshot."""
         for stream, last in vector.items():
             if last <= self._received.get(stream, 0):
                 continue
@@ -93,11 +93,11 @@
         self.announce(vector)
 
     def vector(self) -> dict[Stream, int]:
-        """The positions of all streams of which anything was received."""
+        """Returns the positions of all streams, without those at position 0."""
         return {stream: received for stream, received in self._received.items() if received}
 
     def gaps(self, limit: int = MAX_GAPS) -> list[Gap]:
-        """Up to `limit` gaps, oldest epochs first."""
+        """Returns up to `limit` gaps, oldest epochs first."""
         found: list[Gap] = []
         streams = self._received.keys() | self._announced.keys()
         for issuer, epoch in sorted(streams, key=lambda stream: (stream[1], stream[0])):
@@ -107,7 +107,7 @@
         return found[:limit]
 
     def covers(self, vector: Vector) -> bool:
-        """Whether all entries up to a vector were received."""
+        """Returns whether all entries up to a vector were received."""
         return all(self._received.get(stream, 0) >= last for stream, last in vector.items())
 
     def _gaps_of(self, issuer: str, epoch: int) -> list[Gap]:
@@ -124,7 +124,7 @@
 
 
 def _close_gap(received: int, ahead: set[int]) -> int:
-    """The position after the entries that now follow it directly, which are removed from `ahead`."""
+    """Advances a position over the entries that follow it directly, and removes these from `ahead`."""
     while received + 1 in ahead:
         received += 1
         ahead.remove(received)
@@ -132,12 +132,12 @@
 
 
 def format_vector(vector: Vector) -> str:
-    """The text of a vector: items `issuer:epoch=last`, sorted and joined by commas."""
+    """Returns the text of a vector: items `issuer:epoch=last`, sorted and joined by commas."""
     return ",".join(f"{issuer}:{epoch}={last}" for (issuer, epoch), last in sorted(vector.items()))
 
 
 def parse_vector(text: str) -> dict[Stream, int]:
-    """The vector of a text as `format_vector` writes it. Raises InvalidPositionError."""
+    """Parses a text in the form of `format_vector`. Raises InvalidPositionError."""
     vector: dict[Stream, int] = {}
     for item in text.split(",") if text else ():
         found = VECTOR_ITEM.fullmatch(item)
--- a/gladelane/control_plane/replication.py
+++ b/gladelane/control_plane/replication.py
@@ -1,4 +1,5 @@
-"""Replication to other servers: which entries each peer has stored, and answers that wait for that."""
+"""Replication to other servers: tracks which entries each peer has stored, and delays answers until enough
+have."""
 
 from __future__ import annotations
 
@@ -13,10 +14,10 @@
 
 
 class PeerReport(NamedTuple):
-    """What a peer reported last.
+    """The latest report of a peer.
 
-    `position` is the vector up to which it has sent all entries, None before its first report. `copies` is
-    the number of servers that must have stored an entry before that peer answers for it.
+    `position` is the vector up to which the peer has sent all its entries, or None before its first report.
+    `copies` is the number of servers that must have stored an entry before that peer answers its request.
     """
 
     position: Vector | None = None
@@ -25,10 +26,10 @@
 
 
 class PendingReplication(NamedTuple, Generic[Result]):
-    """An entry that is stored here and whose answer waits for peers.
+    """An entry that is stored here, while its answer waits for peers to store it.
 
-    `done` gets `result` once enough servers have stored the entry. `deadline_s` is a time of the event loop's
-    clock, in seconds, after which it gets `NotReplicatedError` instead.
+    `done` is completed with `result` once enough servers have stored the entry, and with `NotReplicatedError`
+    after `deadline_s`, a time of the event loop's clock in seconds.
     """
 
     stream: Stream
@@ -44,40 +45,41 @@
     label = "NotReplicated"
 
     def __init__(self, copies: int) -> None:
-        """Status 503."""
+        """Sets status 503."""
         where = f"in force and stored here, but not at {copies} feeds yet"
         super().__init__(503, f"{where}; ask again with the same key")
         self.copies = copies
 
 
 class Replication(Generic[Result]):
-    """The latest reports of all peers, and the entries that wait for them."""
+    """Keeps the latest reports of all peers, and the entries that wait for peers."""
 
     def __init__(self, copies: int) -> None:
-        """`copies` servers must have stored an entry before it is answered, including this one."""
+        """`copies` is the number of servers, including this one, that must store an entry before its answer
+        is sent."""
         self.copies = copies
         self.peers: dict[str, PeerReport] = {}  # by address
         self._pending: deque[PendingReplication[Result]] = deque()
 
     def add_pending(self, pending: PendingReplication[Result]) -> None:
-        """Adds an entry that `resolve_pending` answers."""
+        """Adds an entry, to be answered by `resolve_pending`."""
         self._pending.append(pending)
 
     def resolve_pending(self, now_s: float) -> None:
-        """Answers entries that enough servers have stored, and those past their deadline.
+        """Answers the entries that enough servers have stored, and those past their deadline.
 
-        `now_s` is the present time of the event loop's clock, in seconds.
+        `now_s` is the current time of the event loop's clock, in seconds.
         """
-        waiting: deque[PendingReplication[Result]] = deque()
+        still_pending: deque[PendingReplication[Result]] = deque()
         positions = [peer.position for peer in self.peers.values() if peer.position is not None]
         for pending in self._pending:
             if pending.done.done():
                 continue
-            at_peers = sum(position.get(pending.stream, 0) >= pending.number for position in positions)
-            if 1 + at_peers >= self.copies:
+            peer_copies = sum(position.get(pending.stream, 0) >= pending.number for position in positions)
+            if 1 + peer_copies >= self.copies:
                 pending.done.set_result(pending.result)
             elif now_s >= pending.deadline_s:
                 pending.done.set_exception(NotReplicatedError(self.copies))
             else:
-                waiting.append(pending)
-        self._pending = waiting
+                still_pending.append(pending)
+        self._pending = still_pending
--- a/gladelane/control_plane/server.py
+++ b/gladelane/control_plane/server.py
@@ -1,4 +1,4 @@
-"""The control server: accepts connections, authenticates callers and routes each request to its part."""
+"""The control server, which accepts connections, authenticates callers and routes requests to its parts."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from .part import MAX_BODY_BYTES, MAX_LARGE_BODY_BYTES, ControlPart, Route, StreamHandler
 from .tokens import Tokens
 
-REQUEST_TIMEOUT_S = 5.0  # to read a complete request, and again to send its response
+REQUEST_TIMEOUT_S = 5.0  # for reading a complete request, and again for sending the response
 MAX_CONNECTIONS = 1024
-BACKLOG = 512  # connections that wait in the kernel to be accepted
+BACKLOG = 512  # connections that the kernel queues until they are accepted
 
 
 class ControlServer:
-    """A listener, its open connections, and the routes of all parts."""
+    """Owns the listener, its open connections, and the routes of all parts."""
 
     def __init__(self, tokens: Tokens, parts: Sequence[ControlPart]) -> None:
-        """Collects the routes of the parts; `start` listens."""
-        self.port = 0  # known once started
+        """Collects the routes of the parts, without listening yet."""
+        self.port = 0  # set by `start`
         self._tokens = tokens
         self._parts = parts
         self._routes: dict[tuple[str, str], Route] = {}
@@ -37,7 +37,8 @@
         self._connections: set[asyncio.Task[None]] = set()
 
     async def start(self, host: str, port: int, tls: ssl.SSLContext | None = None) -> int:
-        """Listens, then starts the parts; returns the port, chosen by the system for 0. Raises OSError."""
+        """Listens, then starts the parts. Returns the port, which the system chooses for 0. Raises
+        OSError."""
         self._server = await asyncio.start_server(self._serve, host, port, ssl=tls, backlog=BACKLOG)
         self.port = self._server.sockets[0].getsockname()[1]
         for part in self._parts:
@@ -72,10 +73,10 @@
             writer.close()
 
     async def _respond(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Writes the response, or an error response for what was raised."""
+        """Writes the response, or an error response if an exception was raised."""
         try:
             request = await self._read(reader)
-            caller = self._caller(request)
+            caller = self._authenticate(request)
             stream = self._streams.get(request.path) if request.method == "GET" else None
             if stream is not None:
                 await stream(request, EventSink(writer))
@@ -101,15 +102,16 @@
             raise HttpStatusError(503, "too many connections")
         return request
 
-    def _caller(self, request: Request) -> str:
-        """The name of the caller by the request's token. Raises HttpStatusError for an unknown one."""
+    def _authenticate(self, request: Request) -> str:
+        """Returns the name of the caller, found by its token. Raises HttpStatusError for an unknown token."""
         name = self._tokens.caller_name(request.headers.get("authorization", ""))
         if not name:
             raise HttpStatusError(401, "expected a known token: Authorization: Bearer TOKEN")
         return name
 
     async def _handle(self, request: Request, caller: str) -> bytes:
-        """The response body from the route's handler. Raises HttpStatusError if there is no such route."""
+        """Returns the response body of the route's handler. Raises HttpStatusError if there is no such
+        route."""
         route = self._routes.get((request.method, request.path))
         if route is None:
             raise HttpStatusError(404, f"{request.method} {request.path}: no such thing here")
--- a/gladelane/control_plane/tokens.py
+++ b/gladelane/control_plane/tokens.py
@@ -14,12 +14,12 @@
 
 
 class TokenFileError(LabelledError, ValueError):
-    """A token file that cannot be used. `line` counts from 1; 0 means the file as a whole."""
+    """A token file that cannot be used. `line` counts from 1; 0 stands for the file as a whole."""
 
     label = "BadTokens"
 
     def __init__(self, path: Path, reason: str, line: int = 0) -> None:
-        """Formats the message from the place and the reason."""
+        """Builds the message from the path, the line and the reason."""
         super().__init__(f"{path}: line {line}: {reason}" if line else f"{path}: {reason}")
         self.path = path
         self.reason = reason
@@ -27,7 +27,7 @@
 
 
 class FileStamp(NamedTuple):
-    """What changes when a file is written or replaced."""
+    """File attributes that change when the file is written or replaced."""
 
     modified_ns: int
     size: int
@@ -35,10 +35,10 @@
 
 
 class Tokens:
-    """The tokens of a file.
+    """The tokens of a token file.
 
-    A given token is compared by its hash, in constant time, with the tokens of all callers, so that the time
-    of a comparison reveals neither how much of a token matches nor whose it is.
+    The hash of a received token is compared in constant time with those of all callers, so that the duration
+    reveals neither how much of a token matches nor which caller it belongs to.
     """
 
     def __init__(self, path: str | Path) -> None:
@@ -47,11 +47,12 @@
         self._stamp = FileStamp(0, 0, 0)
         self._hashes: dict[str, bytes] = {}
         self._first_token = ""
-        self.reload_error = ""  # why the latest change of the file was not applied
+        self.reload_error = ""  # why the latest change of the file was not applied, or ""
         self.reload_if_changed()
 
     def reload_if_changed(self) -> None:
-        """Reads the file if it was changed. Raises TokenFileError or OSError; earlier tokens then stay."""
+        """Reads the file if it has changed. Raises TokenFileError or OSError, and keeps the earlier tokens
+        then."""
         status = os.stat(self.path)
         stamp = FileStamp(status.st_mtime_ns, status.st_size, status.st_ino)
         if stamp == self._stamp:
@@ -62,9 +63,9 @@
         self._stamp = stamp
 
     def caller_name(self, authorization: str) -> str:
-        """The name of the caller with this `Authorization` header, or "" if its token is unknown.
+        """Returns the name of the caller with this `Authorization` header, or "" if its token is unknown.
 
-        Reloads a changed file first; `reload_error` says whether that failed.
+        Reloads a changed file first; `reload_error` is set if that fails.
         """
         try:
             self.reload_if_changed()
@@ -72,15 +73,15 @@
         except (OSError, ValueError) as error:
             self.reload_error = str(error)
         scheme, _, token = authorization.partition(" ")
-        given = _hash(token.strip())
-        found = ""
-        for name, known in self._hashes.items():
-            if hmac.compare_digest(known, given):
-                found = name
-        return found if scheme.lower() == "bearer" else ""
+        token_hash = _hash(token.strip())
+        caller = ""
+        for name, known_hash in self._hashes.items():
+            if hmac.compare_digest(known_hash, token_hash):
+                caller = name
+        return caller if scheme.lower() == "bearer" else ""
 
     def first_token(self) -> str:
-        """The file's first token, which this process uses for its own calls."""
+        """Returns the file's first token, which this process uses for its own calls."""
         return self._first_token
 
 
@@ -89,16 +90,16 @@
 
 
 def _parse_tokens(path: Path, text: str) -> dict[str, str]:
-    """Tokens by name, in the order of the file. Raises TokenFileError."""
+    """Parses the file into tokens by name, in the order of the file. Raises TokenFileError."""
     tokens: dict[str, str] = {}
     for number, line in enumerate(text.splitlines(), 1):
-        words = line.split()
-        if not words or words[0].startswith("#"):
+        fields = line.split()
+        if not fields or fields[0].startswith("#"):
             continue
-        if len(words) != 2 or len(words[1]) < MIN_TOKEN_CHARS or words[0] in tokens:
+        if len(fields) != 2 or len(fields[1]) < MIN_TOKEN_CHARS or fields[0] in tokens:
             expected = f"expected a new NAME and a TOKEN of {MIN_TOKEN_CHARS} or more characters"
             raise TokenFileError(path, expected, number)
-        tokens[words[0]] = words[1]
+        tokens[fields[0]] = fields[1]
     if not tokens:
         raise TokenFileError(path, "no token; expected lines of NAME TOKEN")
     return tokens
