--- a/tests/control_plane/test_control.py
+++ b/tests/control_plane/test_control.py
@@ -1,4 +1,5 @@
-"""The control server and what its parts share: routes, bounds, group commit, replication."""
+"""The control server and the services that its parts share: routes, size limits, group commit and
+replication."""
 
 from __future__ import annotations
 
@@ -29,7 +30,7 @@
 
 
 class EchoPart:
-    """Says what it was asked, under a path of its own."""
+    """A part that answers with a summary of each request, under its own path."""
 
     def __init__(self, path: str, calls: list[str]) -> None:
         self.path, self.calls = path, calls
@@ -64,18 +65,18 @@
             await sink.send(str(number).encode())
 
 
-async def ask(port: int, method: str, target: str, body: bytes = b"", token: str = TOKEN) -> str:
-    """The body, or the status and the text of an error."""
+async def call(port: int, method: str, target: str, body: bytes = b"", token: str = TOKEN) -> str:
+    """Returns the body of the response, or the status and the text of an error."""
     try:
         return (await fetch("127.0.0.1", port, method, target, token, body)).decode()
     except HttpStatusError as error:
         return f"{error.status} {error}"
 
 
-def test_a_server_hands_each_request_to_the_part_with_its_route(tmp_path: Path) -> None:
+def test_each_request_is_handled_by_the_part_with_its_route(tmp_path: Path) -> None:
     (tmp_path / "tokens").write_text(f"ops {TOKEN}\n")
 
-    async def scene() -> None:
+    async def run() -> None:
         calls: list[str] = []
         server = ControlServer(Tokens(tmp_path / "tokens"), [EchoPart("/a", calls), EchoPart("/b", calls)])
         port = await server.start("127.0.0.1", 0)
@@ -90,37 +91,39 @@
             ("GET", "/b/stream?refuse"): "409 not now",
         }
         for (method, target), expected in answers.items():
-            assert await ask(port, method, target) == expected
-        assert await ask(port, "POST", "/a/large", large) == f"ops /a/large  {len(large)}"
-        assert await ask(port, "GET", "/a", large) == f"413 a body of more than {MAX_BODY_BYTES} bytes"
-        assert (await ask(port, "GET", "/a", token="another-token-altogether")).startswith("401 expected")
+            assert await call(port, method, target) == expected
+        assert await call(port, "POST", "/a/large", large) == f"ops /a/large  {len(large)}"
+        assert await call(port, "GET", "/a", large) == f"413 a body of more than {MAX_BODY_BYTES} bytes"
+        assert (await call(port, "GET", "/a", token="another-token-altogether")).startswith("401 expected")
         events = EventStream()
         parts = stream_response("127.0.0.1", port, "GET", "/b/stream", TOKEN)
         assert [text async for part in parts for text in events.feed(part)] == ["0", "1", "2"]
         with pytest.raises(HttpStatusError) as rejected:
             await fetch("127.0.0.1", port, "GET", "/c", TOKEN)
-        assert error_label(rejected.value) == "Refused", "operators search logs for it"
+        assert error_label(rejected.value) == "Refused", "operators search logs for this name"
         await server.close()
         assert calls == ["start /a", "start /b", "close /a", "close /b"]
         with pytest.raises(OSError):
-            await ask(port, "GET", "/a")
+            await call(port, "GET", "/a")
 
-    asyncio.run(scene())
+    asyncio.run(run())
 
 
-def test_group_commit_stores_what_waits_together_and_goes_on_after_a_failure() -> None:
-    async def scene() -> None:
+def test_group_commit_stores_queued_entries_in_one_batch_and_continues_after_a_failure() -> None:
+    async def run() -> None:
         stored: list[list[int]] = []
         failed: list[tuple[list[int], str]] = []
-        go_on = asyncio.Event()
+        may_commit = asyncio.Event()
 
         async def commit(batch: list[int]) -> None:
-            await go_on.wait()
+            await may_commit.wait()
             if 3 in batch:
                 raise OSError("the disk is full")
             stored.append(batch)
 
-        committer: GroupCommit[int] = GroupCommit(commit, lambda b, e: failed.append((b, str(e))), 5, 3)
+        committer: GroupCommit[int] = GroupCommit(
+            commit, lambda batch, error: failed.append((batch, str(error))), 5, 3
+        )
         task = asyncio.ensure_future(committer.run())
         committer.put(0)
         while not committer.is_empty():
@@ -129,14 +132,14 @@
             committer.put(number)
         with pytest.raises(asyncio.QueueFull):
             committer.put(6)
-        go_on.set()
+        may_commit.set()
         while len(stored) + len(failed) < 3:
             await asyncio.sleep(0)
         assert stored == [[0], [4, 5]] and failed == [([1, 2, 3], "the disk is full")]
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    asyncio.run(scene())
+    asyncio.run(run())
 
 
 @pytest.mark.parametrize(
@@ -153,10 +156,10 @@
         (3, [{("a", 1): 5}, {("a", 1): 4}], 2.0, "late"),
     ],
 )
-def test_an_entry_is_answered_once_enough_servers_have_it(
+def test_an_entry_is_answered_once_enough_servers_have_stored_it(
     copies: int, positions: list[Vector | None], now_s: float, outcome: str
 ) -> None:
-    async def scene() -> None:
+    async def run() -> None:
         replication: Replication[str] = Replication(copies)
         replication.peers = {str(n): PeerReport(position) for n, position in enumerate(positions)}
         done: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
@@ -169,4 +172,4 @@
         else:
             assert (done.result() if done.done() else "waits") == outcome
 
-    asyncio.run(scene())
+    asyncio.run(run())
--- a/tests/leases/test_lease_server.py
+++ b/tests/leases/test_lease_server.py
@@ -1,4 +1,4 @@
-"""A lease server whose disk fails for a while."""
+"""Lease servers whose disk fails temporarily or is slow."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class SingleServer:
-    """A lease server without peers that is ready to grant."""
+    """A lease server without peers that is ready to grant leases."""
 
     def __init__(self, disk: Disk) -> None:
         self.now_ms = 0.0
@@ -33,38 +33,38 @@
         return (await self.server.handle_requests(batch)).replies[0]
 
 
-def restarted(disk: Disk) -> LeaseServer:
+def restarted_server(disk: Disk) -> LeaseServer:
     return LeaseServer("server", disk, str, lambda: 0.0, 3_000.0, [])
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_no_token_is_granted_that_is_not_stored_and_leases_of_stored_ones_are_renewed(
+def test_a_failing_disk_prevents_new_grants_but_not_renewals(
     name: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def scene() -> None:
+    async def run() -> None:
         disk = SimDisk()
         single = SingleServer(disk)
         assert (await single.claim("held", 1, progress="before")).is_granted
         disk.fault = FAULTS[name]
-        for _ in range(3):  # as a client repeats a claim that had no reply
+        for _ in range(3):  # a client repeats a claim that failed
             assert not (await single.claim("new", 1)).is_granted
             assert (await single.claim("held", 1, progress="during")).is_granted, "its token is stored"
         assert not (await single.claim("new", 2, "b")).is_granted
-        assert all(restarted(left).acceptor.tokens["held"] == 1 for left in crashed(disk))
+        assert all(restarted_server(remaining).acceptor.tokens["held"] == 1 for remaining in crashed(disk))
         disk.fault = None
         assert not (await single.claim("new", 2, "b")).is_granted, "a token is not granted a second time"
         assert (await single.claim("new", 3, "b")).is_granted
         assert (await single.claim("held", 1)).is_granted
-        for left in crashed(disk):
-            found = restarted(left)
-            assert found.acceptor.tokens == {"held": 1, "new": 3}
-            assert found.store.progress == {"held": ResourceProgress(1, "during")}
+        for remaining in crashed(disk):
+            restarted = restarted_server(remaining)
+            assert restarted.acceptor.tokens == {"held": 1, "new": 3}
+            assert restarted.store.progress == {"held": ResourceProgress(1, "during")}
 
-    asyncio.run(scene())
+    asyncio.run(run())
     assert said_once(caplog, "lease server: tokens")
 
 
-def test_a_claim_that_is_repeated_while_its_token_is_being_stored_waits_for_it() -> None:
+def test_a_repeated_claim_waits_until_its_token_is_stored() -> None:
     syncing, may_sync = threading.Event(), threading.Event()
 
     class SlowDisk(SimDisk):
@@ -73,7 +73,7 @@
             assert may_sync.wait(5.0)
             super().sync(name)
 
-    async def scene() -> None:
+    async def run() -> None:
         single = SingleServer(SlowDisk())
         first = asyncio.ensure_future(single.claim("resource", 1))
         while not syncing.is_set():
@@ -84,15 +84,15 @@
         may_sync.set()
         assert (await first).is_granted and (await second).is_granted
 
-    asyncio.run(scene())
+    asyncio.run(run())
 
 
-def test_a_snapshot_that_fails_refuses_no_claim(
+def test_claims_are_granted_although_a_snapshot_fails(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(token_store, "SNAPSHOT_AFTER_RECORDS", 2)
 
-    async def scene() -> None:
+    async def run() -> None:
         disk = SimDisk()
         single = SingleServer(disk)
         disk.fault = fault(errno.EIO, Operation.REPLACE)
@@ -101,8 +101,8 @@
         disk.fault = None
         assert (await single.claim("last", 1)).is_granted
         assert [name for name in disk.names() if name.endswith(".snap")]
-        for left in crashed(disk):
-            assert len(restarted(left).acceptor.tokens) == 5
+        for remaining in crashed(disk):
+            assert len(restarted_server(remaining).acceptor.tokens) == 5
 
-    asyncio.run(scene())
+    asyncio.run(run())
     assert said_once(caplog, "lease server: snapshot")
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -1,4 +1,5 @@
-"""Lease acceptors, lease state machines, fencing and shards: tables, properties and the exhaustive search."""
+"""Lease acceptors, lease state machines, fencing and shards, including an exhaustive search of lease
+states."""
 
 from __future__ import annotations
 
@@ -23,21 +24,21 @@
 
 
 def acceptors(count: int = 3, now_ms: float = 0.0) -> list[LeaseAcceptor]:
-    """Lease servers that have all heard one another, and start at a time."""
-    made = [LeaseAcceptor(f"k{number}", count, MAX_LEASE_MS, now_ms) for number in range(count)]
-    for acceptor in made:
-        for peer in made:
+    """Returns lease servers that start at `now_ms` and have all synced with one another."""
+    servers = [LeaseAcceptor(f"k{number}", count, MAX_LEASE_MS, now_ms) for number in range(count)]
+    for acceptor in servers:
+        for peer in servers:
             if acceptor is not peer:
                 acceptor.learn_tokens(peer.name, {})
-    return made
+    return servers
 
 
-@pytest.mark.parametrize(("count", "most", "peers"), [(1, 1, 0), (3, 2, 2), (5, 3, 3), (7, 4, 4)])
-def test_how_many_servers_grant_and_how_many_peers_a_restart_hears(count: int, most: int, peers: int) -> None:
-    assert majority(count) == most and recovery_quorum(count) == peers
+@pytest.mark.parametrize(("count", "majority_size", "peers"), [(1, 1, 0), (3, 2, 2), (5, 3, 3), (7, 4, 4)])
+def test_majority_and_recovery_quorum(count: int, majority_size: int, peers: int) -> None:
+    assert majority(count) == majority_size and recovery_quorum(count) == peers
 
 
-def test_an_acceptor_grants_a_token_once_and_no_other_lease_while_one_is_active() -> None:
+def test_an_acceptor_grants_a_token_only_once_and_only_one_active_lease() -> None:
     acceptor = acceptors()[0]
 
     def claim(
@@ -57,27 +58,27 @@
         (False, 1, "a")
     ] * 3
     renewal = claim(5000.0, "a", 1, duration_ms=9000.0)
-    assert renewal.remaining_ms < 3010.0, "never for longer than the longest lease"
+    assert renewal.remaining_ms < 3010.0, "no lease is longer than the server's limit"
     assert not claim(9000.0, "b", 1).is_granted and claim(9000.0, "b", 2).is_granted
     assert not release(9000.0, "a", 1).is_granted and acceptor.active_grant("w", 9000.0) is not None
     release(9000.0, "b", 2)
     assert acceptor.active_grant("w", 9000.0) is None and claim(9000.0, "b", 1, resource="v").is_granted
 
 
-def test_a_restarted_acceptor_waits_for_the_longest_lease_and_learns_from_its_peers() -> None:
+def test_a_restarted_acceptor_waits_for_the_longest_lease_and_its_peers_tokens() -> None:
     acceptor = LeaseAcceptor("k0", 3, MAX_LEASE_MS, 10_000.0, {"w": 4})
     acceptor.learn_tokens("k1", {"w": 9})
-    assert not acceptor.is_ready(20_000.0), "the other majority may have gone on without it"
+    assert not acceptor.is_ready(20_000.0), "the other servers may have granted a lease without it"
     acceptor.learn_tokens("k2", {"w": 6})
     assert not acceptor.is_ready(13_000.0) and acceptor.is_ready(13_010.0)
     assert acceptor.highest_token("w") == 9
     assert LeaseAcceptor("k0", 3, MAX_LEASE_MS, 0.0, {}, disk_lost_unix_ms=5e12).highest_token("w") == 5e12
 
 
-def drive(
+def exchange_messages(
     lease: Lease, servers: list[LeaseAcceptor], now_ms: float, unreachable: set[int] | None = None
 ) -> None:
-    """Plays all requests that are due, and those that follow from the replies, without delay."""
+    """Sends all requests that are due, and those that follow from the replies, without delay."""
     request = lease.next_request(now_ms)
     while request is not None:
         next_request = None
@@ -93,7 +94,7 @@
     st.integers(2, 5),
     st.lists(st.tuples(st.integers(0, 4), st.integers(0, 2)), max_size=60),
 )
-def test_two_clients_never_hold_a_lease_at_once_whoever_reaches_whom(
+def test_at_most_one_client_holds_a_lease_whichever_servers_are_reachable(
     seed: int, clients: int, events: list[tuple[int, int]]
 ) -> None:
     rng = random.Random(seed)
@@ -105,8 +106,8 @@
         now_ms += rng.uniform(10.0, 700.0)
         unreachable.setdefault(client, set()).symmetric_difference_update({server})
         for number, lease in enumerate(leases):
-            if rng.random() < 0.8:  # else it is paused for a while
-                drive(lease, servers, now_ms, unreachable.get(number))
+            if rng.random() < 0.8:  # otherwise the client is paused for a step
+                exchange_messages(lease, servers, now_ms, unreachable.get(number))
         held = [lease for lease in leases if lease.is_held(now_ms)]
         assert len(held) <= 1
         for lease in held:
@@ -114,7 +115,7 @@
     assert sorted(holders) == list(holders)
 
 
-def test_a_holder_that_stops_is_followed_within_its_lease_and_one_that_releases_at_once() -> None:
+def test_a_lease_is_taken_over_after_its_holder_stops_and_can_be_released() -> None:
     servers, rng = acceptors(), random.Random(3)
     leases = [Lease("w", f"c{number}", 3, 1500.0, rng, 4000.0, number) for number in range(4)]
     now_ms, queries = 4000.0, 0
@@ -122,15 +123,15 @@
         now_ms += 50.0
         for lease in leases:
             queries += lease.phase is LeasePhase.IDLE and lease._next_action_ms <= now_ms
-            drive(lease, servers, now_ms)
+            exchange_messages(lease, servers, now_ms)
     assert [lease.is_held(now_ms) for lease in leases] == [True, False, False, False]
     assert leases[0].fencing_token == 1
-    assert queries < 60, "a client that waits does not poll"
+    assert queries < 60, "a waiting client does not poll"
     stopped_ms = now_ms
     while not any(lease.is_held(now_ms) for lease in leases[1:]) and now_ms < stopped_ms + 5000.0:
         now_ms += 50.0
         for lease in leases[1:]:
-            drive(lease, servers, now_ms)
+            exchange_messages(lease, servers, now_ms)
     second = next(lease for lease in leases[1:] if lease.is_held(now_ms))
     assert now_ms - stopped_ms < 1500.0 + 1000.0
     assert second.fencing_token == 2 and second.held_since_ms == now_ms
@@ -142,42 +143,45 @@
     assert rank_delay_ms(100) > rank_delay_ms(2)
 
 
-@pytest.mark.parametrize("leaver", range(4))
-def test_a_released_lease_is_taken_over_within_half_a_lease_whenever_the_release_comes(leaver: int) -> None:
-    """The waiting clients had looked at any time before: none of them sleeps until the lease would have ended."""
+@pytest.mark.parametrize("holder_index", range(4))
+def test_a_released_lease_is_taken_over_within_half_a_lease_duration(holder_index: int) -> None:
+    """A client that waited until the end of the current lease would take over too late after a release.
+
+    The release comes at random times relative to the clients' earlier requests.
+    """
     tick_ms, lease_ms = 50.0, 1500.0
     for seed in range(100):
         servers, rng = acceptors(), random.Random(seed)
         leases = [Lease("w", f"c{number}", 3, lease_ms, rng, 4000.0, number) for number in range(4)]
         now_ms, release_ms = 4000.0, 4000.0 + rng.uniform(3000.0, 6000.0)
-        while not leases[leaver].is_held(now_ms):  # the others start later
+        while not leases[holder_index].is_held(now_ms):  # the other clients start later
             now_ms += tick_ms
-            drive(leases[leaver], servers, now_ms)
+            exchange_messages(leases[holder_index], servers, now_ms)
         offsets_ms = [rng.uniform(0.0, tick_ms) for _ in leases]
-        asked_ms: list[list[float]] = [[] for _ in leases]
+        requested_ms: list[list[float]] = [[] for _ in leases]
         while now_ms < release_ms:
             now_ms += tick_ms
             for number, lease in enumerate(leases):
                 at_ms = now_ms + offsets_ms[number]
                 if lease.phase is LeasePhase.IDLE and lease._next_action_ms <= at_ms:
-                    asked_ms[number].append(at_ms)
-                drive(lease, servers, at_ms)
-        assert leases[leaver].is_held(now_ms + tick_ms)
-        for times in asked_ms:
+                    requested_ms[number].append(at_ms)
+                exchange_messages(lease, servers, at_ms)
+        assert leases[holder_index].is_held(now_ms + tick_ms)
+        for times in requested_ms:
             assert all(after - before >= lease_ms / 3.0 for before, after in itertools.pairwise(times))
-        release, release_ms = leases[leaver].stop(), now_ms + tick_ms
+        release, release_ms = leases[holder_index].stop(), now_ms + tick_ms
         assert release is not None
         for server in servers:
             server.handle_request(release, release_ms)
-        waiting = [lease for lease in leases if lease is not leases[leaver]]
+        waiting = [lease for lease in leases if lease is not leases[holder_index]]
         while not any(lease.is_held(now_ms + tick_ms) for lease in waiting):
             now_ms += tick_ms
             for number, lease in enumerate(leases):
-                drive(lease, servers, now_ms + offsets_ms[number])
+                exchange_messages(lease, servers, now_ms + offsets_ms[number])
         assert now_ms - release_ms <= lease_ms / 2.0 + tick_ms, seed
 
 
-def test_a_fencing_guard_rejects_lower_tokens_also_of_the_same_holder_and_after_a_restart() -> None:
+def test_a_fencing_guard_rejects_lower_tokens_also_after_a_restart() -> None:
     guard = FencingGuard({"w": 3})
     admitted = [guard.admit_token("w", token) for token in (2, 3, 5, 3, 5, 4)]
     assert admitted == [False, True, True, False, True, False]
@@ -187,60 +191,63 @@
 
 
 @pytest.mark.parametrize(("shards", "directors"), [(16, 3), (16, 40), (8, 1)])
-def test_shards_are_spread_over_directors_and_each_has_one_preferred_holder(
+def test_each_shard_has_one_preferred_holder_and_shards_are_spread_evenly(
     shards: int, directors: int
 ) -> None:
     ranks = [shard_ranks(shards, index, directors) for index in range(directors)]
-    preferred = [sum(rank == 0 for rank in one.values()) for one in ranks]
+    preferred = [sum(rank == 0 for rank in by_shard.values()) for by_shard in ranks]
     assert sum(preferred) == shards and max(preferred) - min(preferred) <= 1
     assert all(
-        sorted(one[shard_resource(shard)] for one in ranks) == list(range(directors))
+        sorted(by_shard[shard_resource(shard)] for by_shard in ranks) == list(range(directors))
         for shard in range(shards)
     )
 
 
-def test_a_new_holder_continues_where_the_last_one_was_acknowledged() -> None:
-    made = [Purge("f", 1, seq, 100.0 * seq, "all") for seq in range(1, 6)]
+def test_a_new_holder_of_a_shard_continues_after_the_acknowledged_orders() -> None:
+    purges = [Purge("f", 1, seq, 100.0 * seq, "all") for seq in range(1, 6)]
 
-    def sharded(is_held: bool, has_lost_quorum: bool = False) -> tuple[Orders, ShardedOrders]:
+    def director(is_held: bool, has_lost_quorum: bool = False) -> tuple[Orders, ShardedOrders]:
         orders = Orders(50.0, 8, 0.0)
-        one = ShardedOrders(
+        sharded_orders = ShardedOrders(
             orders,
             4,
             lambda resource: is_held,
             lambda: has_lost_quorum,
             lambda: {("f", 1): len(orders._purges)},
         )
-        orders.owned = one.is_responsible_for
+        orders.owned = sharded_orders.is_responsible_for
         orders.servers({"c0": 7.0})
-        orders.add(made[:3])
-        return orders, one
+        orders.add(purges[:3])
+        return orders, sharded_orders
 
-    first, of_first = sharded(True)
-    resource = of_first.resource_of("c0")
-    assert resource == shard_resource(shard_of("c0", 4)) and of_first.export_progress(resource) == ""
+    first, first_sharded = director(True)
+    resource = first_sharded.resource_of("c0")
+    assert resource == shard_resource(shard_of("c0", 4)) and first_sharded.export_progress(resource) == ""
     for order in first.next(100.0):
         first.acknowledged(order)
-    progress = of_first.export_progress(resource)
-    second, of_second = sharded(True)
-    of_second.import_progress(resource, progress)
-    second.add(made[3:])
+    progress = first_sharded.export_progress(resource)
+    second, second_sharded = director(True)
+    second_sharded.import_progress(resource, progress)
+    second.add(purges[3:])
     assert [purge.seq for order in second.next(100.0) for purge in order.purges] == [4, 5]
-    idle, of_idle = sharded(False)
-    of_idle.import_progress(resource, "{"), of_idle.import_progress(resource, '{"c0":[7.0,"f:1=x"]}')
-    assert idle.next(100.0) == [] and len(sharded(False, has_lost_quorum=True)[0].next(100.0)) == 1
-    renewed, of_renewed = sharded(True)
-    renewed.servers({"c0": 8.0})  # its process is another: it may have lost what that one dropped
-    of_renewed.import_progress(resource, progress)
-    assert len(renewed.next(100.0)[0].purges) == 3
+    idle, idle_sharded = director(False)
+    (
+        idle_sharded.import_progress(resource, "{"),
+        idle_sharded.import_progress(resource, '{"c0":[7.0,"f:1=x"]}'),
+    )
+    assert idle.next(100.0) == [] and len(director(False, has_lost_quorum=True)[0].next(100.0)) == 1
+    restarted, restarted_sharded = director(True)
+    restarted.servers({"c0": 8.0})  # the cache server has restarted and may hold purged copies again
+    restarted_sharded.import_progress(resource, progress)
+    assert len(restarted.next(100.0)[0].purges) == 3
 
 
-@pytest.mark.parametrize("fault", [one for one in InjectedFault if one is not InjectedFault.NONE])
-def test_the_search_finds_each_injected_fault(fault: InjectedFault) -> None:
-    found = explore(fault, 4, int(fault is InjectedFault.FORGETS))
-    assert isinstance(found, str), found
+@pytest.mark.parametrize("fault", [fault for fault in InjectedFault if fault is not InjectedFault.NONE])
+def test_the_state_search_detects_each_injected_fault(fault: InjectedFault) -> None:
+    violation = explore(fault, 4, int(fault is InjectedFault.FORGETS))
+    assert isinstance(violation, str), violation
 
 
-def test_the_search_finds_no_fault_in_the_product() -> None:
-    states = explore(InjectedFault.NONE, 3, 0)
-    assert isinstance(states, int) and states > 5_000, states
+def test_the_state_search_finds_no_violation_without_faults() -> None:
+    state_count = explore(InjectedFault.NONE, 3, 0)
+    assert isinstance(state_count, int) and state_count > 5_000, state_count
