--- a/tests/hot_restart/test_clock_across_processes.py
+++ b/tests/hot_restart/test_clock_across_processes.py
@@ -1,5 +1,8 @@
-"""Two processes of one director that started at different wall clocks, as a step between the starts makes
-them: windows of keyed requests and what was learnt go over all the same."""
+"""Two processes of one director that started at different wall clocks because the clock was stepped in
+between.
+
+Windows of keyed requests and learned state have to be handed over regardless of the step.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 import pytest
 from harness import trial, until
-from test_keys_across_processes import WINDOW_S, Origin, Upgrade, past_window, upgrade
+from test_keys_across_processes import WINDOW_S, Origin, Upgrade, upgrade, wait_past_window
 
 from gladelane.clock import Clock
 from gladelane.hot_restart.coordinator import RestartCoordinator
@@ -31,86 +34,93 @@
     return clock
 
 
-async def upgrade_after_step(made: Upgrade, clock: SteppedClock, step_ms: float) -> None:
-    """Starts the second process once the wall clock was stepped."""
+async def upgrade_after_step(processes: Upgrade, clock: SteppedClock, step_ms: float) -> None:
+    """Steps the wall clock, then starts the second process."""
     clock.step(step_ms)
     async with asyncio.timeout(2 * START_S):
-        await made.director.start()
-        await made.director.serving()
-        made.clients.clear()  # the first one has rested for as long as the start took: it may be closed
+        await processes.director.start()
+        await processes.director.serving()
+        processes.clients.clear()  # the first connection was idle during the start and may be closed
         for number in range(2):
-            await made.connect(number)
-    assert clock.readings  # the second process was started by the stepped clock
+            await processes.connect(number)
+    assert clock.readings  # the second process reads the stepped clock
 
 
-async def check_past_window(made: Upgrade, tried_s: float, then: int) -> None:
-    await past_window(tried_s)
-    arrived = len(made.origin.tries)
-    assert await made.write(then) in (1, 2)
-    assert len(made.origin.tries) == arrived, made.director.log(then)
+async def check_no_attempt_past_window(
+    processes: Upgrade, first_attempt_s: float, retry_process: int
+) -> None:
+    """Checks that a retry at another process is refused once the window of the first attempt has passed."""
+    await wait_past_window(first_attempt_s)
+    attempt_count = len(processes.origin.attempt_times_s)
+    assert await processes.write(retry_process) in (1, 2)
+    assert len(processes.origin.attempt_times_s) == attempt_count, processes.director.log(retry_process)
 
 
 @pytest.mark.parametrize("step_ms", [HOUR_MS, -HOUR_MS, 4000.0, -4000.0])
-def test_a_window_goes_over_in_the_hand_over(
+def test_a_key_window_is_handed_over_despite_a_clock_step(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step_ms: float
 ) -> None:
     @trial
     async def test() -> None:
         clock = set_up_clock(tmp_path, monkeypatch)
-        async with upgrade(Origin(), 1) as made:
-            tried = await made.first_try(0, 300)
-            await upgrade_after_step(made, clock, step_ms)
-            assert "learnt=1" in made.director.log(1)
-            await check_past_window(made, tried, 1)
+        async with upgrade(Origin(), 1) as processes:
+            first_attempt_s = await processes.send_first_attempt(0, 300)
+            await upgrade_after_step(processes, clock, step_ms)
+            assert "learnt=1" in processes.director.log(1)
+            await check_no_attempt_past_window(processes, first_attempt_s, 1)
 
     test()
 
 
 @pytest.mark.parametrize("step_ms", [HOUR_MS, -HOUR_MS])
-@pytest.mark.parametrize(("first", "then"), [(0, 1), (1, 0)])
-def test_a_window_is_replicated_while_both_run(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, first: int, then: int, step_ms: float
+@pytest.mark.parametrize(("first_process", "retry_process"), [(0, 1), (1, 0)])
+def test_a_key_window_is_replicated_despite_a_clock_step(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, first_process: int, retry_process: int, step_ms: float
 ) -> None:
     @trial
     async def test() -> None:
         clock = set_up_clock(tmp_path, monkeypatch)
-        async with upgrade(Origin(), 1) as made:
-            await upgrade_after_step(made, clock, step_ms)
-            clock.step(-step_ms)  # and back, while both run
-            tried = await made.first_try(first, 300)
-            arrived = len(made.origin.tries)
-            # a busy machine may refuse the first ones; none is late, as none goes out past the window
-            while len(made.origin.tries) == arrived and time.monotonic() - tried < WINDOW_S:
-                await made.write(then, 300)
-            assert len(made.origin.tries) > arrived  # within the window a repeat goes out
-            await check_past_window(made, tried, then)
+        async with upgrade(Origin(), 1) as processes:
+            await upgrade_after_step(processes, clock, step_ms)
+            clock.step(-step_ms)  # back again while both processes run
+            first_attempt_s = await processes.send_first_attempt(first_process, 300)
+            attempt_count = len(processes.origin.attempt_times_s)
+            # A busy machine may refuse the first retries. None can be late, since none is sent past the
+            # window.
+            while (
+                len(processes.origin.attempt_times_s) == attempt_count
+                and time.monotonic() - first_attempt_s < WINDOW_S
+            ):
+                await processes.write(retry_process, 300)
+            assert len(processes.origin.attempt_times_s) > attempt_count  # a retry within the window is sent
+            await check_no_attempt_past_window(processes, first_attempt_s, retry_process)
 
     test()
 
 
 @pytest.mark.parametrize("step_ms", [HOUR_MS, -HOUR_MS])
-def test_a_window_goes_over_from_a_process_that_was_killed(
+def test_a_key_window_survives_the_kill_of_its_process_despite_a_clock_step(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step_ms: float
 ) -> None:
     @trial
     async def test() -> None:
         clock = set_up_clock(tmp_path, monkeypatch)
-        async with upgrade(Origin(), 1) as made:
-            await upgrade_after_step(made, clock, step_ms)
-            tried = await made.first_try(0, 300)
-            made.director.all[0].send_signal(signal.SIGKILL)
-            await made.director.all[0].wait()
-            await check_past_window(made, tried, 1)
+        async with upgrade(Origin(), 1) as processes:
+            await upgrade_after_step(processes, clock, step_ms)
+            first_attempt_s = await processes.send_first_attempt(0, 300)
+            processes.director.all[0].send_signal(signal.SIGKILL)
+            await processes.director.all[0].wait()
+            await check_no_attempt_past_window(processes, first_attempt_s, 1)
 
     test()
 
 
-def test_upgrades_under_load_and_steps_lose_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_upgrades_during_clock_steps_lose_no_request(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     @trial
     async def test() -> None:
         clock = set_up_clock(tmp_path, monkeypatch)
-        async with upgrade(Origin(), 1) as made:
-            director = made.director
+        async with upgrade(Origin(), 1) as processes:
+            director = processes.director
             load = Load(director.port)
             for step_ms in (HOUR_MS, -HOUR_MS):
                 clock.step(step_ms)
@@ -127,7 +137,7 @@
     test()
 
 
-# --- one process's part, without the other
+# --- one process alone, which receives messages of another one
 
 
 RETENTION_MS = 5000.0
@@ -136,7 +146,7 @@
 
 
 class Successor:
-    """A process that receives messages of another one; its loop is `LAG_MS` behind."""
+    """A process that receives messages of another one, and whose event loop lags by `LAG_MS`."""
 
     def __init__(self, folder: Path) -> None:
         self.clock = Clock(lambda: 2_000_000.0, lambda: 70.0, BOOT)
@@ -151,42 +161,45 @@
         )
         self.coordinator.on_message(message)
 
-    def ran_ago_ms(self) -> float | None:
-        """How long ago the key is taken to have run."""
+    def first_attempt_age_ms(self) -> float | None:
+        """Returns the age of the first attempt of the key, or None if no attempt is known."""
         now = self.clock.now()
         first_ms, _ = self.keys.first_attempt("k", now)
         return now - first_ms if first_ms else None
 
 
 @pytest.mark.parametrize("zero_ms", [0.0, HOUR_MS, 2e9])
-def test_an_attempt_reported_from_this_boot_is_dated_here_and_can_be_revoked(
+def test_an_attempt_reported_from_the_same_boot_gets_its_local_time_and_can_be_revoked(
     tmp_path: Path, zero_ms: float
 ) -> None:
     successor = Successor(tmp_path)
-    tried_ms = 69_900.0  # of the monotonic clock, which reads 70,000 now
-    successor.receive(MAY_HAVE_RUN, zero_ms + tried_ms, BOOT, zero_ms)
-    assert successor.ran_ago_ms() == pytest.approx(100.0, abs=0.01)
-    successor.receive(NEVER_RAN, zero_ms + HOUR_MS + tried_ms, BOOT, zero_ms + HOUR_MS)  # stepped in between
-    assert successor.ran_ago_ms() is None
+    attempt_ms = 69_900.0  # of the monotonic clock, which reads 70,000 now
+    successor.receive(MAY_HAVE_RUN, zero_ms + attempt_ms, BOOT, zero_ms)
+    assert successor.first_attempt_age_ms() == pytest.approx(100.0, abs=0.01)
+    successor.receive(
+        NEVER_RAN, zero_ms + HOUR_MS + attempt_ms, BOOT, zero_ms + HOUR_MS
+    )  # after a clock step
+    assert successor.first_attempt_age_ms() is None
 
 
 @pytest.mark.parametrize("ahead_ms", [0.0, HOUR_MS, 4000.0, 10.0])
-def test_an_attempt_reported_by_an_older_version_is_dated_no_later_than_it_can_have_been_sent(
+def test_an_attempt_reported_by_an_older_version_is_dated_no_later_than_it_was_sent(
     tmp_path: Path, ahead_ms: float
 ) -> None:
-    """Its clock is ahead of this process's: believed, a repeat could go past the window."""
+    """The older version's clock is ahead of this process's. An attempt dated in the future would extend its
+    window, so that a retry could be sent too late."""
     successor = Successor(tmp_path)
     successor.receive(MAY_HAVE_RUN, successor.clock.now() - 5.0 + ahead_ms)
-    ago_ms = successor.ran_ago_ms()
-    assert ago_ms is not None and ago_ms >= LAG_MS - 0.01
+    age_ms = successor.first_attempt_age_ms()
+    assert age_ms is not None and age_ms >= LAG_MS - 0.01
 
 
-def test_an_attempt_reported_by_an_older_version_can_be_revoked_where_its_clock_is_ours(
+def test_an_attempt_reported_by_an_older_version_with_an_equal_clock_can_be_revoked(
     tmp_path: Path,
 ) -> None:
     successor = Successor(tmp_path)
-    tried_ms = successor.clock.now() - 40.0
-    successor.receive(MAY_HAVE_RUN, tried_ms)
-    assert successor.ran_ago_ms() == pytest.approx(40.0, abs=0.01)
-    successor.receive(NEVER_RAN, tried_ms)
-    assert successor.ran_ago_ms() is None
+    attempt_ms = successor.clock.now() - 40.0
+    successor.receive(MAY_HAVE_RUN, attempt_ms)
+    assert successor.first_attempt_age_ms() == pytest.approx(40.0, abs=0.01)
+    successor.receive(NEVER_RAN, attempt_ms)
+    assert successor.first_attempt_age_ms() is None
--- a/tests/hot_restart/test_handover_faults.py
+++ b/tests/hot_restart/test_handover_faults.py
@@ -1,4 +1,4 @@
-"""The hand-over file while its folder takes nothing for a while, also as a new process comes."""
+"""The handover file while its folder cannot be written for some time, also while a new process starts."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from conftest import Driver
 from disk_faults import said_once
 from harness import trial, until
-from test_keys_across_processes import Origin, Upgrade, past_window, upgrade
+from test_keys_across_processes import Origin, Upgrade, upgrade, wait_past_window
 
 from gladelane.admin.maintenance import MaintenanceRegister
 from gladelane.admin.requests import AdminAction, AdminRequest
@@ -35,10 +35,10 @@
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
 @pytest.mark.parametrize("call", ["open", "replace"])
-def test_a_hand_over_that_cannot_be_written_leaves_the_one_before_and_is_written_once_it_can(
+def test_a_failed_write_keeps_the_earlier_handover_and_a_later_write_succeeds(
     error: int, call: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    def failing(*given: Any, **more: Any) -> Any:
+    def failing(*args: Any, **kwargs: Any) -> Any:
         raise OSError(error, os.strerror(error))
 
     file = HandoverFile(str(tmp_path))
@@ -54,10 +54,10 @@
     assert said_once(caplog, "upgrade: the hand-over")
 
 
-def test_an_order_given_while_the_folder_takes_nothing_is_in_the_hand_over_once_it_does(
+def test_a_request_received_while_the_folder_is_unwritable_is_stored_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def failing(*given: Any) -> None:
+    def failing(*args: Any) -> None:
         raise OSError(errno.EIO, "Input/output error")
 
     monkeypatch.setattr(coordinator, "WRITE_RETRY_S", 0.01)
@@ -69,48 +69,52 @@
         keys=SimpleNamespace(snapshot=lambda now: {}),
         router=SimpleNamespace(cold=SimpleNamespace(parts=1)),
     )
-    front: Any = SimpleNamespace(cap=1, max_buffered_bytes=1.0, drain=SimpleNamespace(failed_ms=0.0))
-    part: Any = SimpleNamespace(cap=1)
+    client_listener: Any = SimpleNamespace(
+        cap=1, max_buffered_bytes=1.0, drain=SimpleNamespace(failed_ms=0.0)
+    )
+    pool: Any = SimpleNamespace(cap=1)
 
     clock = Clock(lambda: NOW_MS / 1000.0, lambda: 0.0, "a-boot")
     file = HandoverFile(str(tmp_path))
 
-    async def scene() -> None:
-        one = coordinator.RestartCoordinator(str(tmp_path), NAME, clock, director, part, front, part)
+    async def run() -> None:
+        process = coordinator.RestartCoordinator(
+            str(tmp_path), NAME, clock, director, pool, client_listener, pool
+        )
         with monkeypatch.context() as broken:
             broken.setattr(os, "replace", failing)
             out["c1"] = NOW_MS
-            one.share_admin_request(AdminRequest(AdminAction.MAINT, "c1"))
+            process.share_admin_request(AdminRequest(AdminAction.MAINT, "c1"))
             await asyncio.sleep(0.05)
             assert file.read(NAME) is None
         await asyncio.sleep(0.05)
         stored = file.read(NAME)
         assert stored is not None and stored.maintenance_started_ms == {"c1": NOW_MS}
-        one.close()
+        process.close()
 
-    asyncio.run(scene())
+    asyncio.run(run())
 
 
-# --- a new process comes while the folder takes nothing
+# --- a new process starts while the folder cannot be written
 
 
 RETENTION_MS = 5000.0
-UNSTORED = "the former process stored no hand-over"
-SILENT = "the former process handed nothing over"
-MEETINGS = 3
+NO_HANDOVER_STORED = "the former process stored no hand-over"
+NOTHING_HANDED_OVER = "the former process handed nothing over"
+MAX_UPGRADES = 3
 
 
-class Side:
-    """One process's part in a meeting, with what it would act on."""
+class ProcessStub:
+    """The coordinator of one process, with stubs of the components that it acts on."""
 
     def __init__(self, folder: Path, listener: socket.socket | None = None) -> None:
         self.clock = Clock(lambda: NOW_MS / 1000.0, lambda: 0.0, "a-boot")
         self.file = HandoverFile(str(folder))
         self.router = Driver().router
         self.register = MaintenanceRegister()
-        self.heard: list[AdminRequest] = []
+        self.received_requests: list[AdminRequest] = []
         self.refused_until_ms = 0.0
-        self.taken: list[LearnedState | None] = []
+        self.learned_states: list[LearnedState | None] = []
         director: Any = SimpleNamespace(
             register=self.register,
             router=self.router,
@@ -121,13 +125,13 @@
             ),
             refuse_keyed_until=self._refuse_keyed_until,
         )
-        self.front: Any = SimpleNamespace(
+        self.client_listener: Any = SimpleNamespace(
             cap=1, max_buffered_bytes=1.0, drain=SimpleNamespace(failed_ms=0.0), listener=listener
         )
-        admin_handler: Any = SimpleNamespace(apply_from_peer=self.heard.append)
-        part: Any = SimpleNamespace(cap=1, shrink=lambda most: None)
+        admin_handler: Any = SimpleNamespace(apply_from_peer=self.received_requests.append)
+        pool: Any = SimpleNamespace(cap=1, shrink=lambda limit: None)
         self.coordinator = coordinator.RestartCoordinator(
-            str(folder), NAME, self.clock, director, part, self.front, admin_handler
+            str(folder), NAME, self.clock, director, pool, self.client_listener, admin_handler
         )
 
     def _refuse_keyed_until(self, until_ms: float) -> None:
@@ -135,27 +139,27 @@
 
     @property
     def budgets(self) -> tuple[float, float, list[float]]:
-        left = [store.tokens.left for store in self.router.stores.values()]
-        return self.router.budgets.retries, self.router.budgets.hedges, left
-
-    async def meet(self, orders: int) -> None:
-        """As a new process does, until it has heard so many orders."""
-        given = self.coordinator.connect()
-        assert given is not None
-        given.close()
-        handed = self.coordinator._inherited_handover
-        self.taken = [handed.learned_state if handed is not None else None]
-        await until(lambda: len(self.heard) >= orders)
+        credits = [store.tokens.left for store in self.router.stores.values()]
+        return self.router.budgets.retries, self.router.budgets.hedges, credits
+
+    async def connect(self, request_count: int) -> None:
+        """Connects as a new process does, and waits until it has received that many requests."""
+        listener = self.coordinator.connect()
+        assert listener is not None
+        listener.close()
+        handover = self.coordinator._inherited_handover
+        self.learned_states = [handover.learned_state if handover is not None else None]
+        await until(lambda: len(self.received_requests) >= request_count)
         self.coordinator.close()
 
 
-def failing_for_hand_over(call: Callable[..., Any], error: int) -> Any:
-    """The same call, but for what is about to become the hand-over."""
+def failing_for_handover(call: Callable[..., Any], error: int) -> Any:
+    """Returns the same call, except that it fails for the temporary file of a handover."""
 
-    def fail(path: Any, *given: Any, **more: Any) -> Any:
+    def fail(path: Any, *args: Any, **kwargs: Any) -> Any:
         if f"{FILE_NAME}." in str(path):
             raise OSError(error, os.strerror(error))
-        return call(path, *given, **more)
+        return call(path, *args, **kwargs)
 
     return fail
 
@@ -163,7 +167,7 @@
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
 @pytest.mark.parametrize("call", ["open", "replace"])
 @pytest.mark.parametrize("has_earlier", [True, False])
-def test_a_new_process_that_finds_no_hand_over_of_the_meeting_reads_with_care(
+def test_a_new_process_distrusts_an_outdated_or_missing_handover(
     error: int,
     call: str,
     has_earlier: bool,
@@ -171,80 +175,85 @@
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """The old one keeps its budgets and tells the orders that are not in the file."""
+    """The old process keeps its budgets, and sends the requests that are missing from the file."""
 
-    async def scene() -> None:
+    async def run() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            old = Side(tmp_path, listener)
-            if has_earlier:  # the last upgrade's
+            old = ProcessStub(tmp_path, listener)
+            if has_earlier:  # a handover of the last upgrade
                 old.register.take_out("c2", NOW_MS)
                 old.coordinator.hand_over()
             old.register.take_out("c1", NOW_MS)
             old.router.stores["c0"].tokens.left = 80.0
             before = old.budgets
             old.coordinator.listen()
-            new = Side(tmp_path)
+            new = ProcessStub(tmp_path)
             with monkeypatch.context() as broken:
-                broken.setattr(os, call, failing_for_hand_over(getattr(os, call), error))
-                await asyncio.to_thread(lambda: asyncio.run(new.meet(1)))
+                broken.setattr(os, call, failing_for_handover(getattr(os, call), error))
+                await asyncio.to_thread(lambda: asyncio.run(new.connect(1)))
             old.coordinator.close()
             assert old.budgets == before
-            assert new.heard == [AdminRequest(AdminAction.MAINT, "c1")]
+            assert new.received_requests == [AdminRequest(AdminAction.MAINT, "c1")]
             assert new.refused_until_ms == new.clock.now() + RETENTION_MS
-            assert new.taken == [None], "what is in the file was given to another process"
+            assert new.learned_states == [None], "the learned state in the file was given to another process"
             assert ("c2" in new.register.out) == has_earlier
-            assert caplog.text.count("not stored: ") == caplog.text.count(UNSTORED) == 1
+            assert caplog.text.count("not stored: ") == caplog.text.count(NO_HANDOVER_STORED) == 1
 
-    asyncio.run(scene())
+    asyncio.run(run())
 
 
-def test_a_new_process_that_finds_the_hand_over_of_the_meeting_takes_it_whole(
+def test_a_new_process_applies_the_whole_handover_that_was_written_for_it(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def scene() -> None:
+    async def run() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            old, new = Side(tmp_path, listener), Side(tmp_path)
+            old, new = ProcessStub(tmp_path, listener), ProcessStub(tmp_path)
             old.register.take_out("c1", NOW_MS)
-            old.coordinator.hand_over()  # an earlier one
+            old.coordinator.hand_over()  # an earlier handover
             before = old.budgets
             old.coordinator.listen()
-            await asyncio.to_thread(lambda: asyncio.run(new.meet(0)))
+            await asyncio.to_thread(lambda: asyncio.run(new.connect(0)))
             old.coordinator.close()
             assert old.budgets[0] == before[0] / 2.0
-            assert not new.heard and not new.refused_until_ms and new.register.out.keys() == {"c1"}
-            assert new.taken != [None] and UNSTORED not in caplog.text
+            assert (
+                not new.received_requests and not new.refused_until_ms and new.register.out.keys() == {"c1"}
+            )
+            assert new.learned_states != [None] and NO_HANDOVER_STORED not in caplog.text
 
-    asyncio.run(scene())
+    asyncio.run(run())
 
 
-def test_no_request_waits_for_an_order_to_be_stored(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A busy disk held up the loop of a director for 300 ms as an order was written."""
-    written, release, opened = threading.Event(), threading.Event(), os.open
+def test_the_event_loop_does_not_wait_while_a_request_is_stored(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A busy disk once blocked the event loop of a director for 300 ms while a request was written."""
+    write_started, release, real_open = threading.Event(), threading.Event(), os.open
 
-    def slow(path: Any, *given: Any, **more: Any) -> int:
+    def slow_open(path: Any, *args: Any, **kwargs: Any) -> int:
         if f"{FILE_NAME}." in str(path):
-            written.set()
+            write_started.set()
             assert release.wait(5.0)
-        return opened(path, *given, **more)
-
-    async def scene() -> None:
-        side = Side(tmp_path)
-        monkeypatch.setattr(os, "open", slow)
-        for store in ("c0", "c1"):  # the second comes while the first is being written
-            side.register.take_out(store, NOW_MS)
-            side.coordinator.share_admin_request(AdminRequest(AdminAction.MAINT, store))
-            await until(written.is_set)
-        assert side.file.read(NAME) is None, "the loop goes on while it is written"
+        return real_open(path, *args, **kwargs)
+
+    async def run() -> None:
+        process = ProcessStub(tmp_path)
+        monkeypatch.setattr(os, "open", slow_open)
+        for store in ("c0", "c1"):  # the second request arrives while the first is being written
+            process.register.take_out(store, NOW_MS)
+            process.coordinator.share_admin_request(AdminRequest(AdminAction.MAINT, store))
+            await until(write_started.is_set)
+        assert process.file.read(NAME) is None, "the event loop continues during the write"
         release.set()
         await until(
-            lambda: (stored := side.file.read(NAME)) is not None and len(stored.maintenance_started_ms) == 2
+            lambda: (stored := process.file.read(NAME)) is not None
+            and len(stored.maintenance_started_ms) == 2
         )
-        side.coordinator.close()
+        process.coordinator.close()
 
-    asyncio.run(scene())
+    asyncio.run(run())
 
 
-def test_an_order_that_is_being_stored_does_not_replace_a_later_hand_over(tmp_path: Path) -> None:
+def test_a_delayed_write_does_not_replace_a_later_handover(tmp_path: Path) -> None:
     file = HandoverFile(str(tmp_path))
     earlier, later = Handover(NAME, NOW_MS), Handover(NAME, NOW_MS, {"c1": NOW_MS})
     assert file.write_numbered(2, later) and file.write_numbered(1, earlier)
@@ -252,20 +261,20 @@
     assert file.write_numbered(3, earlier) and file.read(NAME) == earlier
 
 
-def test_an_order_given_as_the_process_ends_is_stored(tmp_path: Path) -> None:
-    async def scene() -> None:
-        side = Side(tmp_path)
-        side.register.take_out("c1", NOW_MS)
-        side.coordinator.share_admin_request(AdminRequest(AdminAction.MAINT, "c1"))
-        side.coordinator.close()
-        stored = side.file.read(NAME)
+def test_a_request_received_while_the_process_ends_is_stored(tmp_path: Path) -> None:
+    async def run() -> None:
+        process = ProcessStub(tmp_path)
+        process.register.take_out("c1", NOW_MS)
+        process.coordinator.share_admin_request(AdminRequest(AdminAction.MAINT, "c1"))
+        process.coordinator.close()
+        stored = process.file.read(NAME)
         assert stored is not None and stored.maintenance_started_ms.keys() == {"c1"}
 
-    asyncio.run(scene())
+    asyncio.run(run())
 
 
 @pytest.mark.parametrize(
-    ("stored", "out", "back", "is_draining", "expected"),
+    ("stored", "maintenance_started_ms", "maintenance_ended_ms", "is_draining", "expected"),
     [
         (None, {}, {}, False, []),
         (None, {"a": 1.0}, {"b": 2.0}, True, ["maint b", "ready b", "maint a", "fail"]),
@@ -276,147 +285,154 @@
         (Handover(NAME, 1.0, draining_since_ms=1.0), {}, {}, False, ["ok"]),
     ],
 )
-def test_the_orders_that_a_stored_hand_over_lacks(
+def test_requests_that_are_missing_from_a_stored_handover(
     stored: Handover | None,
-    out: dict[str, float],
-    back: dict[str, float],
+    maintenance_started_ms: dict[str, float],
+    maintenance_ended_ms: dict[str, float],
     is_draining: bool,
     expected: list[str],
 ) -> None:
-    lacking = missing_requests(stored, out, back, is_draining)
-    assert [f"{call.action.value} {call.store}".strip() for call in lacking] == expected
+    missing = missing_requests(stored, maintenance_started_ms, maintenance_ended_ms, is_draining)
+    assert [f"{request.action.value} {request.store}".strip() for request in missing] == expected
+
 
+def lengthen_key_retention(processes: Upgrade) -> None:
+    """Makes processes that start from now on refuse unknown keys for longer than any step of a test takes on
+    a busy machine. With the usual settings they would accept such keys as new ones 5 s after the start, which
+    is correct, because no client retries that late."""
+    processes.director.raw["settings"]["classes"][1]["deadline_ms"] = 1000.0 * 10 * START_S
 
-def remember_for_long(made: Upgrade) -> None:
-    """A process that starts from now on refuses keys that it may not know for longer than any step of a test
-    takes on a busy machine. Usual settings would let it take them for new ones 5 s after its start, which is
-    right: no client asks so late."""
-    made.director.raw["settings"]["classes"][1]["deadline_ms"] = 1000.0 * 10 * START_S
 
+async def has_upgraded_without_handover(has_earlier: bool) -> bool:
+    """Upgrades while the handover cannot be written, and checks that no retry is sent past its window.
 
-async def is_met_without_a_hand_over(has_earlier: bool) -> bool:
-    """False where a busy machine held the old process up for longer than a new one waits for it: they never
-    met."""
+    Returns false if a busy machine delayed the old process for longer than the new one waits for its reply.
+    """
     origin = Origin()
-    async with upgrade(origin, 1, has_parent=False) as made:
-        director = made.director
-        if has_earlier:  # an order is written at once
+    async with upgrade(origin, 1, has_parent=False) as processes:
+        director = processes.director
+        if has_earlier:  # a request is written at once
             assert (await director.call("POST", "/caches/r0/ready", 0))[0] == 200
-        tried = await made.first_try(0, 300)
-        (director.folder / f"{FILE_NAME}.{director.all[0].pid}").mkdir()  # it cannot be opened
+        first_attempt_s = await processes.send_first_attempt(0, 300)
+        # A folder of this name prevents the old process from opening its temporary file.
+        (director.folder / f"{FILE_NAME}.{director.all[0].pid}").mkdir()
         assert (await director.call("POST", "/caches/c0/maint", 0))[0] == 200
-        remember_for_long(made)
+        lengthen_key_retention(processes)
         await director.start()
         await director.serving()
-        if SILENT in director.log(1):
+        if NOTHING_HANDED_OVER in director.log(1):
             return False
-        made.clients.clear()
+        processes.clients.clear()
         for number in range(2):
-            await made.connect(number)
-        await past_window(tried)
-        arrived = len(origin.tries)
-        assert await made.write(1) in (1, 2)
-        assert len(origin.tries) == arrived, director.log(1)
+            await processes.connect(number)
+        await wait_past_window(first_attempt_s)
+        attempt_count = len(origin.attempt_times_s)
+        assert await processes.write(1) in (1, 2)
+        assert len(origin.attempt_times_s) == attempt_count, director.log(1)
         assert (await director.figures(1))["hosts_down"] == 1
         assert director.log(0).count("hand-over not stored") == 1
-        assert director.log(1).count(UNSTORED) == 1
+        assert director.log(1).count(NO_HANDOVER_STORED) == 1
         return True
 
 
 @pytest.mark.parametrize("has_earlier", [True, False])
-def test_no_key_is_tried_past_its_window_after_a_hand_over_that_could_not_be_written(
+def test_no_retry_is_sent_past_its_window_after_a_failed_handover_write(
     has_earlier: bool,
 ) -> None:
-    """The first try left the old process; nothing tells the new one of it."""
+    """The old process sent the first attempt, and the new one gets no information about it."""
 
     @trial
     async def test() -> None:
-        for _ in range(MEETINGS):
-            if await is_met_without_a_hand_over(has_earlier):
+        for _ in range(MAX_UPGRADES):
+            if await has_upgraded_without_handover(has_earlier):
                 return
-        raise AssertionError(f"the two processes did not meet in {MEETINGS} trials")
+        raise AssertionError(f"the new process got no reply from the old one in {MAX_UPGRADES} upgrades")
 
     test()
 
 
 @pytest.mark.parametrize("has_earlier", [True, False])
-def test_no_key_is_tried_past_its_window_after_an_old_process_that_gave_nothing_over(
+def test_no_retry_is_sent_past_its_window_after_an_unresponsive_old_process(
     has_earlier: bool,
 ) -> None:
-    """It stands still as the new one asks it. The new one took the key of its try for a new key."""
+    """The old process is stopped while the new one connects, which once accepted the key of its attempt as a
+    new key."""
 
     @trial
     async def test() -> None:
         origin = Origin()
-        async with upgrade(origin, 1) as made:
-            director = made.director
-            if has_earlier:  # a hand-over of before the try
+        async with upgrade(origin, 1) as processes:
+            director = processes.director
+            if has_earlier:  # a handover from before the attempt
                 assert (await director.call("POST", "/caches/r0/ready", 0))[0] == 200
-            tried = await made.first_try(0, 300)
+            first_attempt_s = await processes.send_first_attempt(0, 300)
             director.all[0].send_signal(signal.SIGSTOP)
-            remember_for_long(made)
+            lengthen_key_retention(processes)
             await director.start()
             await director.serving()
-            director.all[0].kill()  # else clients would reach its own listening socket too
+            director.all[0].kill()  # otherwise clients would also reach its listening socket
             await director.all[0].wait()
-            await made.connect(1)
-            await past_window(tried)
-            arrived = len(origin.tries)
-            assert await made.write(1) in (1, 2)
-            assert len(origin.tries) == arrived, director.log(1)
-            assert director.log(1).count(SILENT) == 1
+            await processes.connect(1)
+            await wait_past_window(first_attempt_s)
+            attempt_count = len(origin.attempt_times_s)
+            assert await processes.write(1) in (1, 2)
+            assert len(origin.attempt_times_s) == attempt_count, director.log(1)
+            assert director.log(1).count(NOTHING_HANDED_OVER) == 1
 
     test()
 
 
 @pytest.mark.parametrize("answer", [None, b"", b"nonsense\n"])
 @pytest.mark.parametrize("has_earlier", [True, False])
-def test_a_new_process_refuses_keys_after_an_old_one_that_gave_nothing_over(
+def test_a_new_process_refuses_keys_if_the_old_one_hands_nothing_over(
     answer: bytes | None, has_earlier: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """`answer`: what it says before it hangs up; None where it says nothing and keeps the connection."""
+    """The old process sends `answer` and closes the connection, or if it is None sends nothing and keeps it
+    open."""
     monkeypatch.setattr(rendezvous_socket, "REPLY_TIMEOUT_S", 0.05 if answer is None else 5.0)
-    new = Side(tmp_path)
+    new = ProcessStub(tmp_path)
     if has_earlier:
         earlier = Handover(NAME, NOW_MS, {"c2": NOW_MS}, learned_state=split_learned_state(new.router))
         assert new.file.write(to_shared_time(earlier, new.clock))
 
-    def old(listener: socket.socket) -> None:
+    def run_old_process(listener: socket.socket) -> None:
         with listener.accept()[0] as sock:
             sock.recv(4096)
             if answer is None:
-                sock.recv(1)  # until the new one leaves
+                sock.recv(1)  # until the new process disconnects
             elif answer:
                 sock.sendall(answer)
 
-    async def scene() -> None:
+    async def run() -> None:
         assert new.coordinator.connect() is None
         assert new.refused_until_ms == new.clock.now() + RETENTION_MS
         assert ("c2" in new.register.out) == has_earlier
         inherited = new.coordinator._inherited_handover
-        assert inherited is None or inherited.learned_state is None, "its budgets may be another process's"
+        assert (
+            inherited is None or inherited.learned_state is None
+        ), "its budgets may have been given to another process"
         new.coordinator.close()
 
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as listener:
         listener.bind(str(tmp_path / rendezvous_socket.SOCKET_NAME))
         listener.listen(1)
-        answering = threading.Thread(target=old, args=(listener,))
-        answering.start()
-        asyncio.run(scene())
-        answering.join()
+        old_process = threading.Thread(target=run_old_process, args=(listener,))
+        old_process.start()
+        asyncio.run(run())
+        old_process.join()
 
 
-@pytest.mark.parametrize("has_left_its_socket", [True, False])
-def test_a_process_with_none_before_it_refuses_no_key(tmp_path: Path, has_left_its_socket: bool) -> None:
-    if has_left_its_socket:  # it was killed
+@pytest.mark.parametrize("has_stale_socket", [True, False])
+def test_a_process_without_predecessor_refuses_no_key(tmp_path: Path, has_stale_socket: bool) -> None:
+    if has_stale_socket:  # of a process that was killed
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as listener:
             listener.bind(str(tmp_path / rendezvous_socket.SOCKET_NAME))
             listener.listen(1)
 
-    async def scene() -> None:
-        new = Side(tmp_path)
+    async def run() -> None:
+        new = ProcessStub(tmp_path)
         assert new.coordinator.connect() is None
         assert not new.refused_until_ms
         new.coordinator.close()
 
-    asyncio.run(scene())
+    asyncio.run(run())
