--- a/gladelane/control_plane/errors.py
+++ b/gladelane/control_plane/errors.py
@@ -6,15 +6,13 @@
 
 
 class LabelledError(Exception):
-    """An error whose `label` does not change when its class is renamed. Each subclass defines its own
-    label."""
+    """An error whose `label` stays the same when its class is renamed. Each subclass defines a label."""
 
     label: ClassVar[str]
 
 
 def error_label(error: BaseException) -> str:
-    """Returns the name of an error for operators: the label of its class, or the class name if it has no
-    label."""
+    """Returns the name of an error for operators: the label of its class, or else the class name."""
     name = type(error).__name__
     if isinstance(error, LabelledError):
         return str(vars(type(error)).get("label", name))  # an inherited label belongs to another class
--- a/gladelane/control_plane/event_stream.py
+++ b/gladelane/control_plane/event_stream.py
@@ -23,7 +23,6 @@
         self._writer.write(encode_response(200, "text/event-stream", None))
 
     async def send(self, data: bytes) -> None:
-        """Sends one event, whose data has no line break. Raises OSError once the subscriber has
-        disconnected."""
+        """Sends one event, whose data has no line break. Raises OSError after a disconnect."""
         self._writer.write(encode_event(data.decode()))
         await self._writer.drain()
--- a/gladelane/control_plane/group_commit.py
+++ b/gladelane/control_plane/group_commit.py
@@ -19,8 +19,7 @@
         max_waiting: int,
         max_batch: int,
     ) -> None:
-        """`commit` stores a batch. `on_failure` is called with a batch whose commit raised, and the
-        exception."""
+        """`commit` stores a batch. `on_failure` receives a batch whose commit raised, and the exception."""
         self._commit = commit
         self._on_failure = on_failure
         self._max_batch = max_batch
--- a/gladelane/control_plane/part.py
+++ b/gladelane/control_plane/part.py
@@ -1,5 +1,4 @@
-"""The interface of a control server's parts, which are independent services that add routes and streams to
-it."""
+"""The interface of a control server's parts: independent services that add routes and streams to it."""
 
 from __future__ import annotations
 
--- a/gladelane/control_plane/replication.py
+++ b/gladelane/control_plane/replication.py
@@ -1,5 +1,4 @@
-"""Replication to other servers: tracks which entries each peer has stored, and delays answers until enough
-have."""
+"""Replication to peers: tracks which entries each peer has stored, and delays answers accordingly."""
 
 from __future__ import annotations
 
@@ -55,8 +54,7 @@
     """Keeps the latest reports of all peers, and the entries that wait for peers."""
 
     def __init__(self, copies: int) -> None:
-        """`copies` is the number of servers, including this one, that must store an entry before its answer
-        is sent."""
+        """An entry is answered once `copies` servers, including this one, have stored it."""
         self.copies = copies
         self.peers: dict[str, PeerReport] = {}  # by address
         self._pending: deque[PendingReplication[Result]] = deque()
--- a/gladelane/control_plane/server.py
+++ b/gladelane/control_plane/server.py
@@ -37,8 +37,7 @@
         self._connections: set[asyncio.Task[None]] = set()
 
     async def start(self, host: str, port: int, tls: ssl.SSLContext | None = None) -> int:
-        """Listens, then starts the parts. Returns the port, which the system chooses for 0. Raises
-        OSError."""
+        """Listens, then starts the parts; returns the port, chosen by the system for 0. Raises OSError."""
         self._server = await asyncio.start_server(self._serve, host, port, ssl=tls, backlog=BACKLOG)
         self.port = self._server.sockets[0].getsockname()[1]
         for part in self._parts:
@@ -110,8 +109,7 @@
         return name
 
     async def _handle(self, request: Request, caller: str) -> bytes:
-        """Returns the response body of the route's handler. Raises HttpStatusError if there is no such
-        route."""
+        """Returns the response body of the route's handler. Raises HttpStatusError if no route matches."""
         route = self._routes.get((request.method, request.path))
         if route is None:
             raise HttpStatusError(404, f"{request.method} {request.path}: no such thing here")
--- a/gladelane/control_plane/tokens.py
+++ b/gladelane/control_plane/tokens.py
@@ -51,8 +51,7 @@
         self.reload_if_changed()
 
     def reload_if_changed(self) -> None:
-        """Reads the file if it has changed. Raises TokenFileError or OSError, and keeps the earlier tokens
-        then."""
+        """Reads a changed file. Raises TokenFileError or OSError, and then keeps the earlier tokens."""
         status = os.stat(self.path)
         stamp = FileStamp(status.st_mtime_ns, status.st_size, status.st_ino)
         if stamp == self._stamp:
--- a/gladelane/hot_restart/channel.py
+++ b/gladelane/hot_restart/channel.py
@@ -45,8 +45,7 @@
         """Called when another process has started or ended."""
 
     def hand_over(self) -> Offer | None:
-        """Returns what a new process gets that asks for the listening socket, or None if there is none to
-        give."""
+        """Returns the offer for a new process that asks for the listening socket; None if there is none."""
 
 
 @dataclass(eq=False)
--- a/gladelane/hot_restart/coordinator.py
+++ b/gladelane/hot_restart/coordinator.py
@@ -51,8 +51,7 @@
 
 
 class RestartCoordinator:
-    """Connects this process to the other processes of its director: first to its predecessor, then to
-    successors."""
+    """Connects this process to the others of its director: first to its predecessor, then to successors."""
 
     def __init__(
         self,
@@ -189,8 +188,7 @@
     # --- what the channel reports
 
     def on_message(self, message: Message) -> None:
-        """Applies an operator's request that another process received, or records the outcome of its
-        attempt."""
+        """Applies an operator's request from a peer, or records the outcome of a peer's attempt."""
         if message.is_about_key:
             self._keys.receive(message)
             return
--- a/gladelane/hot_restart/decoding.py
+++ b/gladelane/hot_restart/decoding.py
@@ -31,8 +31,7 @@
     """A document ends before its last byte, or has more bytes than its header says."""
 
     def __init__(self, length: int, remark: str) -> None:
-        """`length` is the number of bytes present, and `remark` a suffix of the message with what was
-        expected."""
+        """`length` is the number of bytes present; `remark` completes the message with what was expected."""
         super().__init__(f"ends at byte {length}{remark}")
         self.length = length
 
@@ -45,8 +44,7 @@
 
 
 def decode_with(decoder: Decoder[T_co], data: bytes, context: str = "unreadable") -> T_co:
-    """Decodes data that another process wrote. Raises HandoverError, with a text that begins with
-    `context`."""
+    """Decodes data of another process. Raises HandoverError, with a text that begins with `context`."""
     try:
         return decoder.decode(data)
     except msgspec.MsgspecError as error:
--- a/gladelane/hot_restart/handover_file.py
+++ b/gladelane/hot_restart/handover_file.py
@@ -28,8 +28,7 @@
 
 
 class HandoverFile:
-    """The handover file of one folder. It is replaced atomically: a reader sees the old document or the new
-    one."""
+    """The handover file of one folder, replaced atomically: readers see the old document or the new one."""
 
     def __init__(self, folder: str) -> None:
         self._path = Path(folder) / FILE_NAME
--- a/gladelane/hot_restart/key_replication.py
+++ b/gladelane/hot_restart/key_replication.py
@@ -12,8 +12,7 @@
 
 
 class KeyReplication:
-    """Sends this process's attempts to its peers, and records theirs here. Times are in ms of this process's
-    clock."""
+    """Sends this process's attempts to its peers, and records theirs. Times are in ms of the local clock."""
 
     def __init__(self, channel: Channel, clock: Clock, director: Director) -> None:
         self._channel = channel
--- a/gladelane/hot_restart/learned_state.py
+++ b/gladelane/hot_restart/learned_state.py
@@ -1,5 +1,4 @@
-"""Snapshots of what a router has learned about its servers and objects, to be restored in another router.
-Pure.
+"""Snapshots of what a router has learned about servers and objects, to be restored in another router. Pure.
 
 Retry and hedging budgets are split between two processes that run side by side, so that together they do not
 exceed the budget of one. State of a server that has restarted since is not applied. Fields are stored by
@@ -25,8 +24,7 @@
 
 
 class StoreLearnedState(msgspec.Struct, array_like=True):
-    """What a router has learned about one server. Times are in ms, rates and credits as in
-    `store_list.Store`."""
+    """What a router has learned about one server. Times are in ms; rates and credits as in `Store`."""
 
     store: str
     came_up_ms: float  # start of the server process that this describes
--- a/gladelane/hot_restart/messages.py
+++ b/gladelane/hot_restart/messages.py
@@ -11,8 +11,7 @@
 from .decoding import decode_with, expect_equal
 
 PROTOCOL_VERSION = 1
-#: Kinds of messages: a new process asks for the listening socket, the old one replies, either one sends
-#: updates.
+#: Kinds of messages: a request for the listening socket, the reply with it, and all later messages.
 HELLO, HELLO_REPLY, UPDATE = "hello", "here", "order"
 #: Operations of an update about an attempt with an idempotency key; all others are operators' requests.
 MAY_HAVE_RUN, NEVER_RAN = "may_have_run", "never_ran"
--- a/gladelane/hot_restart/rendezvous_socket.py
+++ b/gladelane/hot_restart/rendezvous_socket.py
@@ -41,8 +41,7 @@
 
 
 class NoReplyError(Exception):
-    """An old process may be running but did not hand over its listening socket. The reason has been
-    logged."""
+    """An old process may be running but did not hand over its socket. The reason has been logged."""
 
 
 def request_listener(folder: str, name: str) -> Reply | None:
--- a/gladelane/leases/acceptor.py
+++ b/gladelane/leases/acceptor.py
@@ -77,8 +77,7 @@
             self.tokens[resource] = max(self.tokens.get(resource, 0), fencing_token)
 
     def is_ready(self, now_ms: float) -> bool:
-        """Returns whether this server may grant leases: earlier leases have ended, and enough peers
-        answered."""
+        """Returns whether this server may grant leases: earlier ones have ended and enough peers answered."""
         return now_ms >= self._ready_from_ms and len(self.synced_peers) >= self._required_peers
 
     def highest_token(self, resource: str) -> int:
--- a/gladelane/leases/client.py
+++ b/gladelane/leases/client.py
@@ -32,7 +32,7 @@
 
 
 class ProgressHandler(Protocol):
-    """Exports and imports the progress of the leased work, so that a new holder continues where the last one
+    """Exports and imports the progress of leased work, so that a new holder resumes where the last
     stopped."""
 
     def export_progress(self, resource: str) -> str:
@@ -66,8 +66,7 @@
         steady_clock: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        """`ranks` has this director's rank for each resource that it may hold. `servers` are hosts and
-        ports."""
+        """`ranks` has this director's rank for each resource that it may hold; `servers`, hosts and ports."""
         now_ms = steady_clock()
         self.progress_handler: ProgressHandler | None = None
         self._servers = [_ServerAddress(*address) for address in servers]
@@ -103,8 +102,7 @@
         return lease is not None and lease.is_held(self._steady_clock())
 
     def has_lost_quorum(self) -> bool:
-        """Returns whether no majority of servers has replied recently, so that no director can hold a
-        lease."""
+        """Returns whether no majority of servers replied recently, so that no director can hold a lease."""
         oldest_ms = self._steady_clock() - QUORUM_LOST_AFTER_LEASES * self._duration_ms
         reachable_count = sum(replied_ms >= oldest_ms for replied_ms in self._last_reply_ms.values())
         return reachable_count < majority(len(self._servers))
--- a/gladelane/leases/lease.py
+++ b/gladelane/leases/lease.py
@@ -1,5 +1,4 @@
-"""The client's state machine for one lease: when to send which request, and until when the lease is held.
-Pure.
+"""The client's state machine for a lease: which request is due when, and until when the lease is held. Pure.
 
     IDLE -> QUERYING -> CLAIMING -> HELD
 
@@ -82,13 +81,11 @@
         self._refused_by: set[str] = set()
 
     def is_held(self, now_ms: float) -> bool:
-        """Returns whether this client holds the lease. Has to be called before each operation under the
-        lease."""
+        """Returns whether this client holds the lease. Must be called before each operation under it."""
         return self.phase is LeasePhase.HELD and now_ms < self.expires_ms
 
     def next_request(self, now_ms: float) -> LeaseRequest | None:
-        """Returns the request that is due, or None. Must be called often, since it ends attempts that timed
-        out."""
+        """Returns the request that is due, or None. Must be called often, since it ends overdue attempts."""
         if self.phase is LeasePhase.HELD and now_ms >= self.expires_ms:
             self._schedule_retry(now_ms)
         if now_ms < self._next_action_ms:
@@ -132,8 +129,7 @@
         return self._release_request() if was_held else None
 
     def _is_expected(self, request: LeaseRequest) -> bool:
-        """Returns whether a request belongs to the current attempt, so that replies to it are to be
-        applied."""
+        """Returns whether a request belongs to the current attempt, so that its replies are to be applied."""
         if request.is_release:
             return False
         if self.phase is LeasePhase.QUERYING:
--- a/gladelane/leases/messages.py
+++ b/gladelane/leases/messages.py
@@ -58,8 +58,7 @@
 
 
 class LeaseRequestBatch(msgspec.Struct, forbid_unknown_fields=True):
-    """Requests of one client. `progress` is its progress by resource, stored only if the request is
-    granted."""
+    """Requests of one client. `progress` is its progress by resource, stored only for granted requests."""
 
     requests: list[LeaseRequest] = msgspec.field(name="asks")
     progress: dict[str, str] = {}
@@ -84,8 +83,7 @@
 
 
 class LeaseStatus(msgspec.Struct):
-    """The state of one resource at a server. `holder` is empty and the times are 0 while no lease is
-    active."""
+    """The state of a resource at a server. `holder` is empty and the times are 0 while no lease is active."""
 
     resource: str = msgspec.field(name="work")
     fencing_token: int = msgspec.field(name="number")
--- a/gladelane/leases/options.py
+++ b/gladelane/leases/options.py
@@ -6,8 +6,7 @@
 
 
 class LeaseOptions(msgspec.Struct, frozen=True):
-    """`duration_ms` is the duration of a lease, and `shard_count` the number of shards of the purge
-    orders."""
+    """`duration_ms` is the duration of a lease, and `shard_count` the number of purge order shards."""
 
     duration_ms: float = 3_000.0
     shard_count: int = 16
--- a/gladelane/leases/server.py
+++ b/gladelane/leases/server.py
@@ -183,8 +183,7 @@
         return LeaseReply(reply.server, False, reply.highest_token, is_ready=reply.is_ready)
 
     async def _commit_staged(self) -> None:
-        """Stores everything that is staged, including records of other callers; revokes the grants on
-        failure.
+        """Stores all staged records, including those of other callers; revokes the grants on failure.
 
         Because of the lock, a caller whose token is being stored waits for the result.
         """
--- a/gladelane/leases/shards.py
+++ b/gladelane/leases/shards.py
@@ -63,8 +63,7 @@
         has_lost_quorum: Callable[[], bool],
         known_positions: Callable[[], Vector],
     ) -> None:
-        """`is_held` returns whether this director holds a resource, and `has_lost_quorum` whether no director
-        can.
+        """`is_held` returns whether this director holds a resource; `has_lost_quorum`, whether none can.
 
         `known_positions` returns the last purge that this director knows of each stream.
         """
@@ -84,8 +83,7 @@
         return self._is_held(self.resource_of(server)) or self._has_lost_quorum()
 
     def export_progress(self, resource: str) -> str:
-        """Returns the acknowledgements of a shard's cache servers for the next holder; empty if there are
-        none."""
+        """Returns the acknowledgements of a shard's cache servers for the next holder, or an empty text."""
         progress = {
             server: ServerProgress(process_start, format_vector(vector))
             for server, (process_start, vector) in self._orders.acknowledged_by(
--- a/tests/control_plane/test_control.py
+++ b/tests/control_plane/test_control.py
@@ -1,5 +1,4 @@
-"""The control server and the services that its parts share: routes, size limits, group commit and
-replication."""
+"""The control server and what its parts share: routes, size limits, group commit and replication."""
 
 from __future__ import annotations
 
--- a/tests/hot_restart/test_clock_across_processes.py
+++ b/tests/hot_restart/test_clock_across_processes.py
@@ -1,5 +1,4 @@
-"""Two processes of one director that started at different wall clocks because the clock was stepped in
-between.
+"""Two processes of one director that started at different wall clocks, because of a step in between.
 
 Windows of keyed requests and learned state have to be handed over regardless of the step.
 """
--- a/tests/hot_restart/test_handover_faults.py
+++ b/tests/hot_restart/test_handover_faults.py
@@ -355,8 +355,8 @@
 def test_no_retry_is_sent_past_its_window_after_an_unresponsive_old_process(
     has_earlier: bool,
 ) -> None:
-    """The old process is stopped while the new one connects, which once accepted the key of its attempt as a
-    new key."""
+    """The old process is stopped (SIGSTOP) while the new one connects. The fault was that the new process
+    then accepted a key that the old one had tried as a new key."""
 
     @trial
     async def test() -> None:
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -1,5 +1,4 @@
-"""Lease acceptors, lease state machines, fencing and shards, including an exhaustive search of lease
-states."""
+"""Lease acceptors, lease state machines, fencing and shards, with an exhaustive search of states."""
 
 from __future__ import annotations
 
