--- a/gladelane/audit/audit_store.py
+++ b/gladelane/audit/audit_store.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ..control_plane.positions import ISSUER
+from ..control_plane.positions import ISSUER_PATTERN
 from .activity_log import ActivityInterval
 from .records import BadReportError, Conflict
 from .run_history import RunHistory
@@ -63,7 +63,7 @@
 
     def check(self, report: Report) -> None:
         """Raises BadReportError for a report with impossible content."""
-        if not ISSUER.fullmatch(report.director) or not 0 < report.start < MAX_NUMBER:
+        if not ISSUER_PATTERN.fullmatch(report.director) or not 0 < report.start < MAX_NUMBER:
             found = f"director {report.director[:70]!r}, start {report.start}"
             raise BadReportError(found, "a name and a start")
         if len(report.zone) > MAX_ZONE_LENGTH or not 0.0 <= report.sent_ms < MAX_NUMBER:
--- a/gladelane/control_plane/positions.py
+++ b/gladelane/control_plane/positions.py
@@ -13,8 +13,8 @@
 
 from .errors import LabelledError
 
-ISSUER = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
-VECTOR_ITEM = re.compile(r"([^:=,]{1,64}):([0-9]{1,16})=([0-9]{1,16})", re.ASCII)
+ISSUER_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
+VECTOR_ITEM_PATTERN = re.compile(r"([^:=,]{1,64}):([0-9]{1,16})=([0-9]{1,16})", re.ASCII)
 MAX_AHEAD = 200_000  # entries of one epoch that were received beyond a gap
 MAX_STREAMS = 4_096  # over the epochs of all issuers
 MAX_GAPS = 64  # per report
@@ -98,29 +98,29 @@
 
     def gaps(self, limit: int = MAX_GAPS) -> list[Gap]:
         """Returns up to `limit` gaps, oldest epochs first."""
-        found: list[Gap] = []
+        gaps: list[Gap] = []
         streams = self._received.keys() | self._announced.keys()
         for issuer, epoch in sorted(streams, key=lambda stream: (stream[1], stream[0])):
-            found += self._gaps_of(issuer, epoch)
-            if len(found) >= limit:
+            gaps += self._stream_gaps(issuer, epoch)
+            if len(gaps) >= limit:
                 break
-        return found[:limit]
+        return gaps[:limit]
 
     def covers(self, vector: Vector) -> bool:
         """Returns whether all entries up to a vector were received."""
         return all(self._received.get(stream, 0) >= last for stream, last in vector.items())
 
-    def _gaps_of(self, issuer: str, epoch: int) -> list[Gap]:
+    def _stream_gaps(self, issuer: str, epoch: int) -> list[Gap]:
         stream = issuer, epoch
         ahead = self._ahead.get(stream, set())
         last = max(self._announced.get(stream, 0), max(ahead, default=0))
         first = self._received.get(stream, 0) + 1
-        found: list[Gap] = []
+        gaps: list[Gap] = []
         for seq in (*sorted(seq for seq in ahead if seq <= last), last + 1):
             if first < seq:
-                found.append(Gap(issuer, epoch, first, seq - 1))
+                gaps.append(Gap(issuer, epoch, first, seq - 1))
             first = seq + 1
-        return found
+        return gaps
 
 
 def _close_gap(received: int, ahead: set[int]) -> int:
@@ -140,8 +140,8 @@
     """Parses a text in the form of `format_vector`. Raises InvalidPositionError."""
     vector: dict[Stream, int] = {}
     for item in text.split(",") if text else ():
-        found = VECTOR_ITEM.fullmatch(item)
-        if found is None or not ISSUER.fullmatch(found[1]) or len(vector) >= MAX_STREAMS:
+        match = VECTOR_ITEM_PATTERN.fullmatch(item)
+        if match is None or not ISSUER_PATTERN.fullmatch(match[1]) or len(vector) >= MAX_STREAMS:
             raise InvalidPositionError(f"position {item[:MAX_QUOTED_CHARS]!r}; expected issuer:epoch=number")
-        vector[found[1], int(found[2])] = int(found[3])
+        vector[match[1], int(match[2])] = int(match[3])
     return vector
--- a/gladelane/control_plane/replication.py
+++ b/gladelane/control_plane/replication.py
@@ -45,8 +45,8 @@
 
     def __init__(self, copies: int) -> None:
         """Sets status 503."""
-        where = f"in force and stored here, but not at {copies} feeds yet"
-        super().__init__(503, f"{where}; ask again with the same key")
+        state = f"in force and stored here, but not at {copies} feeds yet"
+        super().__init__(503, f"{state}; ask again with the same key")
         self.copies = copies
 
 
--- a/gladelane/hot_restart/handover.py
+++ b/gladelane/hot_restart/handover.py
@@ -101,7 +101,7 @@
         },
         draining_since_ms=dated(document.draining_since_ms) if document.draining_since_ms else 0.0,
         keys={
-            key: [KeyAttempt(dated(one.at_ms), one.store) for one in attempts]
+            key: [KeyAttempt(dated(attempt.at_ms), attempt.store) for attempt in attempts]
             for key, attempts in document.keys.items()
         },
         learned_state=shift_timestamps(learned_state, dated(now) - now)
@@ -140,7 +140,7 @@
         },
         draining_since_ms=document.draining_since_ms + shift_ms if document.draining_since_ms else 0.0,
         keys={
-            key: [KeyAttempt(one.at_ms + shift_ms, one.store) for one in attempts]
+            key: [KeyAttempt(attempt.at_ms + shift_ms, attempt.store) for attempt in attempts]
             for key, attempts in document.keys.items()
         },
         learned_state=shift_timestamps(learned_state, shift_ms) if learned_state is not None else None,
--- a/gladelane/purges/low_watermark.py
+++ b/gladelane/purges/low_watermark.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from ..control_plane.positions import ISSUER, Stream
+from ..control_plane.positions import ISSUER_PATTERN, Stream
 from .purge import MAX_INTEGER, MAX_SHOWN_ISSUER_CHARS, InvalidPurgeError
 
 MAX_LOSSES = 4_096
@@ -44,7 +44,7 @@
 
 def check_loss(loss: Loss) -> None:
     """Raises InvalidPurgeError."""
-    if not ISSUER.fullmatch(loss.issuer) or not 0 < loss.epoch < MAX_INTEGER:
+    if not ISSUER_PATTERN.fullmatch(loss.issuer) or not 0 < loss.epoch < MAX_INTEGER:
         issuer = loss.issuer[:MAX_SHOWN_ISSUER_CHARS]
         raise InvalidPurgeError(f"loss of {issuer!r}, epoch {loss.epoch}", "a name and an epoch")
     if not (0.0 <= loss.since_ms <= loss.at_ms < MAX_INTEGER) or len(loss.by) > MAX_ATTESTATION_CHARS:
--- a/gladelane/purges/purge.py
+++ b/gladelane/purges/purge.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from ..control_plane.errors import LabelledError
-from ..control_plane.positions import ISSUER, Stream
+from ..control_plane.positions import ISSUER_PATTERN, Stream
 from .peer_clock import PeerClock
 from .scope import MAX_SCOPE_CHARS
 
@@ -68,7 +68,7 @@
 
 def check_purge(purge: Purge) -> None:
     """Checks all fields but the syntax of the scope. Raises InvalidPurgeError."""
-    if not ISSUER.fullmatch(purge.issuer):
+    if not ISSUER_PATTERN.fullmatch(purge.issuer):
         issuer = purge.issuer[:MAX_SHOWN_ISSUER_CHARS]
         raise InvalidPurgeError(f"issuer {issuer!r}", "a name of letters, digits, . _ -")
     if not (0 < purge.epoch < MAX_INTEGER and 0 < purge.seq < MAX_INTEGER):
--- a/tests/control_plane/test_control.py
+++ b/tests/control_plane/test_control.py
@@ -160,7 +160,7 @@
 ) -> None:
     async def run() -> None:
         replication: Replication[str] = Replication(copies)
-        replication.peers = {str(n): PeerReport(position) for n, position in enumerate(positions)}
+        replication.peers = {str(number): PeerReport(position) for number, position in enumerate(positions)}
         done: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         replication.add_pending(PendingReplication(("a", 1), 5, done, "stored", 2.0))
         replication.resolve_pending(now_s)
--- a/tests/hot_restart/test_handover.py
+++ b/tests/hot_restart/test_handover.py
@@ -126,8 +126,8 @@
     assert received.learned_state is not None
     store = received.learned_state.stores[0]
     assert [store.down_until - now, now - store.tokens[1]] == pytest.approx([295.0, 55.0], abs=0.01)
-    assert [one.came_up_ms for one in received.learned_state.stores] == [
-        one.came_up_ms for one in learned_state.stores
+    assert [store.came_up_ms for store in received.learned_state.stores] == [
+        entry.came_up_ms for entry in learned_state.stores
     ]
 
 
@@ -168,18 +168,18 @@
 def test_a_time_keeps_its_date_between_clock_steps_and_older_readers_get_wall_clock_dates() -> None:
     wall, uptime = [NOW], [500.0]
     writer = Clock(lambda: wall[0], lambda: uptime[0], BOOT)
-    moment, shared = writer.now(), writer.shared()
+    now_ms, shared = writer.now(), writer.shared()
     wall[0] += 5.0005  # the wall clock is slewed by half a ms
     uptime[0] += 5.0
     assert writer.shared() == shared
     wall[0] += 3600.0
     stepped = writer.shared()
-    assert float(writer.dated(moment, stepped)) == pytest.approx(NOW * 1000.0 + HOUR_MS, abs=1.0)
+    assert float(writer.dated(now_ms, stepped)) == pytest.approx(NOW * 1000.0 + HOUR_MS, abs=1.0)
     reader = Clock(lambda: wall[0], lambda: uptime[0], BOOT)
     for sent in (shared, stepped):
         shift_ms = reader.shift_from(sent)
         assert shift_ms is not None
-        local_ms = float(writer.dated(moment, sent)) + shift_ms
+        local_ms = float(writer.dated(now_ms, sent)) + shift_ms
         assert reader.now() - local_ms == pytest.approx(5000.0, abs=0.01)
 
 
@@ -240,4 +240,4 @@
     learned_state = split_learned_state(driver.router)
     written = Handover("n0 a:1", NOW, learned_state=learned_state)
     received = decode(encode(written), "n0 a:1").learned_state
-    assert received is not None and [one.key for one in received.objects] == [7]
+    assert received is not None and [entry.key for entry in received.objects] == [7]
