--- a/gladelane/recovery/state_store.py
+++ b/gladelane/recovery/state_store.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ..hot_restart.learnt import take_snapshot
+from ..hot_restart.learned_state import take_snapshot
 from ..routing.idempotency import KeyWindows, retention_for
 from ..routing.router import Router
 from ..storage.boot import BootTimestamp, read_boot_clock
--- a/gladelane/recovery/warm_start.py
+++ b/gladelane/recovery/warm_start.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ..hot_restart.learnt import Learnt, restore
+from ..hot_restart.learned_state import LearnedState, restore
 from ..routing.cache_admission import AGEING_MS, FORGET_BELOW
 from ..routing.events import Settings
 from ..routing.router import Router
@@ -34,7 +34,7 @@
     name: str  # the director's, with its address
     settings: str  # digest of the settings under which the state was learned
     written_ms: float  # Unix ms
-    learned_state: Learnt
+    learned_state: LearnedState
     boot: str = ""  # with `since_boot_ms`: the time of writing as a BootTimestamp
     since_boot_ms: float = 0.0
 
@@ -76,7 +76,7 @@
     return ""
 
 
-def decay_learned_state(learned_state: Learnt, age_ms: float) -> Learnt:
+def decay_learned_state(learned_state: LearnedState, age_ms: float) -> LearnedState:
     """Returns the parts that are still valid after `age_ms`, with object counts decayed."""
     factor = 0.5 ** (age_ms / AGEING_MS)
     objects = [
@@ -95,7 +95,7 @@
     return msgspec.structs.replace(learned_state, objects=objects, stores=stores)
 
 
-def shift_timestamps(learned_state: Learnt, shift_ms: float) -> Learnt:
+def shift_timestamps(learned_state: LearnedState, shift_ms: float) -> LearnedState:
     """Returns the state with all timestamps shifted, to correct for a step of the wall clock."""
     stores = [
         msgspec.structs.replace(
