--- a/benchmarks/purges/structures.py
+++ b/benchmarks/purges/structures.py
@@ -113,7 +113,7 @@
     for _ in range(LOOKUP_ROUNDS):
         began_s = time.perf_counter()
         for lookup in lookups:
-            active.index.newest(*lookup, at_ms)
+            active.index.newest_purge_ms(*lookup, at_ms)
         rounds_s.append(time.perf_counter() - began_s)
     return min(rounds_s) / len(lookups) * 1e6
 
@@ -126,7 +126,7 @@
     began_s = time.perf_counter()
     for lookup in lookups:
         newest_ms = max((purged_ms for purged_ms, scope in scopes if scope.covers(*lookup)), default=0.0)
-        assert newest_ms == active.index.newest(*lookup, at_ms)
+        assert newest_ms == active.index.newest_purge_ms(*lookup, at_ms)
     return (time.perf_counter() - began_s) / len(lookups) * 1e6
 
 
--- a/gladelane/cli/purge_server.py
+++ b/gladelane/cli/purge_server.py
@@ -94,7 +94,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
     for address in options.peers:
-        purge_log.follow(*address, tls=options.tls.client_context())
+        purge_log.subscribe_to_peer(*address, tls=options.tls.client_context())
     server = ControlServer(purge_log.tokens, parts)
     host, port = options.listen
     log_ready(purge_log, host, await server.start(host, port, options.tls.server_context()))
--- a/gladelane/lab/fleet/rules.py
+++ b/gladelane/lab/fleet/rules.py
@@ -99,7 +99,7 @@
                 break
             index.add(purge.scope, purge.at_ms)
             place += 1
-        at = index.newest(answer.cls, answer.group, answer.object, answer.part, answer.sent_ms)
+        at = index.newest_purge_ms(answer.cls, answer.group, answer.object, answer.part, answer.sent_ms)
         if answer.dated_ms + SLACK_MS < at:
             found.append(answer)
     return found
--- a/gladelane/leases/shards.py
+++ b/gladelane/leases/shards.py
@@ -105,4 +105,4 @@
             return
         for server, vector in vectors.items():
             if self.resource_of(server) == resource:
-                self._orders.resume(server, progress[server].process_start, vector)
+                self._orders.adopt_progress(server, progress[server].process_start, vector)
--- a/gladelane/net/copy_dates.py
+++ b/gladelane/net/copy_dates.py
@@ -98,7 +98,7 @@
         index = self._context.router.purges
         part = request.cls, request.group, request.object - 1, request.part
         return oldest_by_purge_servers(
-            index.newest(*part, now), index.newest_by_age(*part, now), now, shift_ms
+            index.newest_purge_ms(*part, now), index.newest_purge_by_age_ms(*part, now), now, shift_ms
         )
 
     def _drop_expired_purges(self) -> None:
--- a/gladelane/operator_parts.py
+++ b/gladelane/operator_parts.py
@@ -128,5 +128,5 @@
         purges.active.positions.vector,
     )
     client.progress_handler = sharded_orders
-    purges.orders.owned = sharded_orders.is_responsible_for
+    purges.orders.is_responsible_for = sharded_orders.is_responsible_for
     return client
--- a/gladelane/purges/backfill_sender.py
+++ b/gladelane/purges/backfill_sender.py
@@ -1,4 +1,4 @@
-"""Sends purge log servers the purges that they lack. It only does I/O; `backfill` decides when."""
+"""Sends purge log servers the purges that they lack. It only does I/O: `backfill` decides when."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-FOLLOWS = "follows"  # the state of a subscriber that receives
+FOLLOWS = "follows"  # the state of a subscriber that is connected and has received a position
 
 
 class _Target(NamedTuple):
@@ -27,7 +27,7 @@
 
 
 class BackfillSender:
-    """Backfills the servers that a director subscribes to. Attributes: sent, the number of purges."""
+    """Backfills the servers that a director subscribes to. Attributes: sent, the number of purges sent."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         """Starts the backfills that are due."""
         for server, schedule in self._targets:
             reported = self._reported.get(server) if server.state == FOLLOWS else None
-            if schedule.due(self._active.positions.vector(), reported, now_ms):
+            if schedule.is_due(self._active.positions.vector(), reported, now_ms):
                 task = asyncio.create_task(self._send(server, reported or {}))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
@@ -63,7 +63,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _send(self, server: Subscriber, reported: Vector) -> None:
-        """Sends what a server lacks, and then the position that this reaches."""
+        """Sends the purges that a server lacks, and then the position that they reach."""
         position = format_vector(self._active.positions.vector())
         events = [Event(purges=batch) for batch in batches(self._active.purges_after(reported))]
         events.append(Event(position=position, losses=self._active.low_watermark.losses()))
@@ -74,9 +74,9 @@
                 await fetch(server.host, server.port, "POST", "/events", self._token(), body, headers)
         except CALL_ERRORS as error:
             log.warning(
-                "feed not told feed=%s:%d: %s %s", server.host, server.port, error_label(error), error
+                "cannot backfill feed=%s:%d: %s %s", server.host, server.port, error_label(error), error
             )
             return
         sent = sum(len(event.purges) for event in events)
         self.sent += sent
-        log.warning("feed lacked purges and was told feed=%s:%d purges=%d", server.host, server.port, sent)
+        log.warning("backfilled missing purges feed=%s:%d purges=%d", server.host, server.port, sent)
--- a/gladelane/purges/batch.py
+++ b/gladelane/purges/batch.py
@@ -1,4 +1,4 @@
-"""A batch of log entries with the records that store them."""
+"""A batch of log entries, and the records as which it is stored."""
 
 from __future__ import annotations
 
@@ -13,40 +13,40 @@
 from .snapshot import ServerStart
 from .wire import encode_purge
 
-OWN = b"\xc1"  # before a record that is not a purge; msgpack never begins with this byte
+SERVER_RECORD_PREFIX = b"\xc1"  # marks a record that is not a purge; msgpack never begins with this byte
 
 
-class OwnRecord(msgspec.Struct, array_like=True):
-    """A record that is not a purge: the start of a server, and losses that were found or closed."""
+class ServerRecord(msgspec.Struct, array_like=True):
+    """A record that is not a purge: a start of the server, and losses that were detected or closed."""
 
     start: ServerStart = ServerStart()
     losses: list[Loss] = []
 
 
-def encode_own(record: OwnRecord) -> bytes:
-    """Returns the stored form, which `is_own` recognizes."""
-    return OWN + msgspec.msgpack.encode(record)
+def encode_server_record(record: ServerRecord) -> bytes:
+    """Encodes a record with the prefix by which `is_server_record` recognizes it."""
+    return SERVER_RECORD_PREFIX + msgspec.msgpack.encode(record)
 
 
-def is_own(record: bytes) -> bool:
-    """Returns whether a stored record is an OwnRecord."""
-    return record.startswith(OWN)
+def is_server_record(record: bytes) -> bool:
+    """Returns whether a stored record is a ServerRecord."""
+    return record.startswith(SERVER_RECORD_PREFIX)
 
 
-def decode_own(record: bytes) -> OwnRecord:
-    """Raises msgspec's errors."""
-    return msgspec.msgpack.decode(record[len(OWN) :], type=OwnRecord)
+def decode_server_record(record: bytes) -> ServerRecord:
+    """Decodes a record with its prefix. Raises msgspec's errors."""
+    return msgspec.msgpack.decode(record[len(SERVER_RECORD_PREFIX) :], type=ServerRecord)
 
 
 class PreparedPurge(NamedTuple):
-    """An entry with its purge, which has a number now."""
+    """An entry and its purge, which has a sequence number."""
 
     entry: LogEntry
     purge: Purge
 
 
 class Batch(NamedTuple):
-    """What one commit stores. `issued`: how many purges of it were issued here."""
+    """What one commit stores. `issued`: the number of purges that this server issued."""
 
     entries: Sequence[LogEntry]
     purges: Sequence[PreparedPurge]
@@ -56,7 +56,8 @@
 
 
 def prepare_batch(entries: Sequence[LogEntry], issue: Callable[[NewPurge], Purge]) -> Batch:
-    """Encodes entries in their order; `issue` numbers the purges that were requested here."""
+    """Encodes entries in their order. `issue` assigns sequence numbers to the purges that were requested from
+    this server."""
     purges: list[PreparedPurge] = []
     records: list[bytes] = []
     losses: list[Loss] = []
@@ -66,7 +67,7 @@
             continue
         if isinstance(entry, LossUpdate):
             if entry.losses:
-                records.append(encode_own(OwnRecord(losses=entry.losses)))
+                records.append(encode_server_record(ServerRecord(losses=entry.losses)))
                 losses += entry.losses
             continue
         if isinstance(entry, NewPurge):
--- a/gladelane/purges/checkpoint_file.py
+++ b/gladelane/purges/checkpoint_file.py
@@ -1,6 +1,6 @@
-"""The checkpoint file of a purge log server: a small file on another disk than its folder.
+"""The checkpoint file of a purge log server: a small file on another disk than the server's folder.
 
-By it a start notices that the folder is older than what was acknowledged; `loss_detection` decides that.
+It shows at a start whether the folder lacks purges that were acknowledged; `loss_detection` decides that.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 
 class InvalidCheckpointError(ValueError):
-    """The file does not contain a checkpoint.
+    """A file that does not contain a checkpoint.
 
     Attributes: path; reason, why it cannot be decoded."""
 
     def __init__(self, path: Path, reason: str) -> None:
-        """The message has both."""
+        """The message contains both."""
         self.path, self.reason = path, reason
         super().__init__(f"{path}: {reason}; expected a mark, or no file")
 
@@ -30,11 +30,12 @@
     """Reads and replaces the checkpoint at a path."""
 
     def __init__(self, path: Path) -> None:
-        """The file may not exist yet."""
+        """`path`: of the file, which need not exist yet."""
         self.path = path
 
     def read(self) -> Checkpoint | None:
-        """Returns None if there is no file yet. Raises InvalidCheckpointError and OSError."""
+        """Reads the checkpoint, or returns None if there is no file yet. Raises InvalidCheckpointError and
+        OSError."""
         try:
             with open(self.path, "rb") as file:
                 return msgspec.json.decode(file.read(MAX_BYTES), type=Checkpoint)
--- a/gladelane/purges/committer.py
+++ b/gladelane/purges/committer.py
@@ -1,4 +1,4 @@
-"""Commits the entries of a purge log: stores them in batches, applies them, and answers those that wait."""
+"""Commits the entries of a purge log: stores them in batches, applies them, and resolves their futures."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .active_purges import ActivePurges
 from .batch import Batch, prepare_batch
 from .entries import LogEntry, LossUpdate, NewPurge, ReachedPosition, fail_waiters, is_retried
-from .idempotency import accepted
+from .idempotency import accepted_response
 from .loss_detection import Checkpoint
 from .purge import InvalidPurgeError, IssuerSequence, Purge, log_invalid_purge
 from .purge_store import PurgeStore
@@ -24,22 +24,22 @@
 
 log = logging.getLogger(__name__)
 
-MAX_WAITING = 10_000  # entries that are not stored yet
-REPLICATION_TIMEOUT_S = 2.0  # for other servers to store a purge that is acknowledged once they have
+MAX_WAITING = 10_000  # queued entries that are not stored yet
+REPLICATION_TIMEOUT_S = 2.0  # in which other servers have to store a purge, or its request fails
 
 
 class CommitObserver(Protocol):
-    """Hears what was committed."""
+    """Is notified of what was committed."""
 
     def on_purge(self, purge: Purge) -> None:
-        """Hears of a purge that has just become active."""
+        """Handles a purge that has just become active."""
 
     def on_commit(self) -> None:
-        """Hears that a batch was applied."""
+        """Handles that a batch was applied."""
 
 
 class Committer:
-    """The queue of entries and the one task that empties it. Nothing else changes the active purges."""
+    """The queue of entries and the single task that commits them. Only this task applies purges."""
 
     def __init__(
         self,
@@ -50,11 +50,11 @@
         clock: ServerClock,
         observer: CommitObserver,
     ) -> None:
-        """`sequence` numbers the purges that are requested here."""
+        """`sequence` assigns the numbers of purges that are requested from this server."""
         self._active, self._store, self._sequence = active, store, sequence
         self._replication, self._clock, self._observer = replication, clock, observer
         self._queue: GroupCommit[LogEntry] = GroupCommit(self.commit, _fail_batch, MAX_WAITING, MAX_BATCH)
-        self._retried: list[LogEntry] = []  # sent by others, and not stored since the disk failed
+        self._retried: list[LogEntry] = []  # received entries that an earlier commit could not store
 
     async def run(self) -> None:
         """Commits what is queued until it is cancelled."""
@@ -67,9 +67,9 @@
         self._queue.put(entry)
 
     async def commit(self, entries: list[LogEntry]) -> None:
-        """Stores entries and makes them binding, and sets the futures of those that wait for them.
+        """Stores entries, applies them, and resolves the futures of those that wait for them.
 
-        What others sent and an earlier commit could not store comes first, because a position has to come
+        Received entries that an earlier commit could not store come first, because a position has to come
         after the purges that it covers."""
         entries = [*self._retried, *entries]
         now_ms = self._clock.timeline_ms()
@@ -94,14 +94,14 @@
         return self._sequence.next(entry.scope, self._clock.issue_ms(), entry.key)
 
     def _apply(self, batch: Batch, now_ms: float) -> None:
-        """Makes a batch that was stored binding."""
+        """Applies a batch that was stored."""
         until_s = asyncio.get_running_loop().time() + REPLICATION_TIMEOUT_S
         for entry, purge in batch.purges:
             self._apply_purge(purge, now_ms)
             if isinstance(entry, NewPurge):
                 stream = purge.issuer, purge.epoch
                 self._replication.add_pending(
-                    PendingReplication(stream, purge.seq, entry.accepted, accepted(purge), until_s)
+                    PendingReplication(stream, purge.seq, entry.accepted, accepted_response(purge), until_s)
                 )
         for entry in batch.entries:
             if isinstance(entry, ReachedPosition):
@@ -120,11 +120,12 @@
             self._observer.on_purge(purge)
 
     def retry(self) -> None:
-        """Queues an empty entry if something could not be stored and nothing else would store it."""
+        """Queues an empty entry if something is unsaved and no other entry is queued that would cause a
+        commit."""
         if (self._retried or self._store.has_unsaved()) and self._queue.is_empty():
             self.put(LossUpdate([]))
 
 
 def _fail_batch(batch: list[LogEntry], error: Exception) -> None:
-    log.error("feed could not store", exc_info=error)
+    log.error("cannot store purges", exc_info=error)
     fail_waiters(batch, HttpStatusError(HTTPStatus.INTERNAL_SERVER_ERROR, f"not stored: {error}"))
--- a/gladelane/purges/control_part.py
+++ b/gladelane/purges/control_part.py
@@ -1,11 +1,16 @@
-"""The calls of a purge log server, as a part of a control server.
-
-POST /purges              {"scope": ..., "tags": {...}}, with Idempotency-Key: stores a purge and sends it to
-all GET  /follow?from=VECTOR  server-sent events: what the subscriber lacks, then what is new; a peer adds
-&peer=1 GET  /purges, /status     the active purges; the state of the server GET
-/explain?object=&class=&group=&part=   the purges that bind a request POST /events              from a
-director that has purges which this server lacks: the events of a stream POST /vouch               an
-operator's attestation about lost purges (`low_watermark`)
+"""The HTTP API of a purge log server, as a part of a control server.
+
+POST /purges              Stores a purge and sends it to all subscribers. The body is
+                          {"scope": ..., "tags": {...}}, with an Idempotency-Key header.
+GET  /follow?from=VECTOR  Streams server-sent events: the purges that the subscriber lacks, then new ones.
+                          A peer adds &peer=1.
+GET  /purges              Returns the active purges.
+GET  /status              Returns the state of the server.
+GET  /explain?object=&class=&group=&part=
+                          Returns the purges that apply to a request.
+POST /events              Receives events of a stream, from a director that has purges which this server
+                          lacks.
+POST /vouch               Receives an operator's attestation about lost purges (`low_watermark`).
 """
 
 from __future__ import annotations
@@ -29,11 +34,11 @@
     """Serves one purge log."""
 
     def __init__(self, purge_log: PurgeLog) -> None:
-        """Starts and closes the log together with the control server."""
+        """`purge_log` is started and closed together with the control server."""
         self._log = purge_log
 
     def routes(self) -> Sequence[Route]:
-        """Returns the calls."""
+        """Returns the routes that answer with one response."""
         return (
             Route("POST", "/purges", self._submit),
             Route("POST", "/events", self._receive, MAX_LARGE_BODY_BYTES),
@@ -44,7 +49,7 @@
         )
 
     def streams(self) -> Sequence[StreamRoute]:
-        """Returns the streams."""
+        """Returns the routes that answer with a stream."""
         return (StreamRoute("/follow", self._subscribe),)
 
     def start(self) -> None:
@@ -70,8 +75,8 @@
     async def _attest(self, request: Request, caller: str) -> bytes:
         attested = attest_decoder.decode(request.body)
         by = f"{caller}: {attested.reason}" if attested.reason else caller
-        is_moment = 0.0 <= attested.since_ms < MAX_INTEGER
-        if not is_moment or len(by) > MAX_ATTESTATION_CHARS or not by.isprintable():
+        is_valid_time = 0.0 <= attested.since_ms < MAX_INTEGER
+        if not is_valid_time or len(by) > MAX_ATTESTATION_CHARS or not by.isprintable():
             expected = "expected Unix ms or 0, and 200 printable characters"
             raise HttpStatusError(HTTPStatus.BAD_REQUEST, f"since_ms, why; {expected}")
         return encode_json(await self._log.losses.attest(attested.since_ms, by))
@@ -83,7 +88,7 @@
         return encode_json(self._log.status())
 
     async def _explain(self, request: Request, _caller: str) -> bytes:
-        return encode_json(binding_purges(self._log.active.purges_after({}), request.query))
+        return encode_json(matching_purges(self._log.active.purges_after({}), request.query))
 
     async def _subscribe(self, request: Request, sink: EventSink) -> None:
         if "peer=1" not in request.query.split("&"):
@@ -91,17 +96,17 @@
         await self._log.stream.serve(sink, _known_vector(request.query))
 
 
-def binding_purges(purges: Iterable[Purge], query: str) -> list[Purge]:
-    """Returns the purges that bind the request in a query, newest first. Raises ValueError if the query names
-    no request."""
+def matching_purges(purges: Iterable[Purge], query: str) -> list[Purge]:
+    """Returns the purges that apply to the request that a query describes, newest first. Raises ValueError if
+    the query is invalid."""
     given = {name: values[0] for name, values in parse_qs(query).items()}
     cls, object_ = given.get("class", "?"), int(given.get("object", "0"), 16)
     group, part = int(given.get("group", "-1")), int(given.get("part", "0"))
-    binding = [purge for purge in purges if parse(purge.scope).covers(cls, group, object_, part)]
-    return sorted(binding, key=lambda purge: -purge.at_ms)
+    matching = [purge for purge in purges if parse(purge.scope).covers(cls, group, object_, part)]
+    return sorted(matching, key=lambda purge: -purge.at_ms)
 
 
 def _known_vector(query: str) -> Vector:
-    """Returns the position of a subscriber. Raises InvalidPositionError."""
+    """Returns the position in the query of a subscriber. Raises InvalidPositionError."""
     given = [item.partition("=") for item in query.split("&")]
     return parse_vector(unquote(next((value for name, _, value in given if name == "from"), "")))
--- a/gladelane/purges/copy_limits.py
+++ b/gladelane/purges/copy_limits.py
@@ -1,4 +1,4 @@
-"""How old a copy may be for strict classes, and the budget for renewing older ones. Times are in Unix
+"""How old a copy may be for strict classes, and the budget for refetching older ones. Times are in Unix
 ms."""
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 
 
 class Source(Protocol):
-    """The subscription to one server, as `Subscriber` has it."""
+    """The state of the subscription to one server; see `Subscriber`."""
 
-    heard_ms: float
+    position_received_ms: float
     caught_up_ms: float
     server_clock_ms: float
 
     @property
     def is_live(self) -> bool:
-        """Whether everything that the server knew before was received."""
+        """Whether the whole backlog of the server was received."""
 
 
 class CopyLimits:
     """The limits that follow from the link to the servers and from lost purges.
 
-    Attributes: cut_off; refetch_budget, the budget; low_watermark_ms, the moment before which copies may be
-    older than a lost purge, 0.0 if no purge is missing; newest_date_ms, of all copies seen."""
+    Attributes: cut_off; refetch_budget; low_watermark_ms, the time before which copies may be older than a
+    lost purge, 0.0 if no purge is missing; newest_date_ms, the newest date of all copies seen."""
 
     def __init__(
         self,
@@ -44,25 +44,25 @@
         sources: Sequence[Source],
         now_ms: float,
     ) -> None:
-        """Starts cut off. `active` was recovered before."""
+        """Starts in the state CUT_OFF. `active` must have been recovered before."""
         self.cut_off = CutOff(options.delay_ms, options.strict, log.warning)
         self.refetch_budget = refetch_budget
         self.refetch_budget.activate(Cause.CUT_OFF, now_ms)
         self.low_watermark_ms = 0.0
         self.newest_date_ms = 0.0
         self._options, self._active, self._sources = options, active, sources
-        self._watermark_late_ms = 0.0  # by how much the local clock puts the low watermark later
+        self._watermark_late_ms = 0.0  # how much later the low watermark is by the local clock
 
     def update_low_watermark(self, now_ms: float) -> bool:
-        """Looks for a change of the low watermark, and returns whether there was one.
+        """Updates the low watermark, and returns whether it changed.
 
-        A rise makes copies void, a fall makes them valid again."""
+        A rise invalidates copies for strict classes, a fall makes them valid again."""
         current_ms, previous_ms = self._active.low_watermark_ms(now_ms), self.low_watermark_ms
         if current_ms == previous_ms:
             return False
         self.low_watermark_ms = current_ms
         is_rise = current_ms > previous_ms
-        # what a caught-up subscription hears of has just happened, so it needs no clock but the local one
+        # a loss that a caught-up subscription receives has just happened, so its time is the local one
         is_live = is_rise and any(source.is_live for source in self._sources)
         self._watermark_late_ms = max(now_ms - current_ms, 0.0) if is_live else 0.0
         if is_rise:
@@ -70,7 +70,7 @@
             if self._voids_copies():
                 self.refetch_budget.activate(Cause.LOST, now_ms)
         else:
-            log.warning("purges are known again since=%.0f", current_ms)
+            log.warning("low watermark lowered since=%.0f", current_ms)
             if not current_ms:
                 self.refetch_budget.deactivate(Cause.LOST)
         return True
@@ -81,7 +81,7 @@
     def _log_rise(self) -> None:
         losses = self._active.low_watermark.open_losses()
         log.error(
-            "purges may be lost since=%.0f lost=%s: copies from before are %s for strict=%s, served else",
+            "purges may be lost since=%.0f lost=%s: older copies are %s for strict=%s, served for others",
             self.low_watermark_ms,
             ",".join(f"{loss.issuer}:{loss.epoch}" for loss in losses),
             "void" if self._voids_copies() else "served",
@@ -89,32 +89,32 @@
         )
 
     def update_link(self, now_ms: float) -> bool:
-        """Looks whether the director is cut off and which causes still limit renewals. Returns whether the
-        low watermark changed. A server counts while everything up to its position is known here."""
+        """Updates whether the director is cut off and which causes still limit refetches. Returns whether the
+        low watermark changed. A server counts only if this director has everything up to its position."""
         previous = self.cut_off.link
         caught_up_ms = max((source.caught_up_ms for source in self._sources), default=0.0)
         self.cut_off.update(caught_up_ms, now_ms)
         link = self.cut_off.link
         if link is not previous:
-            self._begin_renewals(link, now_ms)
+            self._activate_budget(link, now_ms)
         if link is not Link.CUT_OFF:
             self.refetch_budget.deactivate(Cause.CUT_OFF)
-        has_changed = self.update_low_watermark(now_ms)  # a loss ends with the retention
-        if self.refetch_budget.is_quiet(now_ms):
+        has_changed = self.update_low_watermark(now_ms)  # a loss expires after the retention
+        if self.refetch_budget.has_no_recent_rejection(now_ms):
             self.refetch_budget.deactivate(Cause.LOST)
             if link is Link.FOLLOWS:
                 self.refetch_budget.deactivate(Cause.BACK)
         return has_changed
 
-    def _begin_renewals(self, link: Link, now_ms: float) -> None:
+    def _activate_budget(self, link: Link, now_ms: float) -> None:
         if link is Link.CUT_OFF:
             self.refetch_budget.activate(Cause.CUT_OFF, now_ms)
         elif link is Link.RETURNING:
             self.refetch_budget.activate(Cause.BACK, now_ms)
 
     def max_copy_age_ms(self, cls: str, now_ms: float) -> float:
-        """Returns the age above which no copy may be used for a class. Copies older than the retention are
-        never used."""
+        """Returns the age above which no copy may be used for a class, which is never more than the
+        retention."""
         limit_ms = self._active.max_copy_age_ms()
         if cls not in self._options.strict:
             return limit_ms
@@ -125,19 +125,21 @@
         return limit_ms
 
     def _watermark_behind_ms(self) -> float:
-        """Returns by how much the low watermark may be later by the local clock than by its issuer's."""
-        behind_ms = (clock_behind_ms(source.server_clock_ms, source.heard_ms) for source in self._sources)
+        """Returns how much later the low watermark may be by the local clock than by its issuer's."""
+        behind_ms = (
+            clock_behind_ms(source.server_clock_ms, source.position_received_ms) for source in self._sources
+        )
         return max(self._watermark_late_ms, *behind_ms, 0.0)
 
     def admits(self, cls: str, part: PartKey, weight: float, now_ms: float) -> float:
-        """Returns 0.0 if a request may go on, or the time in ms after which to try again. `weight`: what the
-        class earns as a share of the best one."""
+        """Returns 0.0 if a request is admitted, or the time in ms after which to retry it. `weight`: the
+        value of the class relative to the most valuable one, from 0 to 1."""
         if cls not in self._options.strict:
             return 0.0
         return self.refetch_budget.admit(part, weight, self.max_copy_age_ms(cls, now_ms), now_ms)
 
     def answered(self, cls: str, part: PartKey, dated_ms: float, in_time: bool) -> None:
-        """Records that an attempt ended. `dated_ms`: the date of the copy, 0.0 if none was used."""
+        """Records that an attempt ended. `dated_ms`: the date of the copy, 0.0 if there was none."""
         self.newest_date_ms = max(self.newest_date_ms, dated_ms)
         if cls in self._options.strict:
             self.refetch_budget.record_answer(part, dated_ms, in_time)
--- a/gladelane/purges/entries.py
+++ b/gladelane/purges/entries.py
@@ -1,4 +1,4 @@
-"""The entries that a purge log commits, and the futures of those that wait for them."""
+"""The entries that a purge log commits, and the futures that are resolved after the commit."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 
 class NewPurge(NamedTuple):
-    """A purge that was requested here and has no number yet. `scope` is canonical; `accepted` is set once the
-    purge was stored."""
+    """A purge that was requested from this server and has no sequence number yet. `scope` is canonical;
+    `accepted` is resolved once the purge is stored."""
 
     scope: str
     key: str
@@ -27,13 +27,14 @@
 
 
 class ReachedPosition(NamedTuple):
-    """A position up to which a peer has sent everything; what it sent is ahead of this entry in the queue."""
+    """A position up to which a peer has sent everything. The purges that it sent precede this entry in the
+    queue."""
 
     vector: Vector
 
 
 class LossUpdate(NamedTuple):
-    """Losses that were found or closed. `stored` is set once they were stored.
+    """Losses that were detected or closed. `stored` is resolved once they are stored.
 
     An update without losses makes the store write what an earlier commit could not."""
 
@@ -45,15 +46,15 @@
 
 
 def is_retried(entry: LogEntry) -> bool:
-    """Returns whether an entry that could not be stored is stored later.
+    """Returns whether an entry that could not be stored is retried.
 
-    It is if others sent it, because they assume that we have what they sent. A purge that was requested here
-    is rejected instead, and the store retries losses itself."""
+    Entries that were received from others are, because the senders assume that this server has what they
+    sent. A purge that was requested from this server is rejected instead. The store retries losses itself."""
     return isinstance(entry, ReceivedPurge | ReachedPosition)
 
 
 def fail_waiters(batch: list[LogEntry], error: Exception) -> None:
-    """Raises an error for all that wait for an entry of a batch."""
+    """Sets an error on the futures of all entries of a batch."""
     for entry in batch:
         waiter: asyncio.Future[Accepted] | asyncio.Future[None] | None = None
         if isinstance(entry, NewPurge):
--- a/gladelane/purges/idempotency.py
+++ b/gladelane/purges/idempotency.py
@@ -13,24 +13,25 @@
 from .wire import Accepted
 
 
-def accepted(purge: Purge, is_repeated: bool = False) -> Accepted:
-    """Returns the response for a purge that was stored."""
+def accepted_response(purge: Purge, is_repeated: bool = False) -> Accepted:
+    """Returns the response to the request of a purge that was stored."""
     return Accepted(purge.issuer, purge.epoch, purge.seq, purge.at_ms, purge.scope, is_repeated)
 
 
 class IdempotencyKeys:
-    """The keys of the purges that one server issued, and of those that it is storing."""
+    """The keys of the purges that one server has issued, and of those that it is storing."""
 
     def __init__(self, purges: Iterable[Purge]) -> None:
-        """`purges`: those issued here that were recovered."""
+        """`purges`: the recovered purges that this server issued."""
         self._purges = {purge.key: purge for purge in purges if purge.key}
         self._pending: dict[str, asyncio.Future[Accepted]] = {}
 
     async def find(self, key: str, scope: str) -> Accepted | None:
-        """Returns the response of an earlier request with a key, once there is one, or None if there was no
-        such request. Raises HttpStatusError if it had another scope, and whatever that request raised."""
+        """Waits for the response of an earlier request with a key and returns it, or None if there was no
+        such request. Raises HttpStatusError if that request had another scope, and any error that it
+        raised."""
         if (known := self._purges.get(key)) is not None:
-            first = accepted(known)
+            first = accepted_response(known)
         elif (pending := self._pending.get(key)) is not None:
             first = await asyncio.shield(pending)
         else:
@@ -45,10 +46,10 @@
         response.add_done_callback(lambda _: self._pending.pop(key, None))
 
     def add(self, purge: Purge) -> None:
-        """Records the key of a purge that was stored."""
+        """Adds the key of a purge that was stored."""
         if purge.key:
             self._purges[purge.key] = purge
 
     def expire(self, oldest_ms: float) -> None:
-        """Removes the keys of purges up to a moment."""
+        """Removes the keys of purges up to a time in Unix ms."""
         self._purges = {key: purge for key, purge in self._purges.items() if purge.at_ms > oldest_ms}
--- a/gladelane/purges/log_compaction.py
+++ b/gladelane/purges/log_compaction.py
@@ -1,4 +1,4 @@
-"""When the logs of purges are replaced by a snapshot, at control servers and at directors."""
+"""When the logs of purges are replaced by a snapshot, in control servers and in directors."""
 
 from __future__ import annotations
 
@@ -10,6 +10,6 @@
 SNAPSHOT_RETRY_AFTER = 1_000  # further records, if a snapshot could not be stored
 
 
-def compaction_of(log: WriteAheadLog, record_count: int, outage: Outage) -> LogCompaction:
-    """The compaction of a log of purges with `record_count` recovered records."""
+def create_log_compaction(log: WriteAheadLog, record_count: int, outage: Outage) -> LogCompaction:
+    """Creates the compaction of a log of purges with `record_count` recovered records."""
     return LogCompaction(log, outage, record_count, SNAPSHOT_AFTER, SNAPSHOT_RETRY_AFTER)
--- a/gladelane/purges/low_watermark.py
+++ b/gladelane/purges/low_watermark.py
@@ -1,15 +1,15 @@
-"""The low watermark: the moment from which on all purges are known, after some were lost with a disk.
+"""The low watermark: the time from which on all purges are known, after some were lost with a disk.
 
 A `Loss` says that an issuer started an epoch without all of its past, so that purges which it had
-acknowledged may be missing, up to the moment `at_ms`. A copy from before an unknown purge looks like any
-other, so all copies from before a loss are suspect. A loss is closed, wholly or in part, by someone who can
-attest that purges are known: `since_ms` is the moment from which on all purges are known after all, and 0
-means that none is missing.
-
-Losses are joined by (issuer, epoch), as purges are. Of the moment the latest report counts, since a server
-whose clock is behind believes an earlier one; of what was closed, the attestation that reaches furthest
-counts. Entries are only removed by age. This is a semilattice, so neither order nor repetition of reports
-matters. The low watermark is the newest moment of any entry. It ends with the retention, since no copy that
+acknowledged before the time `at_ms` may be missing. A copy from before an unknown purge looks like any other,
+so all copies from before a loss are suspect. A loss is closed, wholly or in part, by someone who can attest
+that purges are known: `since_ms` is the time from which on all purges are known after all, and 0 means that
+none is missing.
+
+Losses are joined by (issuer, epoch). The latest reported `at_ms` counts, since a server whose clock is behind
+limits it to an earlier one; of several attestations, the one with the earliest `since_ms` counts. Entries are
+only removed by age. This is a semilattice, so neither the order nor the repetition of reports matters. The
+low watermark is the newest `since_ms` of any entry. It has no effect after the retention, since no copy that
 old is accepted.
 """
 
@@ -24,16 +24,16 @@
 
 MAX_LOSSES = 4_096
 MAX_ATTESTATION_CHARS = 256
-#: `by` of a loss that a director found out; other servers did not, so they lack what they should have
+#: `by` of a loss that a director detected. The other servers did not, so they lack the same purges.
 SEEN_BY_DIRECTOR = "seen by a director"
-AHEAD_MS = 60_000.0  # a moment further ahead of the local clock is not believed
+MAX_AHEAD_MS = 60_000.0  # times are limited to this far ahead of the local clock
 
 
 class Loss(msgspec.Struct, frozen=True, array_like=True):
     """An epoch that started without all of its issuer's past.
 
-    Attributes: at_ms, when it was found, in Unix ms; since_ms, the moment from which on all purges are known,
-    in Unix ms, 0 if none is missing; by, who closed it, and on which grounds."""
+    Attributes: at_ms, when it was detected, in Unix ms; since_ms, the time from which on all purges are
+    known, in Unix ms, 0 if none is missing; by, who closed it, and on which grounds."""
 
     issuer: str
     epoch: int
@@ -43,7 +43,7 @@
 
 
 def check_loss(loss: Loss) -> None:
-    """Raises InvalidPurgeError."""
+    """Checks the fields of a loss. Raises InvalidPurgeError."""
     if not ISSUER.fullmatch(loss.issuer) or not 0 < loss.epoch < MAX_INTEGER:
         issuer = loss.issuer[:MAX_SHOWN_ISSUER_CHARS]
         raise InvalidPurgeError(f"loss of {issuer!r}, epoch {loss.epoch}", "a name and an epoch")
@@ -52,8 +52,8 @@
 
 
 def join_losses(known: Loss, received: Loss) -> Loss:
-    """Joins two reports of one loss. An open report closes nothing, however early its moment is by the clock
-    of its sender."""
+    """Joins two reports of one loss. An open report closes nothing, however early its time is by the clock of
+    its sender."""
     at_ms = max(known.at_ms, received.at_ms)
     closed = [loss for loss in (known, received) if loss.since_ms < loss.at_ms]
     if not closed:
@@ -63,9 +63,9 @@
 
 
 class LowWatermark:
-    """The losses that are known, and the moment that follows from them.
+    """The known losses, and the low watermark that follows from them.
 
-    Attributes: version, a counter of changes, by which a stream sees that it has to send the losses again."""
+    Attributes: version, a counter of changes, which shows a stream when to send the losses again."""
 
     def __init__(self) -> None:
         """Starts without a loss."""
@@ -77,20 +77,20 @@
         return len(self._losses)
 
     def merge(self, losses: Iterable[Loss], now_ms: float) -> list[Loss]:
-        """Joins losses with those known, and returns the ones that changed in their new state.
+        """Joins losses with the known ones, and returns the new state of those that changed.
 
-        Raises InvalidPurgeError at the first invalid loss; those before it stay merged."""
+        Raises InvalidPurgeError at the first invalid loss; the losses before it stay merged."""
         changed: list[Loss] = []
         for loss in losses:
             check_loss(loss)
-            merged = self._merge_one(_limited(loss, now_ms + AHEAD_MS))
+            merged = self._merge_one(_limit_times(loss, now_ms + MAX_AHEAD_MS))
             if merged is not None:
                 changed.append(merged)
         self.version += len(changed)
         return changed
 
     def _merge_one(self, loss: Loss) -> Loss | None:
-        """Returns the new state, or None if nothing changed."""
+        """Returns the new state of a loss, or None if nothing changed."""
         key = loss.issuer, loss.epoch
         known = self._losses.get(key)
         if known is None and len(self._losses) >= MAX_LOSSES:
@@ -102,20 +102,21 @@
         return merged
 
     def value_ms(self, now_ms: float, retention_ms: float) -> float:
-        """Returns the moment from which on all purges are known, in Unix ms; 0.0 if all that bind are."""
+        """Returns the time from which on all purges are known, in Unix ms; 0.0 if all active ones are."""
         newest_ms = max((loss.since_ms for loss in self._losses.values()), default=0.0)
         return newest_ms if newest_ms > now_ms - retention_ms else 0.0
 
     def losses(self) -> list[Loss]:
-        """Returns all losses. Closed ones are included, because other servers may still hold them open."""
+        """Returns all losses, including closed ones, because they may still be open on other servers."""
         return sorted(self._losses.values(), key=lambda loss: (loss.epoch, loss.issuer))
 
     def open_losses(self, issuer: str = "") -> list[Loss]:
-        """Returns the losses that still bind, of one issuer or of all."""
+        """Returns the losses that are not fully closed, of one issuer or of all."""
         return [loss for loss in self.losses() if loss.since_ms and issuer in ("", loss.issuer)]
 
     def attest(self, since_ms: float, by: str) -> list[Loss]:
-        """Returns, to be merged, the losses that an operator's attestation closes. It never reopens one."""
+        """Returns the closed state, to be merged, of the losses that an operator's attestation closes. An
+        attestation never reopens a loss."""
         return [
             msgspec.structs.replace(loss, since_ms=since_ms, by=by)
             for loss in self.open_losses()
@@ -123,8 +124,9 @@
         ]
 
     def attest_own(self, issuer: str, by: str) -> list[Loss]:
-        """Returns, to be merged, the losses of an issuer that its peers' attestation closes. Losses that a
-        director found are left out, because the peers lacked the same purges."""
+        """Returns the closed state, to be merged, of the losses of an issuer that an attestation of its peers
+        closes. Losses that a director detected are not among them, because the peers lacked the same
+        purges."""
         return [
             msgspec.structs.replace(loss, since_ms=0.0, by=by)
             for loss in self.open_losses(issuer)
@@ -132,14 +134,14 @@
         ]
 
     def expire(self, now_ms: float, retention_ms: float) -> None:
-        """Removes losses past the retention, which bind nothing, closed or not. Peers remove them as well."""
-        oldest_ms = now_ms - retention_ms - AHEAD_MS
+        """Removes losses past the retention, closed or not, which have no effect. Peers remove them too."""
+        oldest_ms = now_ms - retention_ms - MAX_AHEAD_MS
         for key in [key for key, loss in self._losses.items() if loss.at_ms < oldest_ms]:
             del self._losses[key]
 
 
-def _limited(loss: Loss, latest_ms: float) -> Loss:
-    """Returns the loss with no moment later than `latest_ms`."""
+def _limit_times(loss: Loss, latest_ms: float) -> Loss:
+    """Returns a loss with its times limited to `latest_ms`."""
     if loss.at_ms <= latest_ms:
         return loss
     return msgspec.structs.replace(loss, at_ms=latest_ms, since_ms=min(loss.since_ms, latest_ms))
--- a/gladelane/purges/options.py
+++ b/gladelane/purges/options.py
@@ -11,12 +11,13 @@
     """The settings of a director.
 
     Attributes: servers, the purge log servers as (host, port); token_file; folder, where purges are stored,
-    empty for nowhere; retention_ms; skew_ms, added to every moment; delay_ms, after which a director without
-    a server is cut off; strict, the classes that are then bound; cut_off_per_s, renewals a second at first if
-    `origin_per_s` is not set; start_wait_ms, how long a start waits for a server; order_kinds, the kinds of
-    servers that take orders to drop copies; orders_per_s, over all servers; origin_per_s, renewals that the
-    origin can bear from all directors together, 0 if unknown; lost, what strict classes do with copies from
-    before a loss."""
+    or empty to store none; retention_ms; skew_ms, added to the time of every purge; delay_ms, after which a
+    director that no server reaches is cut off; strict, the classes whose copies are then limited in age;
+    cut_off_per_s, the initial rate of refetches if `origin_per_s` is not set; start_wait_ms, how long a start
+    waits for a server; order_kinds, the kinds of servers that accept orders to drop copies; orders_per_s, the
+    most orders a second to all servers together; origin_per_s, the rate of refetches that the origin can bear
+    from all directors together, 0 if unknown; lost, whether strict classes void or serve copies from before a
+    loss."""
 
     servers: tuple[tuple[str, int], ...]
     token_file: str
--- a/gladelane/purges/order_sender.py
+++ b/gladelane/purges/order_sender.py
@@ -1,6 +1,7 @@
-"""Sends orders to cache servers: `drop TAG LENGTH`, the scopes as lines, and the response `TAG dropped`.
+"""Sends orders to drop purged copies to cache servers.
 
-It only does I/O; `orders` decides what is sent when.
+An order is `drop TAG LENGTH` and one line for each purge; its response is `TAG dropped`. This module only
+does I/O: `orders` decides which orders are sent when.
 """
 
 from __future__ import annotations
@@ -18,16 +19,16 @@
 log = logging.getLogger(__name__)
 
 ORDER_TIMEOUT_S = 2.0
-INTERVAL_S = 0.05  # between two looks for orders to send
+POLL_INTERVAL_S = 0.05  # between two checks for orders to send
 MAX_RESPONSE_BYTES = 256
 TAG_BYTES = 8
 
 
 class OrderSender:
-    """Sends orders to the addresses that requests use, and within the same socket budget."""
+    """Sends orders to the addresses that requests use, within the socket budget that requests use."""
 
     def __init__(self, orders: Orders, endpoints: Endpoints, budget: Budget, dial_timeout_ms: float) -> None:
-        """`dial_timeout_ms` bounds the connect."""
+        """`dial_timeout_ms` limits each attempt to connect."""
         self.orders, self.endpoints, self.budget = orders, endpoints, budget
         self.dial_timeout_ms = dial_timeout_ms
         self._tasks: set[asyncio.Task[None]] = set()
@@ -36,11 +37,11 @@
         """Sends orders until it is cancelled, which also cancels those in flight."""
         try:
             while True:
-                for order in self.orders.next(self.budget.clock()):
+                for order in self.orders.next_orders(self.budget.clock()):
                     task = asyncio.create_task(self._send(order))
                     self._tasks.add(task)
                     task.add_done_callback(self._tasks.discard)
-                await asyncio.sleep(INTERVAL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
         finally:
             for task in self._tasks:
                 task.cancel()
@@ -58,13 +59,13 @@
         finally:
             self.budget.hold(-1)
         if is_acknowledged:
-            self.orders.acknowledged(order)
+            self.orders.record_acknowledged(order)
         else:
             log.info("order not acknowledged server=%s purges=%d", order.server, len(order.purges))
-            self.orders.failed(order, self.budget.clock())
+            self.orders.record_failure(order, self.budget.clock())
 
     async def _drop(self, order: Order) -> bool:
-        """Connects and sends an order; returns whether the server has acknowledged it."""
+        """Connects to a server and sends an order. Returns whether the server has acknowledged it."""
         plan = self.endpoints.plan(order.server, self.budget.clock())
         if not plan.addresses:
             return False
--- a/gladelane/purges/peers.py
+++ b/gladelane/purges/peers.py
@@ -16,14 +16,14 @@
 from .subscriber import Subscriber
 from .wire import Accepted, Event
 
-CLOCKS_WAIT_S = 1.0  # after a start, in which the clocks of all peers should have come
+CLOCKS_WAIT_S = 1.0  # how long a start waits for the clocks of all peers
 
 
 class PeerReceiver(Protocol):
-    """Receives what peers send. All methods but the first raise OSError if too much waits to be stored."""
+    """Receives what peers send. All methods but the first raise OSError if the queue is full."""
 
     def known_vector(self) -> Vector:
-        """Returns the position reached."""
+        """Returns the position from which a stream resumes."""
 
     def receive(self, purges: list[Purge]) -> None:
         """Receives purges."""
@@ -36,10 +36,10 @@
 
 
 class Peers:
-    """Records the clock and the position of each peer, and hands on the rest.
+    """Records the clock and the position of each peer, and passes everything on to the receiver.
 
-    Attributes: subscribers; clocks_settled, set once each peer has sent its clock or had the time to. Before
-    that our own clock may be behind, and nothing shows it."""
+    Attributes: subscribers; clocks_settled, set once each peer has sent its clock or had the time to do so.
+    Before that, the local clock may be behind without any sign of it."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         clock: ServerClock,
         tokens: Tokens,
     ) -> None:
-        """No peer is subscribed to yet."""
+        """Starts without peers."""
         self.subscribers: list[Subscriber] = []
         self.clocks_settled = asyncio.Event()
         self._without_clock: set[str] = set()
@@ -56,7 +56,7 @@
         self._clock, self._tokens = clock, tokens
 
     def subscribe(self, host: str, port: int, tls: ssl.SSLContext | None) -> Subscriber:
-        """Adds a peer; the caller runs the subscriber."""
+        """Adds a peer, and returns its subscriber, which the caller has to run."""
         self._replication.peers[f"{host}:{port}"] = PeerReport()
         subscriber = Subscriber(
             host, port, self._tokens.first_token, self, self._clock.timeline_ms, tls, is_peer=True
@@ -66,7 +66,7 @@
         return subscriber
 
     async def settle_clocks(self) -> None:
-        """Sets `clocks_settled` after a while, if the peers have not done so before."""
+        """Sets `clocks_settled` after `CLOCKS_WAIT_S`, unless it is set before."""
         with suppress(TimeoutError):
             async with asyncio.timeout(CLOCKS_WAIT_S if self._without_clock else 0.0):
                 await self.clocks_settled.wait()
@@ -81,19 +81,19 @@
         return self._receiver.known_vector()
 
     def on_purges(self, purges: list[Purge], source: Subscriber) -> None:
-        """Records the clock of a peer, and hands purges on."""
+        """Records the clock of a peer, and passes its purges on."""
         self._observe_clock(source)
         self._receiver.receive(purges)
 
     def on_losses(self, event: Event, source: Subscriber) -> None:
-        """Records the name of a peer and how many copies it waits for, and hands its losses on."""
+        """Records the name of a peer and the number of copies that it waits for, and passes its losses on."""
         self._observe_clock(source)
         reports, address = self._replication.peers, _address(source)
         reports[address] = reports[address]._replace(name=event.name, copies=event.copies)
         self._receiver.receive_losses(event.losses)
 
     def on_position(self, vector: Vector, source: Subscriber) -> None:
-        """Records the position of a peer, and hands it on."""
+        """Records the position of a peer, and passes it on."""
         self._observe_clock(source)
         reports, address = self._replication.peers, _address(source)
         reports[address] = reports[address]._replace(position=vector)
--- a/gladelane/purges/purge_index.py
+++ b/gladelane/purges/purge_index.py
@@ -1,4 +1,4 @@
-"""The interface by which routing decisions ask how old a copy may be after purges."""
+"""The interface by which routing decisions look up how old a copy may be after purges."""
 
 from __future__ import annotations
 
@@ -6,17 +6,19 @@
 
 
 class PurgeIndex(Protocol):
-    """The newest moment that any active purge sets. Objects count from 0 here; times are Unix ms."""
+    """Finds the newest active purge of a request. Objects are numbered from 0; times are in Unix ms."""
 
-    def add_one(self, object_: int, group: int, at: float, until: float) -> None:
-        """Copies from before `at` are out of date up to `until`: of one object, or below 0 of a group."""
+    def add_object_or_group(self, object_: int, group: int, at_ms: float, until_ms: float) -> None:
+        """Makes copies from before `at_ms` out of date until `until_ms`: those of one object, or those of a
+        group if `object_` is negative."""
 
-    def newest(self, cls: str, group: int, object_: int, part: int, now: float) -> float:
-        """The newest moment such that no copy dated before it may be served, 0: none."""
+    def newest_purge_ms(self, cls: str, group: int, object_: int, part: int, now_ms: float) -> float:
+        """Returns the time before which no copy of a part may be dated; 0.0 if there is no limit."""
 
-    def newest_by_age(self, cls: str, group: int, object_: int, part: int, now: float) -> float:
-        """The newest moment of our own clock such that no copy that was there then may be served, 0: none.
-        Not before `newest`: later where the clock of a purge's issuer is behind ours."""
+    def newest_purge_by_age_ms(self, cls: str, group: int, object_: int, part: int, now_ms: float) -> float:
+        """Returns the local time such that no copy that existed then may be served; 0.0 if there is no limit.
+        It is never before `newest_purge_ms`, and later than it if the issuer's clock is behind the local
+        one."""
 
-    def expire(self, now: float) -> int:
-        """Forgets some of the purges that have ended. Returns how many."""
+    def expire(self, now_ms: float) -> int:
+        """Removes some of the expired purges. Returns how many."""
--- a/gladelane/purges/purge_log.py
+++ b/gladelane/purges/purge_log.py
@@ -1,12 +1,12 @@
 """A purge log server: accepts purges, acknowledges them once they are stored, and sends them to subscribers.
 
-It connects the parts that decide: `purge`, `active_purges`, `loss_monitor`, `idempotency`,
+It connects the parts that make the decisions: `purge`, `active_purges`, `loss_monitor`, `idempotency` and
 `control_plane.replication`.
 
-Servers that name one another subscribe to one another. What one accepted reaches the subscribers of all, and
-one that returns gets from its peers what it missed, including purges of its own earlier epochs. Only the
-committer changes the state, one batch at a time. The sync of a batch runs in a thread, so that subscribers
-are served meanwhile.
+Peers subscribe to one another. A purge that one of them accepted reaches the subscribers of all, and a server
+that returns receives from its peers what it missed, including purges of its own earlier epochs. Only the
+committer applies purges, one batch at a time. The sync of a batch to the disk runs in a thread, so that
+subscribers are served meanwhile.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from ..storage.files import Disk
 from ..storage.log import SyncPolicy
 from .active_purges import RETENTION_MS, ActivePurges
-from .batch import OwnRecord
+from .batch import ServerRecord
 from .checkpoint_file import CheckpointFile
 from .committer import REPLICATION_TIMEOUT_S, Committer
 from .entries import LogEntry, LossUpdate, NewPurge, ReachedPosition, ReceivedPurge
@@ -50,18 +50,18 @@
 
 
 class StateListener(Protocol):
-    """Hears what a server knows, at its start and after each change."""
+    """Is notified of a server's state, at its start and after each change."""
 
     def reached(self, vector: Vector, low_watermark_ms: float) -> None:
-        """`low_watermark_ms`: the moment from which on all purges are known, in Unix ms; 0.0: none is
-        missing."""
+        """Handles the position of the server, and the time from which on all purges are known, in Unix ms,
+        0.0 if none is missing."""
 
 
 class PurgeLog:
     """One purge log server.
 
     Attributes: name; tokens; clock, the monotonic timeline in Unix ms; server_clock; copies; active; store;
-    committer; losses; stream; listeners, to which others may add themselves before the start."""
+    committer; losses; stream; listeners, which have to be added before the start."""
 
     def __init__(
         self,
@@ -80,10 +80,10 @@
     ) -> None:
         """Recovers from the disk.
 
-        `clock`: Unix ms that never step; `wall_clock`: as the machine has it now, by which purges are dated
-        as well; `is_first_start`: an operator says that an empty folder is no loss; `copies`: how many
-        servers must have stored a purge before it is acknowledged. Raises CorruptLogError, FolderInUseError,
-        ForeignFolderError, InvalidCheckpointError and OSError."""
+        `clock`: returns Unix ms that never step; `wall_clock`: returns the time of the machine's clock, by
+        which purges are dated as well; `is_first_start`: whether an operator says that an empty folder is no
+        loss; `copies`: the number of servers that must have stored a purge before it is acknowledged. Raises
+        CorruptLogError, FolderInUseError, ForeignFolderError, InvalidCheckpointError and OSError."""
         self.name, self.tokens, self.clock, self.copies = name, tokens, clock, copies
         self.server_clock = ServerClock(clock, wall_clock or clock)
         self.active = ActivePurges(retention_ms=retention_ms)
@@ -116,7 +116,7 @@
         if loss_reason:
             self.losses.open_loss(loss_reason)
         own_losses = self.active.low_watermark.open_losses(self.name)
-        self.store.save_start(OwnRecord(self.active.start, own_losses), self.committer.checkpoint())
+        self.store.save_start(ServerRecord(self.active.start, own_losses), self.committer.checkpoint())
 
     @property
     def epoch(self) -> int:
@@ -124,7 +124,7 @@
         return self.active.start.epoch
 
     def start(self) -> None:
-        """Starts to store what is accepted."""
+        """Starts the background tasks, of which one stores what is accepted."""
         self._tasks += [
             asyncio.create_task(self.committer.run()),
             asyncio.create_task(self._maintain()),
@@ -133,7 +133,7 @@
         ]
         self._notify_listeners()
 
-    def follow(self, host: str, port: int, tls: ssl.SSLContext | None = None) -> Subscriber:
+    def subscribe_to_peer(self, host: str, port: int, tls: ssl.SSLContext | None = None) -> Subscriber:
         """Subscribes to a peer."""
         subscriber = self._peers.subscribe(host, port, tls)
         self._tasks.append(asyncio.create_task(subscriber.run()))
@@ -149,8 +149,8 @@
     # --- accepting purges
 
     async def submit(self, scope: str, key: str = "", tags: Catalog | None = None) -> Accepted:
-        """Accepts a purge, and returns once it is stored. Raises InvalidScopeError, UnsupportedPatternError
-        and HttpStatusError."""
+        """Accepts a purge, and returns once enough servers have stored it. Raises InvalidScopeError,
+        UnsupportedPatternError and HttpStatusError."""
         await self._peers.clocks_settled.wait()
         parsed = parse(scope, {**self._catalog(), **(tags or {})})
         self.active.index.check(parsed)
@@ -161,11 +161,11 @@
         try:
             self.committer.put(NewPurge(canonical, key, response))
         except asyncio.QueueFull:
-            why = "too many purges wait to be stored; expected a later try"
-            raise HttpStatusError(HTTPStatus.SERVICE_UNAVAILABLE, why) from None
+            reason = "too many purges wait to be stored; expected a later try"
+            raise HttpStatusError(HTTPStatus.SERVICE_UNAVAILABLE, reason) from None
         if key:
             self._keys.begin(key, response)
-        # shielded: a client that leaves must not cancel what others with its key wait for
+        # shielded, because other requests with the same key may wait for this response after the client left
         return await asyncio.shield(response)
 
     def known_vector(self) -> Vector:
@@ -173,12 +173,12 @@
         return self.active.positions.vector()
 
     def receive(self, purges: list[Purge]) -> None:
-        """Receives purges from a peer or a director. Raises OSError if too much waits to be stored."""
+        """Receives purges from a peer or a director. Raises OSError if the queue is full."""
         self.losses.check_reported(((purge.issuer, purge.epoch), purge.seq) for purge in purges)
         for purge in purges:
             if self.active.positions.contains(purge.issuer, purge.epoch, purge.seq):
                 continue
-            try:  # before it is stored, since a later start could not recover from an invalid purge
+            try:  # check before storing, since a later start could not recover from an invalid purge
                 check_purge(purge)
                 parse(purge.scope)
             except (InvalidPurgeError, InvalidScopeError) as error:
@@ -187,23 +187,23 @@
             self._put(ReceivedPurge(purge))
 
     def receive_losses(self, losses: list[Loss]) -> None:
-        """Receives losses. Raises InvalidPurgeError, and OSError if too much waits to be stored."""
+        """Receives losses. Raises InvalidPurgeError, and OSError if the queue is full."""
         self.losses.merge(losses)
 
     def receive_position(self, vector: Vector) -> None:
-        """Receives the position up to which a peer has sent everything. Raises OSError if too much waits to
-        be stored."""
+        """Receives the position up to which a peer has sent everything. Raises OSError if the queue is
+        full."""
         self._queue_position(vector)
         self.losses.close_attested()
-        self._release()
+        self._resolve_replicated()
 
     def receive_event(self, event: Event) -> None:
-        """Receives what a director knows and this server lacks. Raises InvalidPositionError,
+        """Receives a backfill from a director: purges that this server lacks. Raises InvalidPositionError,
         InvalidPurgeError and HttpStatusError."""
         vector = parse_vector(event.position) if event.position is not None else None
         known = len(self.active)
         reported = [((purge.issuer, purge.epoch), purge.seq) for purge in event.purges]
-        # peers that had stored these purges with us would have sent them
+        # peers that had stored these purges would have sent them, so the peers lack them too
         by = SEEN_BY_DIRECTOR if self._peers.subscribers else ""
         try:
             self.losses.merge(event.losses)
@@ -213,22 +213,23 @@
                 self._queue_position(vector)
         except OSError as error:
             raise HttpStatusError(HTTPStatus.SERVICE_UNAVAILABLE, str(error)) from None
-        log.info("told by a director purges=%d known=%d", len(event.purges), known)
+        log.info("received a backfill from a director purges=%d known=%d", len(event.purges), known)
 
     def _queue_position(self, vector: Vector) -> None:
-        """Queues a position behind the purges that it covers, which may not be stored yet."""
+        """Queues a position after the purges that it covers, which may not be stored yet."""
         self.losses.check_reported(vector.items())
         if not self.active.positions.covers(vector):
             self._put(ReachedPosition(vector))
 
     def record_losses(self, losses: list[Loss], stored: asyncio.Future[None] | None = None) -> None:
-        """Queues losses, which hold already, to be stored, and sends them to subscribers. Raises OSError if
-        too much waits to be stored."""
+        """Queues losses that are already in effect to be stored, and sends them to subscribers. Raises
+        OSError if the queue is full."""
         self._put(LossUpdate(losses, stored))
         self._notify()
 
     def _put(self, entry: LogEntry) -> None:
-        """Raises OSError, which ends the stream to a peer; it is resumed from what was stored."""
+        """Queues an entry. Raises OSError if the queue is full, which ends the stream from a peer. The stream
+        then resumes from the stored position."""
         try:
             self.committer.put(entry)
         except asyncio.QueueFull:
@@ -237,24 +238,26 @@
     # --- what was committed
 
     def on_purge(self, purge: Purge) -> None:
-        """Makes an active purge known to subscribers and, by its key, to those that repeat their request."""
+        """Sends an active purge to subscribers, and records its key for repeated requests."""
         if purge.issuer == self.name:
             self._keys.add(purge)
         self.stream.append(purge)
 
     def on_commit(self) -> None:
-        """Notifies all that wait for a change."""
+        """Notifies everyone who waits for a change of the state."""
         self._notify()
-        self._release()
+        self._resolve_replicated()
         self.losses.close_attested()
 
-    def _release(self) -> None:
-        """Acknowledges purges that enough servers have stored."""
+    def _resolve_replicated(self) -> None:
+        """Acknowledges purges that enough servers have stored, and fails those that have timed out."""
         self._replication.resolve_pending(asyncio.get_running_loop().time())
 
     def _notify_listeners(self) -> None:
         for listener in self.listeners:
-            low_watermark_ms = self.active.low_watermark.value_ms(self.clock(), self.active.binding_ms)
+            low_watermark_ms = self.active.low_watermark.value_ms(
+                self.clock(), self.active.active_duration_ms
+            )
             listener.reached(self.active.positions.vector(), low_watermark_ms)
 
     def _notify(self) -> None:
@@ -267,18 +270,18 @@
         expiry_s = loop.time() + EXPIRY_INTERVAL_S
         while True:
             await asyncio.sleep(MAINTENANCE_INTERVAL_S)
-            self._release()
+            self._resolve_replicated()
             self.committer.retry()
             if loop.time() >= expiry_s:
                 expiry_s += EXPIRY_INTERVAL_S
                 now_ms = self.clock()
                 self.active.expire(now_ms)
-                self._keys.expire(now_ms - self.active.binding_ms)
+                self._keys.expire(now_ms - self.active.active_duration_ms)
 
     # --- queries
 
     def status(self) -> Status:
-        """Returns the state as operators see it."""
+        """Returns the state for operators."""
         gaps = [f"{gap.issuer}:{gap.epoch}={gap.first}-{gap.last}" for gap in self.active.positions.gaps()]
         return Status(
             name=self.name,
--- a/gladelane/purges/purge_store.py
+++ b/gladelane/purges/purge_store.py
@@ -1,4 +1,7 @@
-"""The files of a purge log server: the write-ahead log with its snapshots, and the checkpoint. Only I/O."""
+"""The files of a purge log server: the write-ahead log with its snapshots, and the checkpoint.
+
+This module only does I/O.
+"""
 
 from __future__ import annotations
 
@@ -11,9 +14,9 @@
 from ..storage.log import SyncPolicy, WriteAheadLog, recover
 from ..storage.outage import Outage
 from .active_purges import ActivePurges
-from .batch import Batch, OwnRecord, decode_own, encode_own, is_own
+from .batch import Batch, ServerRecord, decode_server_record, encode_server_record, is_server_record
 from .checkpoint_file import CheckpointFile
-from .log_compaction import compaction_of
+from .log_compaction import create_log_compaction
 from .loss_detection import Checkpoint
 from .low_watermark import Loss
 from .wire import purge_decoder
@@ -24,9 +27,10 @@
 class PurgeStore:
     """Stores batches of purges and losses.
 
-    Attributes: log; was_empty, whether the start found nothing; recovered, what it found, as text; unsaved,
-    the start and the losses that a failed commit could not store although they hold already. They are stored
-    with the next commit, so that it shows that the disk accepts purges again."""
+    Attributes: log; was_empty, whether the folder was empty at the start; recovered, a text about what was
+    recovered; unsaved, the start and the losses that are already in effect but that a failed commit could not
+    store. They are stored with the next commit, which therefore also shows whether the disk accepts writes
+    again."""
 
     def __init__(
         self,
@@ -36,44 +40,49 @@
         checkpoint_file: CheckpointFile | None,
         now_ms: float,
     ) -> None:
-        """Recovers into `active`, which is empty. Raises CorruptLogError, FolderInUseError and OSError."""
+        """Recovers into `active`, which must be empty. Raises CorruptLogError, FolderInUseError and
+        OSError."""
         self.log: WriteAheadLog
-        self.log, found = recover(disk, sync)
-        self.unsaved = OwnRecord()
-        self.was_empty = found.snapshot is None and not found.records
+        self.log, recovery = recover(disk, sync)
+        self.unsaved = ServerRecord()
+        self.was_empty = recovery.snapshot is None and not recovery.records
         self._active, self._checkpoint_file = active, checkpoint_file
         self._outage = Outage(log, "feed: purges")
         self._checkpoint_outage = Outage(log, "feed: mark")
-        records = len(found.records)
-        self._compaction = compaction_of(self.log, records, Outage(log, "feed: snapshot of purges"))
+        records = len(recovery.records)
+        self._compaction = create_log_compaction(self.log, records, Outage(log, "feed: snapshot of purges"))
         with without_gc():
-            if found.snapshot is not None:
-                active.restore(found.snapshot, now_ms)
-            for record in found.records:
+            if recovery.snapshot is not None:
+                active.restore(recovery.snapshot, now_ms)
+            for record in recovery.records:
                 self._replay(record, now_ms)
         self.recovered = f"{len(active)} purges, {records} from the log"
-        if found.truncated_bytes:
-            self.recovered += f", {found.truncated_bytes} bytes cut at {found.truncated_at}"
-            log.warning("torn tail cut bytes=%d at=%s", found.truncated_bytes, found.truncated_at)
+        if recovery.truncated_bytes:
+            self.recovered += f", {recovery.truncated_bytes} bytes cut at {recovery.truncated_at}"
+            log.warning(
+                "truncated an incomplete record at the end of the log bytes=%d at=%s",
+                recovery.truncated_bytes,
+                recovery.truncated_at,
+            )
 
     def _replay(self, record: bytes, now_ms: float) -> None:
-        if not is_own(record):
+        if not is_server_record(record):
             self._active.apply(purge_decoder.decode(record), now_ms)
             return
-        own = decode_own(record)
-        self._active.low_watermark.merge(own.losses, now_ms)
-        if own.start.name:
-            self._active.start = own.start
+        server_record = decode_server_record(record)
+        self._active.low_watermark.merge(server_record.losses, now_ms)
+        if server_record.start.name:
+            self._active.start = server_record.start
 
     def read_checkpoint(self) -> Checkpoint | None:
-        """Returns None if there is none. Raises InvalidCheckpointError and OSError."""
+        """Returns the checkpoint, or None if there is none. Raises InvalidCheckpointError and OSError."""
         return self._checkpoint_file.read() if self._checkpoint_file is not None else None
 
-    def save_start(self, record: OwnRecord, checkpoint: Checkpoint) -> None:
-        """Stores that a server started. If the disk is full, this is stored with the first purge that it
-        accepts."""
+    def save_start(self, record: ServerRecord, checkpoint: Checkpoint) -> None:
+        """Stores that a server started. If that fails, the start is stored with the next commit that
+        succeeds."""
         self.unsaved = record
-        self.log.append(encode_own(record))
+        self.log.append(encode_server_record(record))
         try:
             self.log.commit()
         except OSError as error:
@@ -81,7 +90,7 @@
             self._outage.report_failure(error)
         else:
             self._write_checkpoint(checkpoint)
-            self.unsaved = OwnRecord()
+            self.unsaved = ServerRecord()
 
     @property
     def can_store(self) -> bool:
@@ -93,16 +102,16 @@
         return bool(self.unsaved.start.name)
 
     def has_unsaved(self) -> bool:
-        """Returns whether anything that holds already could not be stored yet."""
+        """Returns whether anything that is already in effect could not be stored yet."""
         return self.has_unsaved_start() or self._checkpoint_outage.is_ongoing
 
     async def commit(self, batch: Batch, checkpoint: Checkpoint) -> None:
-        """Stores a batch. The checkpoint is replaced if purges of the batch were issued here.
+        """Stores a batch. The checkpoint is replaced if this server issued purges of the batch.
 
-        Raises OSError if nothing of it may be regarded as stored; it may be tried again. The losses hold all
-        the same, so they are then stored with the next commit."""
+        Raises OSError if the batch must be regarded as not stored; it may be retried. The losses of the batch
+        stay in effect, so they are then stored with the next commit."""
         if self.has_unsaved_start():
-            self.log.append(encode_own(self.unsaved))
+            self.log.append(encode_server_record(self.unsaved))
         for record in batch.records:
             self.log.append(record)
         try:
@@ -115,22 +124,22 @@
         self._outage.report_success()
 
     def _keep_unsaved(self, losses: Sequence[Loss]) -> None:
-        self.unsaved = OwnRecord(self._active.start, [*self.unsaved.losses, *losses])
+        self.unsaved = ServerRecord(self._active.start, [*self.unsaved.losses, *losses])
 
-    def _write(self, checkpoint: Checkpoint, moves_checkpoint: bool) -> None:
-        """Runs in a thread. Raises OSError."""
+    def _write(self, checkpoint: Checkpoint, replaces_checkpoint: bool) -> None:
+        """Commits the log and writes the checkpoint; runs in a thread. Raises OSError."""
         self.log.commit()
-        if moves_checkpoint or self.has_unsaved():
+        if replaces_checkpoint or self.has_unsaved():
             self._write_checkpoint(checkpoint)
-        self.unsaved = OwnRecord()
+        self.unsaved = ServerRecord()
 
     def _write_checkpoint(self, checkpoint: Checkpoint) -> None:
-        """Runs after the log was stored, and before any purge of it is acknowledged."""
+        """Writes the checkpoint, after the log was stored and before any purge in it is acknowledged."""
         if self._checkpoint_file is None:
             return
         try:
             self._checkpoint_file.write(checkpoint)
-        except OSError as error:  # an older checkpoint is true as well, and reveals a little less
+        except OSError as error:  # the older checkpoint stays valid, and reveals a little less
             self._checkpoint_outage.report_failure(error)
         else:
             self._checkpoint_outage.report_success()
--- a/gladelane/purges/purge_stream.py
+++ b/gladelane/purges/purge_stream.py
@@ -1,5 +1,4 @@
-"""Sends purges to subscribers: all that a subscriber lacks, then what is new, at its pace. Decides
-nothing."""
+"""Sends purges to subscribers, each at its own pace: first all that the subscriber lacks, then new ones."""
 
 from __future__ import annotations
 
@@ -13,40 +12,41 @@
 from .purge import Purge
 from .wire import HEARTBEAT_S, Event, batches, encode_json
 
-MAX_RECENT = 10_000  # purges in order of arrival; a subscriber further behind is served from all active ones
-NOT_SENT = -1  # before any version of the losses
+#: Recent purges in order of arrival. A subscriber that is further behind is served from all active purges.
+MAX_RECENT = 10_000
+NOT_SENT = -1  # lower than any version of the losses
 
 
 class RecentPurges:
-    """The latest purges in the order in which they were stored. The place of a purge does not change."""
+    """The latest purges in the order in which they were stored. The offset of a purge never changes."""
 
     def __init__(self) -> None:
         """Starts empty."""
         self._purges: list[Purge] = []
-        self._first = 0  # the place of the first that is stored
+        self._first_offset = 0  # the offset of the oldest purge that is kept
 
     @property
     def end(self) -> int:
-        """The place of the next purge."""
-        return self._first + len(self._purges)
+        """The offset of the next purge."""
+        return self._first_offset + len(self._purges)
 
     def append(self, purge: Purge) -> None:
         """Adds a purge, and removes the oldest if there are too many."""
         self._purges.append(purge)
         if len(self._purges) > 2 * MAX_RECENT:
             del self._purges[:MAX_RECENT]
-            self._first += MAX_RECENT
+            self._first_offset += MAX_RECENT
 
-    def since(self, place: int) -> list[Purge] | None:
-        """Returns all purges from a place on, or None if some of them were removed."""
-        return self._purges[place - self._first :] if place >= self._first else None
+    def since(self, offset: int) -> list[Purge] | None:
+        """Returns all purges from an offset on, or None if some of them were removed."""
+        return self._purges[offset - self._first_offset :] if offset >= self._first_offset else None
 
 
 class PurgeStream:
-    """The subscribers of one server. Attributes: subscribers, their number."""
+    """Serves the subscribers of one server. Attributes: subscribers, the number of connected ones."""
 
     def __init__(self, active: ActivePurges, name: str, copies: int, clock: Callable[[], float]) -> None:
-        """`name`, `copies` and `clock` are the server's, for its events; `clock` returns Unix ms."""
+        """`name`, `copies` and `clock` are those of the server, for its events; `clock` returns Unix ms."""
         self.subscribers = 0
         self._clock = clock
         self._active, self._name, self._copies = active, name, copies
@@ -58,12 +58,12 @@
         self._recent.append(purge)
 
     def wake(self) -> None:
-        """Makes all subscribers look for changes."""
+        """Makes the streams of all subscribers check for changes."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def serve(self, sink: EventSink, vector: Vector) -> None:
-        """Serves a subscriber until its connection ends. `vector`: what it knows."""
+        """Serves a subscriber until its connection ends. `vector`: the position that it has reached."""
         sink.send_header()
         self.subscribers += 1
         try:
@@ -74,7 +74,7 @@
     async def _send_all(self, sink: EventSink, vector: Vector) -> None:
         low_watermark, positions = self._active.low_watermark, self._active.positions
         sent_version = NOT_SENT
-        place = self._recent.end
+        offset = self._recent.end
         reached = positions.vector()
         backlog: Iterable[Purge] = self._active.purges_after(vector)
         while True:
@@ -86,11 +86,11 @@
                 event.losses, event.name, event.copies = low_watermark.losses(), self._name, self._copies
             await sink.send(encode_json(event))
             changed = self._changed
-            if place == self._recent.end and sent_version == low_watermark.version:
+            if offset == self._recent.end and sent_version == low_watermark.version:
                 with suppress(TimeoutError):
                     async with asyncio.timeout(HEARTBEAT_S):
                         await changed.wait()
-            recent = self._recent.since(place)
+            recent = self._recent.since(offset)
             backlog = recent if recent is not None else self._active.purges_after(reached)
-            place = self._recent.end
+            offset = self._recent.end
             reached = positions.vector()
--- a/gladelane/purges/scope.py
+++ b/gladelane/purges/scope.py
@@ -28,7 +28,7 @@
 MAX_TAG_DEPTH = 8  # tags within tags
 OBJECT_ID_DIGITS = 16
 MAX_INTEGER_DIGITS = 10
-MAX_SHOWN_CHARS = 60  # of a wrong text, in an error message
+MAX_SHOWN_CHARS = 60  # of an invalid text, in an error message
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 _HEX = re.compile(r"[0-9a-fA-F]{1,16}")
 _PLAIN = re.compile(r"object(?::([0-9a-f]{16})|s:([0-9a-f]{1,15})\*)")  # canonical, one object or a prefix
@@ -37,22 +37,23 @@
 
 
 class InvalidScopeError(ValueError):
-    """A text that is not a scope. The message is one line.
+    """A text that is not a valid scope. The message is one line.
 
-    Attributes: text, the wrong part; reason, what is wrong with it; expected, what would be right."""
+    Attributes: text, the invalid part; reason, why it is invalid; expected, what would be valid."""
 
     def __init__(self, text: str, reason: str, expected: str = EXPECTED) -> None:
-        """Shortens a long text in the message, and only there."""
+        """Shortens a long text in the message, but not in the attribute."""
         self.text, self.reason, self.expected = text, reason, expected
         shown = text if len(text) <= MAX_SHOWN_CHARS else f"{text[: MAX_SHOWN_CHARS - 3]}..."
         super().__init__(f"{shown!r}: {reason}; expected {expected}")
 
 
 class Box(NamedTuple):
-    """An intersection: a request is covered if all conditions hold. A condition at its default always holds.
+    """An intersection of conditions: a request is covered if it meets all of them. Any request meets a
+    condition with its default value.
 
-    Object ids are numbers, and all ends of ranges are included. `mask` and `value` hold a glob that is not a
-    range: the bits of an id under the mask must equal the value."""
+    Object ids are numbers, and both ends of a range are included. `mask` and `value` represent a glob that is
+    not a range: the bits of an id under the mask must equal the value."""
 
     cls: str = ""
     group: int = -1
@@ -74,7 +75,7 @@
         )
 
     def has_all_objects(self) -> bool:
-        """Returns whether the range of ids has no bound; a glob may still limit the ids."""
+        """Returns whether the range of ids includes all ids. A glob may still limit the ids."""
         return (self.low, self.high) == (0, MAX_OBJECT_ID)
 
     def has_all_parts(self) -> bool:
@@ -119,8 +120,8 @@
 
 
 def parse(text: str, catalog: Catalog | None = None) -> Scope:
-    """Parses a scope; `catalog` has the tags that it may name. Raises InvalidScopeError."""
-    # nearly all stored scopes have this form, and a recovery parses up to 100,000 of them
+    """Parses a scope. `catalog`: the tags that it may contain. Raises InvalidScopeError."""
+    # a fast path, as nearly all stored scopes have this form and a recovery parses up to 100,000 of them
     if (plain := _PLAIN.fullmatch(text)) is not None:
         digits = plain[1] or plain[2]
         return Scope((Box("", -1, _lowest_id(digits), _highest_id(digits)),))
@@ -139,7 +140,8 @@
 
 
 def _parse_union(text: str, catalog: Catalog, outer_tags: tuple[str, ...]) -> list[Box]:
-    """`outer_tags`: the tags whose expansion this text is part of, by which a loop is found."""
+    """Parses a union. `outer_tags`: the tags whose expansion contains this text, by which loops are
+    detected."""
     boxes: list[Box] = []
     for part in text.split("|"):
         boxes += _parse_intersection(part, catalog, outer_tags)
@@ -148,15 +150,15 @@
 
 
 def _parse_intersection(text: str, catalog: Catalog, outer_tags: tuple[str, ...]) -> list[Box]:
-    """Several boxes where a tag stands for a union."""
-    names_all = False
+    """Parses an intersection. The result has several boxes if a tag in it is a union."""
+    has_all_term = False
     boxes = [ALL]
     for term in map(str.strip, text.split("&")):
         if term == "all":
-            names_all = True
+            has_all_term = True
             continue
         term_boxes = _parse_term(term, catalog, outer_tags)
-        if boxes == [ALL]:  # the usual case; an intersection with everything changes nothing
+        if boxes == [ALL]:  # the usual case, for which no intersection is needed
             boxes = list(dict.fromkeys(term_boxes))
             continue
         both = (intersect(one, other) for one in boxes for other in term_boxes)
@@ -164,7 +166,7 @@
         _check_size(text, len(boxes))
     if not boxes:
         raise InvalidScopeError(text.strip(), "nothing can be all of these at once")
-    if ALL in boxes and not names_all:
+    if ALL in boxes and not has_all_term:
         raise InvalidScopeError(text.strip(), "this covers everything", "the word `all` where that is meant")
     return boxes
 
@@ -214,17 +216,17 @@
 
 
 def _parse_glob(term: str, value: str) -> Box:
-    known = len(value) - value.count("*")
-    has_wrong_length = known > OBJECT_ID_DIGITS or (known < OBJECT_ID_DIGITS and "*" not in value)
+    digit_count = len(value) - value.count("*")
+    has_wrong_length = digit_count > OBJECT_ID_DIGITS or (digit_count < OBJECT_ID_DIGITS and "*" not in value)
     if not _GLOB.fullmatch(value) or has_wrong_length:
         expected = f"{OBJECT_ID_DIGITS} places of hex digits and ?, or fewer with one *"
         raise InvalidScopeError(term, "no pattern", expected)
-    places = value.replace("*", "?" * (OBJECT_ID_DIGITS - known))
-    prefix = places.rstrip("?")
+    digits = value.replace("*", "?" * (OBJECT_ID_DIGITS - digit_count))
+    prefix = digits.rstrip("?")
     if "?" not in prefix:  # a prefix, or one object
         return Box(low=_lowest_id(prefix), high=_highest_id(prefix))
-    mask = int("".join("0" if place == "?" else "f" for place in places), 16)
-    return Box(mask=mask, value=int(places.replace("?", "0"), 16))
+    mask = int("".join("0" if digit == "?" else "f" for digit in digits), 16)
+    return Box(mask=mask, value=int(digits.replace("?", "0"), 16))
 
 
 def _parse_group(term: str, value: str) -> Box:
@@ -263,7 +265,7 @@
 
 
 def _range_text(low: int, high: int) -> str:
-    """Writes a range as a prefix if it is one."""
+    """Formats a range, as a prefix if it is one."""
     difference = low ^ high
     bits = difference.bit_length()
     is_digit_aligned = bits % 4 == 0
@@ -279,7 +281,7 @@
 
 
 def intersect(one: Box, other: Box) -> Box | None:
-    """Returns the box of all that both cover, or None if nothing is."""
+    """Returns the box of everything that both boxes cover, or None if that is nothing."""
     if one.cls and other.cls and one.cls != other.cls:
         return None
     if one.group >= 0 and other.group >= 0 and one.group != other.group:
@@ -313,6 +315,6 @@
     mask, value = one.mask | other.mask, one.value | other.value
     if mask and low == high:
         return _Ids(low, high, 0, 0) if low & mask == value else None
-    if mask == MAX_OBJECT_ID:  # every place is known: one object
+    if mask == MAX_OBJECT_ID:  # all digits are given, so this is one object
         return _Ids(value, value, 0, 0) if low <= value <= high else None
     return _Ids(low, high, mask, value)
--- a/gladelane/purges/snapshot.py
+++ b/gladelane/purges/snapshot.py
@@ -1,4 +1,4 @@
-"""The snapshot of all active purges as it is stored. The field order is the stored form."""
+"""The stored snapshot of all active purges. Structs are stored by field order, so the order is fixed."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from .scope import InvalidScopeError, parse
 
 FORMAT = 1
-KEYS_MS = 3_600_000.0  # for which an idempotency key is remembered at least
+MIN_KEY_RETENTION_MS = 3_600_000.0  # how long an idempotency key is kept at least
 
 
 class UnknownFormatError(InvalidScopeError):
-    """A snapshot of another version. It is reported as other invalid stored data is."""
+    """A snapshot in an unknown format version. It is reported like other invalid stored data."""
 
     def __init__(self, found: int) -> None:
-        """`found`: the format that the snapshot says."""
+        """`found`: the format version in the snapshot."""
         super().__init__(str(found), "an unknown format of snapshots", str(FORMAT))
 
 
 class ServerStart(NamedTuple):
-    """The server to which a folder belongs, empty if none, and the epoch of its latest start."""
+    """The name of the server to which a folder belongs, or empty, and the epoch of its latest start."""
 
     name: str = ""
     epoch: int = 0
@@ -34,8 +34,9 @@
 class Snapshot(msgspec.Struct, array_like=True):
     """The stored state.
 
-    Attributes: positions, the last of each stream; ahead, purges beyond a gap; by_age_ms, for each purge the
-    moment by the local clock, 0.0 for its own moment, and an empty list if that holds for all."""
+    Attributes: positions, the last purge of each stream before any gap; ahead, the purges after a gap;
+    by_age_ms, the local time of each purge, 0.0 if that is the purge's `at_ms`, or an empty list if it is for
+    all purges."""
 
     format: int
     positions: list[PurgeId]
@@ -45,8 +46,8 @@
     start: ServerStart = ServerStart()
     by_age_ms: list[float] = []
 
-    def moments(self) -> list[float]:
-        """Returns `by_age_ms`, filled up for all purges."""
+    def all_by_age_ms(self) -> list[float]:
+        """Returns `by_age_ms` with one item for each purge."""
         return self.by_age_ms or [0.0] * len(self.purges)
 
 
@@ -58,20 +59,22 @@
     return snapshot
 
 
-def uncovered(purges: Iterable[Purge], last_at_ms: float, by_age_ms: Callable[[Purge], float]) -> list[Purge]:
+def select_uncovered(
+    purges: Iterable[Purge], last_at_ms: float, by_age_ms: Callable[[Purge], float]
+) -> list[Purge]:
     """Returns the purges that no newer and wider purge covers, newest first.
 
-    A purge whose idempotency key may still be used is always included. `last_at_ms`: the latest moment of all
-    purges; `by_age_ms`: returns a purge's moment by the local clock, or 0.0."""
+    A purge whose idempotency key may still be used is always included. `last_at_ms`: the latest time of all
+    purges; `by_age_ms`: returns the local time of a purge, or 0.0."""
     index = Index()
     selected: list[Purge] = []
     for purge in sorted(purges, key=lambda purge: -purge.at_ms):
         scope = parse(purge.scope)
-        key_is_in_use = purge.key and purge.at_ms > last_at_ms - KEYS_MS
-        binds_ms = max(purge.at_ms, by_age_ms(purge))
-        if not key_is_in_use and all(index.covers(box, binds_ms) for box in scope.boxes):
+        is_key_in_use = purge.key and purge.at_ms > last_at_ms - MIN_KEY_RETENTION_MS
+        applies_from_ms = max(purge.at_ms, by_age_ms(purge))
+        if not is_key_in_use and all(index.covers(box, applies_from_ms) for box in scope.boxes):
             continue
         selected.append(purge)
-        if not any(box.mask for box in scope.boxes):  # `Index.covers` does not consider globs
+        if not any(box.mask for box in scope.boxes):  # `Index.covers` ignores globs
             index.add(scope, purge.at_ms)
     return selected
--- a/gladelane/purges/subscriber.py
+++ b/gladelane/purges/subscriber.py
@@ -1,5 +1,5 @@
-"""A subscription to one purge log server: it resumes from the position reached, and knows when it has caught
-up and when it is cut off."""
+"""A subscription to one purge log server, which resumes from the position reached and records when it has
+caught up."""
 
 from __future__ import annotations
 
@@ -22,11 +22,12 @@
 
 log = logging.getLogger(__name__)
 
+#: Errors that end a stream, which is then resumed.
 STREAM_ERRORS = (
     *CALL_ERRORS,
     InvalidPurgeError,
     InvalidPositionError,
-)  # they end a stream, which is then resumed
+)
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.1, 1.0
 
 
@@ -50,11 +51,11 @@
 class Subscriber:
     """Receives the stream of one server.
 
-    Attributes: host and port; state, as text; heard_ms, when the latest position came, in Unix ms;
-    caught_up_ms, when everything up to a position was known, 0.0 if not yet; caught_up, set from then on. For
-    the event that is being handled: server_clock_ms, the server's clock when it was sent, 0.0 if unknown;
-    received_ms, when it was read, in Unix ms; round_trip_ms, for the first of a stream the time since its
-    request, None for all others."""
+    Attributes: host and port; state, as text; position_received_ms, when the latest position was received, in
+    Unix ms; caught_up_ms, when everything up to a received position was last known, 0.0 if never; caught_up,
+    set from then on. For the event that is being handled: server_clock_ms, the server's clock when it was
+    sent, 0.0 if unknown; received_ms, when it was received, in Unix ms; round_trip_ms, the time since the
+    request if it is the first event of a stream, otherwise None."""
 
     def __init__(
         self,
@@ -66,16 +67,16 @@
         tls: ssl.SSLContext | None = None,
         is_peer: bool = False,
     ) -> None:
-        """`token` and `clock` return the current token and Unix ms; `is_peer`: subscribes as another server,
-        and not as a director."""
+        """`token` and `clock` return the current token and Unix ms; `is_peer`: whether to subscribe as
+        another server and not as a director."""
         self.host, self.port = host, port
-        self.heard_ms = self.caught_up_ms = self.server_clock_ms = self.received_ms = 0.0
+        self.position_received_ms = self.caught_up_ms = self.server_clock_ms = self.received_ms = 0.0
         self.round_trip_ms: float | None = None
         self.state = "not reached yet"
         self.caught_up = asyncio.Event()
         self._token, self._handler, self._clock, self._tls = token, handler, clock, tls
         self._peer_flag = "&peer=1" if is_peer else ""
-        self._requested_ms: float | None = None  # until the first event of a stream
+        self._requested_ms: float | None = None  # set until the first event of a stream
         self._from_beginning = False
         self._stream: asyncio.Task[None] | None = None
 
@@ -83,7 +84,7 @@
         """Receives until it is cancelled; a stream that ends is resumed after a backoff."""
         backoff = Backoff(random.Random(), MIN_BACKOFF_S, MAX_BACKOFF_S)
         while True:
-            heard_before_ms = self.heard_ms
+            previous_position_received_ms = self.position_received_ms
             self._stream = asyncio.ensure_future(self._subscribe())
             try:
                 await self._stream
@@ -91,22 +92,28 @@
             except asyncio.CancelledError:
                 task = asyncio.current_task()
                 if not self._from_beginning or (task is not None and task.cancelling()):
-                    raise  # this task was cancelled, and not only the stream
+                    raise  # this task was cancelled, not only the stream
                 self.state = "follows again"
             except STREAM_ERRORS as error:
                 self.state = f"lost: {error_label(error)} {error}"
-                log.warning("feed lost feed=%s:%d: %s %s", self.host, self.port, error_label(error), error)
-            except Exception:  # a director that stops listening would serve by old purges
-                log.exception("feed failed")
-            await asyncio.sleep(backoff.after(self.heard_ms > heard_before_ms))
+                log.warning(
+                    "stream ended by an error feed=%s:%d: %s %s",
+                    self.host,
+                    self.port,
+                    error_label(error),
+                    error,
+                )
+            except Exception:  # without its subscription a director would miss new purges
+                log.exception("subscription failed")
+            await asyncio.sleep(backoff.after(self.position_received_ms > previous_position_received_ms))
 
     @property
     def is_live(self) -> bool:
-        """Whether everything that the server knew before was received, at any time since our start."""
+        """Whether the whole backlog of the server was received at any time since this process started."""
         return self.caught_up.is_set()
 
     def restart(self) -> None:
-        """Subscribes from the beginning on a new connection, in case something was lost on the stream."""
+        """Subscribes from the beginning on a new connection, in case the stream lost something."""
         self._from_beginning = True
         if self._stream is not None:
             self._stream.cancel()
@@ -141,8 +148,8 @@
             return
         vector = parse_vector(event.position)
         self._handler.on_position(vector, self)
-        self.heard_ms = self._clock()
+        self.position_received_ms = self._clock()
         self.state = "follows"
         if includes(self._handler.known_vector(), vector):
-            self.caught_up_ms = self.heard_ms
+            self.caught_up_ms = self.position_received_ms
             self.caught_up.set()
--- a/gladelane/purges/subscription.py
+++ b/gladelane/purges/subscription.py
@@ -1,7 +1,7 @@
 """A director's subscription to the fleet's purges.
 
-It subscribes to every purge log server, makes binding what it receives, and stores it if a folder is set. The
-decisions are in `active_purges`, `copy_limits`, `backfill` and `orders`.
+It subscribes to every purge log server, applies the purges that it receives, and stores them if a folder is
+set. The decisions are made in `active_purges`, `copy_limits`, `backfill` and `orders`.
 """
 
 from __future__ import annotations
@@ -33,17 +33,17 @@
 
 log = logging.getLogger(__name__)
 
-INTERVAL_S = 0.2  # between two looks at the link to the servers, and between two writes
-EXPIRY_INTERVALS = 300  # after so many looks, purges expire
+INTERVAL_S = 0.2  # between two checks of the link to the servers, and between two writes
+EXPIRY_INTERVALS = 300  # checks of the link between two removals of expired purges
 MAX_ORDERS_IN_FLIGHT = 8
 
 
 class PurgeSubscription:
-    """The purges of a director, and what follows from them for its requests.
+    """The purges of a director, and the limits that they set for its requests.
 
-    Attributes: options; clock, in Unix ms; active; orders, to cache servers; refetch_budget, the budget for
-    copies that became void; store; subscribers, one for each server; on_change, called when something else is
-    known."""
+    Attributes: options; clock, which returns Unix ms; active; orders, to cache servers; refetch_budget, for
+    copies that became invalid; store; subscribers, one for each server; on_change, called when the purges,
+    the position or the low watermark changed."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         rng: random.Random | None = None,
     ) -> None:
         """Recovers from the disk, if there is one. `directors`: how many share the origin. Raises
-        CorruptLogError, TokenFileError, OSError, and TypeError for an index that cannot hold scopes."""
+        CorruptLogError, TokenFileError, OSError, and TypeError for an index that does not support scopes."""
         self.options, self.clock = options, clock
         self.on_change: Callable[[], None] = lambda: None
         rng = rng or random.Random()
@@ -77,29 +77,31 @@
             self.orders.add(self.active.purges_after({}))
 
     def start(self, order_sender: OrderSender | None = None) -> None:
-        """Starts to receive and to store. `order_sender` is run if the options name servers that take
-        orders."""
+        """Starts receiving and storing purges. `order_sender` is run if the options name kinds of servers
+        that accept orders."""
         self._tasks = [asyncio.create_task(subscriber.run()) for subscriber in self.subscribers]
         if order_sender is not None and self.options.order_kinds:
             self._tasks.append(asyncio.create_task(order_sender.run()))
-        # storing has a task of its own: a slow disk must not keep the director from noticing that it is cut
-        # off
-        self._tasks += [asyncio.create_task(self._watch()), asyncio.create_task(self._save_regularly())]
+        # a separate task stores, so that a slow disk does not delay the detection of being cut off
+        self._tasks += [
+            asyncio.create_task(self._check_regularly()),
+            asyncio.create_task(self._save_regularly()),
+        ]
 
     async def ready(self) -> None:
-        """Waits until one server has sent everything, at most `start_wait_ms`. After that strict classes are
-        limited as when cut off, and the director serves."""
+        """Waits until one server has sent everything, but at most `start_wait_ms`. After that the director
+        serves, and strict classes are limited as they are while it is cut off."""
         waits = [asyncio.create_task(subscriber.caught_up.wait()) for subscriber in self.subscribers]
         timeout_s = self.options.start_wait_ms / 1000.0
         done, pending = await asyncio.wait(waits, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
         for wait in pending:
             wait.cancel()
         if not done:
-            log.error("no feed reached within ms=%.0f", self.options.start_wait_ms)
-        self.judge()
+            log.error("not caught up with any feed within ms=%.0f", self.options.start_wait_ms)
+        self.check_link()
 
     async def close(self) -> None:
-        """Cancels all tasks, and stores what is pending."""
+        """Cancels all tasks, and stores all pending records."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -113,12 +115,12 @@
         return self.active.positions.vector()
 
     def on_purges(self, purges: list[Purge], source: Subscriber) -> None:
-        """Applies purges, with the clocks by which they were received."""
+        """Applies purges, corrected for the clocks by which they were sent and received."""
         receipt = Receipt(source.server_clock_ms, source.is_live, self._limits.newest_date_ms)
         self.receive(purges, receipt)
 
     def receive(self, purges: list[Purge], receipt: Receipt | None = None) -> None:
-        """Applies purges; invalid ones are logged and skipped."""
+        """Applies purges. Invalid ones are logged and skipped."""
         now_ms = self.clock()
         for purge in purges:
             try:
@@ -133,7 +135,7 @@
                 self.orders.add((purge,))
         self.on_change()
 
-    def on_losses(self, event: Event, source: Subscriber) -> None:  # noqa: ARG002  of the protocol
+    def on_losses(self, event: Event, source: Subscriber) -> None:  # noqa: ARG002  part of the protocol
         """Merges losses. Raises InvalidPurgeError."""
         changed = self.active.low_watermark.merge(event.losses, self.clock())
         if changed:
@@ -146,7 +148,7 @@
         self.adopt_position(vector)
 
     def adopt_position(self, vector: Vector) -> None:
-        """Regards everything up to a position as known."""
+        """Marks everything up to a position as known."""
         if not self.active.positions.covers(vector):
             self.active.positions.advance_to(vector)
             self.store.add_position(vector)
@@ -157,7 +159,7 @@
             self.on_change()
 
     def own_token(self) -> str:
-        """Returns the token that servers are shown."""
+        """Returns the token by which this director authenticates to servers."""
         return self._tokens.first_token()
 
     def resubscribe(self) -> None:
@@ -166,11 +168,12 @@
             subscriber.restart()
 
     def listed(self, runs: Mapping[str, tuple[str, float]]) -> None:
-        """Sets the cache servers of the endpoint list: the kind of each and the start of its process."""
+        """Sets the cache servers of the endpoint list. `runs`: the kind of each server and the start of its
+        process."""
         kinds = self.options.order_kinds
-        self.orders.servers({name: run for name, (kind, run) in runs.items() if kind in kinds})
+        self.orders.set_servers({name: run for name, (kind, run) in runs.items() if kind in kinds})
 
-    # --- what requests ask
+    # --- limits for requests
 
     @property
     def cut_off(self) -> CutOff:
@@ -179,7 +182,7 @@
 
     @property
     def low_watermark_ms(self) -> float:
-        """The moment before which copies may be older than a lost purge, in Unix ms; 0.0: none is missing."""
+        """The time before which copies may be older than a lost purge, in Unix ms; 0.0 if none is missing."""
         return self._limits.low_watermark_ms
 
     def max_copy_age_ms(self, cls: str) -> float:
@@ -187,21 +190,21 @@
         return self._limits.max_copy_age_ms(cls, self.clock())
 
     def admits(self, cls: str, part: PartKey, weight: float) -> float:
-        """Returns 0.0 if a request may go on, or the time in ms after which to try again."""
+        """Returns 0.0 if a request is admitted, or the time in ms after which to retry it."""
         return self._limits.admits(cls, part, weight, self.clock())
 
     def answered(self, cls: str, part: PartKey, dated_ms: float, in_time: bool) -> None:
-        """Records that an attempt ended. `dated_ms`: the date of the copy, 0.0 if none was used."""
+        """Records that an attempt ended. `dated_ms`: the date of the copy, 0.0 if there was none."""
         self._limits.answered(cls, part, dated_ms, in_time)
 
-    def judge(self) -> None:
-        """Looks at the link to the servers."""
+    def check_link(self) -> None:
+        """Updates the state of the link to the servers."""
         if self._limits.update_link(self.clock()):
             self.on_change()
 
     @property
     def follows(self) -> bool:
-        """Whether some server has recently sent everything that it knows."""
+        """Whether the director is not cut off: some server has recently sent everything that it has."""
         return self.cut_off.link is not Link.CUT_OFF
 
     def lines(self) -> list[tuple[str, int]]:
@@ -218,14 +221,14 @@
 
     # --- background
 
-    async def _watch(self) -> None:
-        looks = 0
+    async def _check_regularly(self) -> None:
+        checks = 0
         while True:
             await asyncio.sleep(INTERVAL_S)
-            self.judge()
+            self.check_link()
             self._backfill.start_due(self.clock())
-            looks += 1
-            if looks % EXPIRY_INTERVALS == 0:
+            checks += 1
+            if checks % EXPIRY_INTERVALS == 0:
                 self.active.expire(self.clock())
                 self.orders.compact(self.active.purges_after({}), len(self.active))
 
--- a/gladelane/purges/subscription_store.py
+++ b/gladelane/purges/subscription_store.py
@@ -1,4 +1,4 @@
-"""The files of a director's subscription: purges, positions and losses as they were received."""
+"""The files of a director's subscription: the purges, positions and losses that it received."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from ..storage.log import WriteAheadLog, recover
 from ..storage.outage import Outage
 from .active_purges import ActivePurges
-from .log_compaction import compaction_of
+from .log_compaction import create_log_compaction
 from .low_watermark import Loss
 from .purge import Purge, PurgeId
 from .wire import batches
@@ -23,10 +23,10 @@
 
 
 class Record(msgspec.Struct, array_like=True):
-    """A record of the log. The field order is the stored form.
+    """A record of the log. It is stored by field order, so the order is fixed.
 
-    Attributes: purges; reached, the position up to which a server had sent everything; losses; by_age_ms, for
-    each purge the moment by the local clock, 0.0 for its own moment, empty if that holds for all."""
+    Attributes: purges; reached, the position up to which a server had sent everything; losses; by_age_ms, the
+    local time of each purge, 0.0 if that is the purge's `at_ms`, or an empty list if it is for all purges."""
 
     purges: list[Purge] = []
     reached: list[PurgeId] = []
@@ -37,12 +37,12 @@
         """Returns whether there is nothing to store."""
         return not (self.purges or self.reached or self.losses)
 
-    def moments(self) -> list[float]:
-        """Returns `by_age_ms`, filled up for all purges."""
+    def all_by_age_ms(self) -> list[float]:
+        """Returns `by_age_ms` with one item for each purge."""
         return self.by_age_ms or [0.0] * len(self.purges)
 
-    def followed_by(self, later: Record) -> Record:
-        """Returns a record of both."""
+    def concatenated_with(self, later: Record) -> Record:
+        """Returns a record with the contents of both."""
         return Record(
             self.purges + later.purges,
             self.reached + later.reached,
@@ -51,8 +51,9 @@
         )
 
 
-def records_of(pending: Record) -> Iterator[Record]:
-    """Yields records of a bounded size, with positions and losses after the purges that they may cover."""
+def split_record(pending: Record) -> Iterator[Record]:
+    """Splits a record into records of limited size. Positions and losses come after the purges that they may
+    cover."""
     first = 0
     for purges in batches(pending.purges):
         last = first + len(purges)
@@ -65,11 +66,11 @@
 class SubscriptionStore:
     """Stores what was received, if a disk is given.
 
-    Attributes: log, or None without a disk; pending, what is not stored yet. It binds already, and after a
-    restart without it the servers send it again."""
+    Attributes: log, or None without a disk; pending, what is not stored yet. That is already in effect, and
+    if it is lost in a restart, the servers send it again."""
 
     def __init__(self, disk: Disk | None, active: ActivePurges, now_ms: float) -> None:
-        """Recovers into `active`, which is empty. Raises CorruptLogError and OSError."""
+        """Recovers into `active`, which must be empty. Raises CorruptLogError and OSError."""
         self.log: WriteAheadLog | None = None
         self.pending = Record()
         self._active = active
@@ -78,23 +79,25 @@
             self._recover(disk, now_ms)
 
     def _recover(self, disk: Disk, now_ms: float) -> None:
-        self.log, found = recover(disk)
+        self.log, recovery = recover(disk)
         with without_gc():
-            if found.snapshot is not None:
-                self._active.restore(found.snapshot, now_ms)
-            for data in found.records:
+            if recovery.snapshot is not None:
+                self._active.restore(recovery.snapshot, now_ms)
+            for data in recovery.records:
                 self._replay(msgspec.msgpack.decode(data, type=Record), now_ms)
-        records = len(found.records)
-        self._compaction = compaction_of(self.log, records, Outage(log, "director: snapshot of purges"))
+        records = len(recovery.records)
+        self._compaction = create_log_compaction(
+            self.log, records, Outage(log, "director: snapshot of purges")
+        )
         log.info(
             "purges recovered standing=%d records=%d cut=%d",
             len(self._active),
             records,
-            found.truncated_bytes,
+            recovery.truncated_bytes,
         )
 
     def _replay(self, record: Record, now_ms: float) -> None:
-        for purge, by_age_ms in zip(record.purges, record.moments(), strict=True):
+        for purge, by_age_ms in zip(record.purges, record.all_by_age_ms(), strict=True):
             self._active.apply(purge, now_ms, by_age_ms=by_age_ms)
         self._active.positions.advance_to({(issuer, epoch): last for issuer, epoch, last in record.reached})
         self._active.low_watermark.merge(record.losses, now_ms)
@@ -105,40 +108,40 @@
         return self._compaction.record_count if self.log is not None else 0
 
     def add_purge(self, purge: Purge) -> None:
-        """Adds an active purge."""
+        """Adds an active purge to the pending record."""
         if self.log is not None:
             self.pending.purges.append(purge)
             self.pending.by_age_ms.append(self._active.by_age_ms(purge))
 
     def add_position(self, vector: Vector) -> None:
-        """Adds a position that was adopted."""
+        """Adds an adopted position to the pending record."""
         if self.log is not None:
             self.pending.reached += [PurgeId(issuer, epoch, last) for (issuer, epoch), last in vector.items()]
 
     def add_losses(self, losses: list[Loss]) -> None:
-        """Adds losses that changed."""
+        """Adds changed losses to the pending record."""
         if self.log is not None:
             self.pending.losses += losses
 
     async def save(self) -> None:
-        """Stores what is pending; if that fails, it stays pending."""
+        """Stores what is pending. If that fails, it stays pending."""
         saved = self.pending
         if self.log is None or saved.is_empty():
             return
         self.pending = Record()
-        for record in records_of(saved):
+        for record in split_record(saved):
             self.log.append(msgspec.msgpack.encode(record))
         try:
             await asyncio.to_thread(self.log.commit)
         except OSError as error:
             self.log.discard_uncommitted()
             self._outage.report_failure(error)
-            self.pending = saved.followed_by(self.pending)
+            self.pending = saved.concatenated_with(self.pending)
             return
         self._outage.report_success()
         self._compaction.add(len(saved.purges) or 1)
         if self._compaction.is_due:
-            # not in a thread, because purges are applied meanwhile
+            # encode the snapshot here and not in a thread, because this thread applies purges
             await self._compaction.write(self._active.snapshot())
 
     async def close(self) -> None:
--- a/gladelane/purges/vectors.py
+++ b/gladelane/purges/vectors.py
@@ -1,4 +1,4 @@
-"""Operations on position vectors: the last sequence number of each stream."""
+"""Operations on position vectors, which have the last sequence number of each stream."""
 
 from __future__ import annotations
 
@@ -17,5 +17,5 @@
 
 
 def includes(known: Vector, other: Vector) -> bool:
-    """Returns whether `known` has reached all that `other` has."""
+    """Returns whether `known` has reached the position of `other` in each stream."""
     return all(known.get(stream, 0) >= last for stream, last in other.items())
--- a/gladelane/purges/wire.py
+++ b/gladelane/purges/wire.py
@@ -1,14 +1,15 @@
-"""The messages between purge log servers, their subscribers, and those who send purges.
-
-A subscription is a stream of server-sent events, each of them one JSON object. `{"purges": [...]}` has purges
-that the subscriber lacks, oldest first. `{"mark": "issuer:epoch=last,..."}` follows once it lacks none:
-everything up to this position was sent on this stream, or is past its retention. Such a position is sent
-every second even if nothing is new, so silence means that the connection is dead. The first one, and any
-after a change, comes with the `losses` (see `low_watermark`), the `name` of the server, and the number of
-`copies` that it waits for. Each event has the clock of the server as `sent_ms`. A director that has purges
-which a server lacks sends it the same events (`POST /events`).
-
-Names on the wire are fixed; fields with other names give them by `msgspec.field`.
+"""The messages between purge log servers, their subscribers, and the clients that send purges.
+
+A subscription is a stream of server-sent events, each of which is one JSON object. `{"purges": [...]}`
+contains purges that the subscriber lacks, oldest first. `{"mark": "issuer:epoch=last,..."}` follows once it
+lacks none: everything up to this position was sent on this stream, or is past its retention. A position is
+sent every second even if nothing is new, so a stream without events means that the connection is dead. The
+first position, and the first one after each change of the losses, comes with the `losses` (see
+`low_watermark`), the `name` of the server, and the number of `copies` that it waits for. Each event has the
+clock of the server as `sent_ms`. A director that has purges which a server lacks sends it the same events
+(`POST /events`).
+
+The names on the wire are fixed. A field whose attribute has another name sets it by `msgspec.field`.
 """
 
 from __future__ import annotations
@@ -21,29 +22,29 @@
 from .purge import Purge
 
 MAX_BATCH = 500  # purges in one event
-BATCH_BYTES = 1_000_000  # of scopes in one event
-HEARTBEAT_S = 1.0  # between two positions of a stream on which nothing is new
-HEARTBEAT_TIMEOUT_S = 3.0  # without a byte, after which a stream is given up
+MAX_BATCH_BYTES = 1_000_000  # of scopes in one event
+HEARTBEAT_S = 1.0  # between two positions of a stream without new purges
+HEARTBEAT_TIMEOUT_S = 3.0  # after which a stream that receives no byte is closed
 
 
 class SubmitRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """A request for a purge. `tags`: names and scopes, in addition to the catalog of the server."""
+    """A request for a purge. `tags`: scopes by name, in addition to the catalog of the server."""
 
     scope: str
     tags: dict[str, str] = {}
 
 
 class AttestRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """An operator's attestation for all servers: every purge from `since_ms` on is known, in Unix ms; 0: none
-    is missing."""
+    """An operator's attestation for all servers: every purge from `since_ms` on is known, in Unix ms; 0 if
+    none is missing."""
 
     since_ms: float
     reason: str = msgspec.field(name="why", default="")
 
 
 class Accepted(msgspec.Struct):
-    """The response for a purge that was stored. `is_repeated`: an earlier request with the same key caused
-    it."""
+    """The response for a purge that was stored. `is_repeated`: whether an earlier request with the same key
+    caused the purge."""
 
     issuer: str
     epoch: int
@@ -56,7 +57,7 @@
 class Event(msgspec.Struct, omit_defaults=True):
     """An event of a subscription.
 
-    Attributes: position, see above; name and copies of the server; sent_ms, the server's own clock in Unix
+    Attributes: position, see above; name and copies, of the server; sent_ms, the server's own clock in Unix
     ms, 0.0 if unknown. The age of a purge by that clock is right even if the clock is wrong."""
 
     purges: list[Purge] = []
@@ -70,9 +71,10 @@
 class Status(msgspec.Struct):
     """The state of a purge log server.
 
-    Attributes: active, how many purges are; peers, the state of the subscription to each; can_store, whether
-    the disk accepted the last write; recovered, what the start read from the disk; low_watermark_ms, the
-    moment from which on all purges are known, in Unix ms, 0.0 if all that bind are."""
+    Attributes: active, the number of active purges; subscribers, their number; peers, the state of the
+    subscription to each; can_store, whether the disk accepted the last write; recovered, what the start read
+    from the disk; low_watermark_ms, the time from which on all purges are known, in Unix ms, 0.0 if all
+    active ones are."""
 
     name: str
     epoch: int
@@ -101,7 +103,7 @@
     batch: list[Purge] = []
     size = 0
     for purge in purges:
-        if batch and (len(batch) >= MAX_BATCH or size + len(purge.scope) > BATCH_BYTES):
+        if batch and (len(batch) >= MAX_BATCH or size + len(purge.scope) > MAX_BATCH_BYTES):
             yield batch
             batch, size = [], 0
         batch.append(purge)
--- a/gladelane/routing/freshness.py
+++ b/gladelane/routing/freshness.py
@@ -24,12 +24,12 @@
         settings = self._context.settings
         at_ms = self._context.now_ms - event.age_ms
         until_ms = at_ms + settings.purge_done_ms + PURGE_SLACK_MS
-        self.purges.add_one(event.object - 1, event.group, at_ms, until_ms)
+        self.purges.add_object_or_group(event.object - 1, event.group, at_ms, until_ms)
 
     def age_bound(self, request: Request, fresh_ms: float) -> tuple[float, bool]:
         """The oldest copy that may be served (0: up to its class's fresh time), and if a purge set it."""
         now_ms = self._context.now_ms
-        purged_ms = self.purges.newest_by_age(
+        purged_ms = self.purges.newest_purge_by_age_ms(
             request.cls, request.group, request.object - 1, request.part, now_ms
         )
         if not purged_ms:
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -211,28 +211,28 @@
             lambda: has_lost_quorum,
             lambda: {("f", 1): len(orders._purges)},
         )
-        orders.owned = one.is_responsible_for
-        orders.servers({"c0": 7.0})
+        orders.is_responsible_for = one.is_responsible_for
+        orders.set_servers({"c0": 7.0})
         orders.add(made[:3])
         return orders, one
 
     first, of_first = sharded(True)
     resource = of_first.resource_of("c0")
     assert resource == shard_resource(shard_of("c0", 4)) and of_first.export_progress(resource) == ""
-    for order in first.next(100.0):
-        first.acknowledged(order)
+    for order in first.next_orders(100.0):
+        first.record_acknowledged(order)
     progress = of_first.export_progress(resource)
     second, of_second = sharded(True)
     of_second.import_progress(resource, progress)
     second.add(made[3:])
-    assert [purge.seq for order in second.next(100.0) for purge in order.purges] == [4, 5]
+    assert [purge.seq for order in second.next_orders(100.0) for purge in order.purges] == [4, 5]
     idle, of_idle = sharded(False)
     of_idle.import_progress(resource, "{"), of_idle.import_progress(resource, '{"c0":[7.0,"f:1=x"]}')
-    assert idle.next(100.0) == [] and len(sharded(False, has_lost_quorum=True)[0].next(100.0)) == 1
+    assert idle.next_orders(100.0) == [] and len(sharded(False, has_lost_quorum=True)[0].next_orders(100.0)) == 1
     renewed, of_renewed = sharded(True)
-    renewed.servers({"c0": 8.0})  # its process is another: it may have lost what that one dropped
+    renewed.set_servers({"c0": 8.0})  # its process is another: it may have lost what that one dropped
     of_renewed.import_progress(resource, progress)
-    assert len(renewed.next(100.0)[0].purges) == 3
+    assert len(renewed.next_orders(100.0)[0].purges) == 3
 
 
 @pytest.mark.parametrize("fault", [one for one in InjectedFault if one is not InjectedFault.NONE])
--- a/tests/purges/test_clocks.py
+++ b/tests/purges/test_clocks.py
@@ -1,5 +1,5 @@
-"""Wrong and stepped clocks: of feeds, of directors, within a life and across restarts. Whichever clock is wrong, no copy
-from before a purge is accepted, and copies from after it are."""
+"""Wrong and stepped clocks of purge log servers and directors, while they run and across restarts. Whichever clock is
+wrong, copies from before a purge are rejected, and copies from after it are accepted."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 from gladelane.net.copy_dates import is_fresh_copy
 from gladelane.net.known_purges import oldest_by_purge_servers
 from gladelane.purges.active_purges import (
-    AHEAD_MS,
     CLOCK_MARGIN_MS,
+    MAX_AHEAD_MS,
     ActivePurges,
 )
 from gladelane.purges.cutoff import Link
@@ -49,113 +49,126 @@
 from gladelane.purges.subscription import PurgeSubscription
 from gladelane.routing.events import Member, Note
 
-TRUE_MS = 1_764_576_000_000.0  # the origin's clock when the purge is asked for
+TRUE_MS = 1_764_576_000_000.0  # the origin's clock when the purge is requested
 HOUR_MS = 3_600_000.0
 STEPS = (-HOUR_MS, -4_000.0, -50.0, 0.0, 50.0, 4_000.0, HOUR_MS)
-DATED_SLACK_MS = 5.0  # of `net.director`: dates are whole ms
-SLOWEST_MS = 80.0  # from a director to the origin, and back
-WAY_MS = 3.0  # from a feed to a director
+DATED_SLACK_MS = 5.0  # the tolerance of a director for dates, which are whole ms
+MAX_ONE_WAY_MS = 80.0  # between a director and the origin, in either direction
+NETWORK_DELAY_MS = 3.0  # from a purge log server to a director
 REQUEST = ("film", 3, 1, 0)
 
 
 class Copy(NamedTuple):
-    """made_ms: by the origin's clock, which is its date as well."""
+    """A copy that was made at `made_ms` by the origin's clock, which is also its date."""
 
     made_ms: float
 
 
 def is_accepted_by_age(active: ActivePurges, copy: Copy, true_ms: float, director_ms: float) -> bool:
-    """As a server does: it is asked for copies up to an age, and counts ages itself."""
-    most_ms = max(director_ms - active.index.newest_by_age(*REQUEST, director_ms), 1.0)
-    return true_ms - copy.made_ms <= most_ms
+    """Whether a cache server returns the copy: a request has a maximum age, and the server measures ages itself."""
+    max_age_ms = max(director_ms - active.index.newest_purge_by_age_ms(*REQUEST, director_ms), 1.0)
+    return true_ms - copy.made_ms <= max_age_ms
 
 
 def oldest_by_date(active: ActivePurges, director_ms: float, shift_ms: float) -> float:
     index = active.index
-    dated_ms, heard_ms = index.newest(*REQUEST, director_ms), index.newest_by_age(*REQUEST, director_ms)
-    return float(oldest_by_purge_servers(dated_ms, heard_ms, director_ms, shift_ms))
+    by_date_ms, by_age_ms = (
+        index.newest_purge_ms(*REQUEST, director_ms),
+        index.newest_purge_by_age_ms(*REQUEST, director_ms),
+    )
+    return float(oldest_by_purge_servers(by_date_ms, by_age_ms, director_ms, shift_ms))
 
 
 def is_accepted_by_date(active: ActivePurges, copy: Copy, director_ms: float, shift_ms: float = 0.0) -> bool:
-    """As a director does with the answer."""
+    """Whether a director accepts a response with the copy."""
     return copy.made_ms + DATED_SLACK_MS >= oldest_by_date(active, director_ms, shift_ms)
 
 
-def fresh_copies(director_off_ms: float, true_ms: float) -> FreshCopies:
-    """What a director has heard by then of copies that the origin made for it, on ways of 1 to `SLOWEST_MS`."""
+def fresh_copies(director_offset_ms: float, true_ms: float) -> FreshCopies:
+    """Copies that the origin made for a director, with network delays of 1 to `MAX_ONE_WAY_MS` each way."""
     copies, rng = FreshCopies(), random.Random(3)
     for number in range(2 * FRESH_COPIES):
         made_ms = true_ms - 1_000.0 + number
-        asked_ms, heard_ms = (
-            made_ms + sign * rng.uniform(1.0, SLOWEST_MS) + director_off_ms for sign in (-1.0, 1.0)
+        requested_ms, received_ms = (
+            made_ms + sign * rng.uniform(1.0, MAX_ONE_WAY_MS) + director_offset_ms for sign in (-1.0, 1.0)
         )
-        copies.hear(UnixMs(float(int(made_ms))), asked_ms, heard_ms)
+        copies.hear(UnixMs(float(int(made_ms))), requested_ms, received_ms)
     return copies
 
 
-@pytest.mark.parametrize("feed_off_ms", STEPS)
-@pytest.mark.parametrize("director_off_ms", STEPS)
+@pytest.mark.parametrize("server_offset_ms", STEPS)
+@pytest.mark.parametrize("director_offset_ms", STEPS)
 @pytest.mark.parametrize("is_live", [True, False])
-def test_no_copy_from_before_a_purge_is_accepted_and_those_from_after_it_are(
-    feed_off_ms: float, director_off_ms: float, is_live: bool
+def test_only_copies_from_after_a_purge_are_accepted_whichever_clock_is_wrong(
+    server_offset_ms: float, director_offset_ms: float, is_live: bool
 ) -> None:
-    """Live, or of a backlog ten minutes later."""
+    """The purge is received live, or in a backlog ten minutes later."""
     active = ActivePurges()
-    heard_true_ms = TRUE_MS + (WAY_MS if is_live else 600_000.0)
-    sent_ms = heard_true_ms - WAY_MS + feed_off_ms
-    heard = Receipt(sent_ms, is_live, TRUE_MS - 700.0)
-    active.apply(Purge("a", 1, 1, TRUE_MS + feed_off_ms, "group:3"), heard_true_ms + director_off_ms, heard)
-    # clocks that differ by less than an event may take on its way are what `skew_ms` is for, in a backlog
+    received_true_ms = TRUE_MS + (NETWORK_DELAY_MS if is_live else 600_000.0)
+    sent_ms = received_true_ms - NETWORK_DELAY_MS + server_offset_ms
+    receipt = Receipt(sent_ms, is_live, TRUE_MS - 700.0)
+    active.apply(
+        Purge("a", 1, 1, TRUE_MS + server_offset_ms, "group:3"),
+        received_true_ms + director_offset_ms,
+        receipt,
+    )
+    # in a backlog, a clock difference within the network delay is not detected; `skew_ms` is meant to cover it
     skew_ms = 0.0 if is_live else CLOCKS_AGREE_MS
     for later_ms in (0.0, 10.0, 1_000.0, 30_000.0, HOUR_MS / 2, HOUR_MS, 24 * HOUR_MS):
-        true_ms = heard_true_ms + later_ms
-        director_ms = true_ms + director_off_ms
+        true_ms = received_true_ms + later_ms
+        director_ms = true_ms + director_offset_ms
         for before_ms in (0.5, 100.0, 3_000.0, HOUR_MS / 2, HOUR_MS, 24 * HOUR_MS):
             old = Copy(TRUE_MS - before_ms - skew_ms)
             assert not is_accepted_by_age(active, old, true_ms, director_ms), (later_ms, before_ms)
-        # without fresh copies a feed and a director that are both ahead of the origin agree on a moment that
-        # it has not reached
-        if min(feed_off_ms, director_off_ms) <= 0.0:
+        # if the clocks of the server and the director are both ahead, the purge's time is in the future of the
+        # origin, and without fresh copies nothing shows that
+        if min(server_offset_ms, director_offset_ms) <= 0.0:
             assert is_accepted_by_date(active, Copy(true_ms), director_ms), later_ms
-    # an issuer whose clock is ahead costs fetches for no longer than that is believed
-    true_ms = heard_true_ms + AHEAD_MS + 2_000.0
-    after = Copy(heard_true_ms + AHEAD_MS + 1_000.0)
-    assert is_accepted_by_age(active, after, true_ms, true_ms + director_off_ms)
-    if min(feed_off_ms, director_off_ms) <= 0.0:
-        assert is_accepted_by_date(active, after, true_ms + director_off_ms)
+    # an issuer whose clock is ahead causes unnecessary fetches for no longer than `MAX_AHEAD_MS`
+    true_ms = received_true_ms + MAX_AHEAD_MS + 2_000.0
+    after = Copy(received_true_ms + MAX_AHEAD_MS + 1_000.0)
+    assert is_accepted_by_age(active, after, true_ms, true_ms + director_offset_ms)
+    if min(server_offset_ms, director_offset_ms) <= 0.0:
+        assert is_accepted_by_date(active, after, true_ms + director_offset_ms)
 
 
-@pytest.mark.parametrize("feed_off_ms", STEPS)
-@pytest.mark.parametrize("director_off_ms", STEPS)
+@pytest.mark.parametrize("server_offset_ms", STEPS)
+@pytest.mark.parametrize("director_offset_ms", STEPS)
 @pytest.mark.parametrize("is_live", [True, False])
-def test_by_dates_of_fresh_copies_none_from_before_a_purge_is_accepted_and_those_from_after_it_soon(
-    feed_off_ms: float, director_off_ms: float, is_live: bool
+def test_with_a_known_clock_offset_only_copies_from_after_a_purge_are_accepted(
+    server_offset_ms: float, director_offset_ms: float, is_live: bool
 ) -> None:
-    """Dates alone, as where a cache joins a fill and does not look at the copy's age."""
+    """Only dates are compared, as when a cache joins a fill and does not check the copy's age."""
     active = ActivePurges()
-    heard_true_ms = TRUE_MS + (WAY_MS if is_live else 600_000.0)
-    heard = Receipt(heard_true_ms - WAY_MS + feed_off_ms, is_live, TRUE_MS - 700.0)
-    active.apply(Purge("a", 1, 1, TRUE_MS + feed_off_ms, "group:3"), heard_true_ms + director_off_ms, heard)
-    shift_ms = fresh_copies(director_off_ms, heard_true_ms).shift_ms(heard_true_ms + director_off_ms)
-    assert bool(shift_ms) == (abs(director_off_ms) > CLOCKS_AGREE_MS)
+    received_true_ms = TRUE_MS + (NETWORK_DELAY_MS if is_live else 600_000.0)
+    receipt = Receipt(received_true_ms - NETWORK_DELAY_MS + server_offset_ms, is_live, TRUE_MS - 700.0)
+    active.apply(
+        Purge("a", 1, 1, TRUE_MS + server_offset_ms, "group:3"),
+        received_true_ms + director_offset_ms,
+        receipt,
+    )
+    shift_ms = fresh_copies(director_offset_ms, received_true_ms).shift_ms(
+        received_true_ms + director_offset_ms
+    )
+    assert bool(shift_ms) == (abs(director_offset_ms) > CLOCKS_AGREE_MS)
     if shift_ms > 0.0:
-        unsure_ms = SLOWEST_MS + (0.0 if is_live else CLOCKS_AGREE_MS)
-    else:  # a director that is behind by too little to be proven compares with its own present
-        unsure_ms = 0.0 if shift_ms else max(-director_off_ms, 0.0)
-    # how long the purge's moment lies ahead of the director's clock, as far as it is believed
-    ahead_ms = min(max(feed_off_ms - director_off_ms, 0.0), AHEAD_MS)
-    for later_ms in (0.0, 10.0, 3.0 * SLOWEST_MS, 1_000.0, 30_000.0, HOUR_MS / 2, HOUR_MS, 24 * HOUR_MS):
-        true_ms = heard_true_ms + later_ms
-        director_ms = true_ms + director_off_ms
-        # a feed that is behind dates a purge by its own clock; the age that caches are asked for covers that
-        if shift_ms > 0.0 or feed_off_ms >= 0.0:
+        uncertainty_ms = MAX_ONE_WAY_MS + (0.0 if is_live else CLOCKS_AGREE_MS)
+    else:  # an offset that is too small to be detected is not corrected
+        uncertainty_ms = 0.0 if shift_ms else max(-director_offset_ms, 0.0)
+    # how far the purge's time is ahead of the director's clock, within the limit
+    ahead_ms = min(max(server_offset_ms - director_offset_ms, 0.0), MAX_AHEAD_MS)
+    for later_ms in (0.0, 10.0, 3.0 * MAX_ONE_WAY_MS, 1_000.0, 30_000.0, HOUR_MS / 2, HOUR_MS, 24 * HOUR_MS):
+        true_ms = received_true_ms + later_ms
+        director_ms = true_ms + director_offset_ms
+        # a server that is behind dates a purge too early; the maximum age of a request to a cache covers that
+        if shift_ms > 0.0 or server_offset_ms >= 0.0:
             for before_ms in (0.5, 100.0, 3_000.0, HOUR_MS / 2, HOUR_MS, 24 * HOUR_MS):
-                old = Copy(TRUE_MS - DATED_SLACK_MS - before_ms - unsure_ms)
+                old = Copy(TRUE_MS - DATED_SLACK_MS - before_ms - uncertainty_ms)
                 assert not is_accepted_by_date(active, old, director_ms, shift_ms), (later_ms, before_ms)
         if shift_ms < 0.0:
-            is_due = later_ms >= ahead_ms + 3.0 * SLOWEST_MS
+            is_due = later_ms >= ahead_ms + 3.0 * MAX_ONE_WAY_MS
         else:
-            is_due = shift_ms > 0.0 or min(feed_off_ms, director_off_ms) <= 0.0
+            is_due = shift_ms > 0.0 or min(server_offset_ms, director_offset_ms) <= 0.0
         assert is_accepted_by_date(active, Copy(true_ms), director_ms, shift_ms) or not is_due, later_ms
 
 
@@ -198,24 +211,28 @@
     st.integers(0, FRESH_COPIES - 1),
     st.floats(0.0, 1e13),
 )
-def test_fresh_copies_never_place_a_moment_wrongly_with_any_one_date_spoilt(
-    ways_ms: list[tuple[float, float]], origin_off_ms: float, spoilt: int, spoilt_date_ms: float
+def test_the_clock_offset_is_never_overestimated_although_one_date_is_corrupt(
+    one_way_times_ms: list[tuple[float, float]],
+    origin_offset_ms: float,
+    corrupt_index: int,
+    corrupt_date_ms: float,
 ) -> None:
-    """`ways_ms`: to the origin and back."""
+    """A single corrupt date must not make a director correct its clock by more than the clock is wrong.
+    `one_way_times_ms`: to the origin and back."""
     copies, now_ms = FreshCopies(), TRUE_MS
-    for number, (there_ms, back_ms) in enumerate(ways_ms):
-        asked_ms, now_ms = now_ms, now_ms + there_ms + back_ms
-        dated_ms = float(int(asked_ms + there_ms + origin_off_ms))
-        is_spoilt = number == len(ways_ms) - 1 - spoilt
-        copies.hear(UnixMs(spoilt_date_ms if is_spoilt else dated_ms), asked_ms, now_ms)
+    for number, (outward_ms, return_ms) in enumerate(one_way_times_ms):
+        requested_ms, now_ms = now_ms, now_ms + outward_ms + return_ms
+        dated_ms = float(int(requested_ms + outward_ms + origin_offset_ms))
+        is_corrupt = number == len(one_way_times_ms) - 1 - corrupt_index
+        copies.hear(UnixMs(corrupt_date_ms if is_corrupt else dated_ms), requested_ms, now_ms)
     shift_ms = copies.shift_ms(now_ms)
     if shift_ms < 0.0:
-        assert shift_ms >= origin_off_ms - 1e-3
+        assert shift_ms >= origin_offset_ms - 1e-3
     elif shift_ms > 0.0:
-        assert shift_ms <= origin_off_ms + 1e-3
+        assert shift_ms <= origin_offset_ms + 1e-3
 
 
-def test_a_clock_counts_as_right_until_enough_fresh_copies_show_otherwise_and_once_they_are_old() -> None:
+def test_the_clock_offset_is_zero_without_enough_recent_fresh_copies() -> None:
     copies = FreshCopies()
     for number in range(FRESH_COPIES):
         assert copies.shift_ms(TRUE_MS) == 0.0
@@ -225,44 +242,51 @@
     assert copies.shift_ms(TRUE_MS + FRESH_COPY_COUNTS_MS + 1.0) == 0.0
 
 
-@pytest.mark.parametrize("feed_off_ms", STEPS)
+@pytest.mark.parametrize("server_offset_ms", STEPS)
 @pytest.mark.parametrize("step_ms", STEPS)
 def test_a_restart_with_a_stepped_clock_ends_no_purge_before_its_retention(
-    feed_off_ms: float, step_ms: float
+    server_offset_ms: float, step_ms: float
 ) -> None:
     retention_ms = 24 * HOUR_MS
     active = ActivePurges(retention_ms=retention_ms)
-    active.apply(Purge("a", 1, 1, TRUE_MS + feed_off_ms, "group:3"), TRUE_MS, Receipt(is_live=True))
-    again = ActivePurges(retention_ms=retention_ms)
+    active.apply(Purge("a", 1, 1, TRUE_MS + server_offset_ms, "group:3"), TRUE_MS, Receipt(is_live=True))
+    restored = ActivePurges(retention_ms=retention_ms)
     last_ms = TRUE_MS + retention_ms - 1.0  # an older copy is not accepted anyway
-    again.restore(active.snapshot(), last_ms + step_ms)
-    for one, now_ms in ((active, last_ms), (again, last_ms + step_ms)):
-        one.expire(now_ms)
-        assert len(one) == 1 and one.index.newest_by_age(*REQUEST, now_ms) > 0.0
+    restored.restore(active.snapshot(), last_ms + step_ms)
+    for state, now_ms in ((active, last_ms), (restored, last_ms + step_ms)):
+        state.expire(now_ms)
+        assert len(state) == 1 and state.index.newest_purge_by_age_ms(*REQUEST, now_ms) > 0.0
     past_ms = TRUE_MS + retention_ms + CLOCK_MARGIN_MS + 2 * HOUR_MS
-    for one in (active, again):
-        one.expire(past_ms)
-        assert not len(one) and one.index.newest_by_age(*REQUEST, past_ms) == 0.0 and not len(one.index)
-        assert one.index._by_age is None
+    for state in (active, restored):
+        state.expire(past_ms)
+        assert (
+            not len(state)
+            and state.index.newest_purge_by_age_ms(*REQUEST, past_ms) == 0.0
+            and not len(state.index)
+        )
+        assert state.index._by_age_index is None
 
 
-def test_a_snapshot_drops_no_purge_that_binds_later_than_one_that_covers_it_by_its_moment() -> None:
+def test_a_snapshot_keeps_a_covered_purge_whose_local_time_is_later() -> None:
+    """A purge that is older by its issuer's clock than a wider one may apply from a later local time on. A snapshot that
+    omitted it would make old copies valid again."""
     active = ActivePurges()
     active.apply(Purge("a", 1, 1, TRUE_MS - HOUR_MS, "group:3"), TRUE_MS, Receipt(is_live=True))
     active.apply(Purge("b", 1, 1, TRUE_MS - HOUR_MS / 2, "all"), TRUE_MS)
-    again = ActivePurges()
-    again.restore(active.snapshot(), TRUE_MS)
-    assert len(again) == 2 and again.index.newest_by_age(*REQUEST, TRUE_MS) == TRUE_MS
+    restored = ActivePurges()
+    restored.restore(active.snapshot(), TRUE_MS)
+    assert len(restored) == 2 and restored.index.newest_purge_by_age_ms(*REQUEST, TRUE_MS) == TRUE_MS
 
 
-def test_a_bound_of_our_own_clock_may_be_a_pattern_too_many_and_binds_wider_then() -> None:
+def test_local_times_of_too_many_patterns_apply_to_a_wider_scope() -> None:
+    """The index of local times has a limit of patterns as well. Purges beyond it must apply to more, not be dropped."""
     active = ActivePurges()
     for n in range(80):
-        places = f"{n:08b}".replace("0", "?").replace("1", "a")
-        scope = f"objects:{places}{'?' * 7}1 & class:film"
+        digits = f"{n:08b}".replace("0", "?").replace("1", "a")
+        scope = f"objects:{digits}{'?' * 7}1 & class:film"
         active.apply(Purge("a", 1, n + 1, TRUE_MS - HOUR_MS, scope), TRUE_MS, Receipt(is_live=True))
-    assert active.index.newest_by_age("film", 0, 0xAAAAAAAAAAAAAAA1, 0, TRUE_MS) == TRUE_MS
-    assert active.index.newest("film", 0, 0xAAAAAAAAAAAAAAA1, 0, TRUE_MS) == TRUE_MS - HOUR_MS
+    assert active.index.newest_purge_by_age_ms("film", 0, 0xAAAAAAAAAAAAAAA1, 0, TRUE_MS) == TRUE_MS
+    assert active.index.newest_purge_ms("film", 0, 0xAAAAAAAAAAAAAAA1, 0, TRUE_MS) == TRUE_MS - HOUR_MS
 
 
 # --- issuers
@@ -272,15 +296,15 @@
     ("wall_ms", "peer_ms", "expected_ms"),
     [
         (0.0, None, 0.0),
-        (HOUR_MS, None, HOUR_MS),  # set right after the start
-        (-HOUR_MS, None, 0.0),  # set back: the timeline counts on
-        (0.0, HOUR_MS, HOUR_MS),  # our clock was wrong at the start
+        (HOUR_MS, None, HOUR_MS),  # corrected after the start
+        (-HOUR_MS, None, 0.0),  # set back: the timeline continues
+        (0.0, HOUR_MS, HOUR_MS),  # the local clock was wrong at the start
         (0.0, -HOUR_MS, 0.0),
         (4_000.0, HOUR_MS, HOUR_MS),
         (0.0, 24 * HOUR_MS, MAX_PEER_AHEAD_MS),
     ],
 )
-def test_an_issuer_dates_by_the_latest_clock_that_may_be_right(
+def test_an_issuer_dates_purges_by_the_latest_clock_that_may_be_right(
     wall_ms: float, peer_ms: float | None, expected_ms: float
 ) -> None:
     clock = IssuerClock()
@@ -289,105 +313,117 @@
     assert clock.now_ms(TRUE_MS + 1_000.0, TRUE_MS + 1_000.0 + wall_ms) == TRUE_MS + 1_000.0 + expected_ms
 
 
-def test_a_peers_clock_that_was_wrong_for_a_moment_counts_no_longer_than_it_says_so() -> None:
+def test_a_peer_clock_that_was_corrected_no_longer_affects_the_dates_of_purges() -> None:
     clock = IssuerClock()
     clock.observe_peer("b", TRUE_MS + HOUR_MS, TRUE_MS)
     clock.observe_peer("c", TRUE_MS + 10.0, TRUE_MS)
     clock.observe_peer("b", TRUE_MS, TRUE_MS)
-    clock.observe_peer("b", 0.0, TRUE_MS)  # of a version that does not say
+    clock.observe_peer("b", 0.0, TRUE_MS)  # from a version that does not send its clock
     assert clock.now_ms(TRUE_MS, TRUE_MS) == TRUE_MS + 10.0
 
 
 @given(st.lists(st.sampled_from(STEPS), max_size=12), st.integers(0, 1000))
-def test_an_issuers_moments_never_go_back_and_are_never_before_the_true_one(
+def test_times_of_an_issuer_never_decrease_and_are_never_before_the_true_time(
     steps_ms: list[float], seed: int
 ) -> None:
-    """Its clock was right at the start, and is stepped again and again."""
+    """The issuer's clock was right at the start, and is then stepped repeatedly."""
     rng, clock, true_ms, last_ms = random.Random(seed), IssuerClock(), TRUE_MS, 0.0
-    stamps = IssuerSequence("a", (), 0.0, true_ms)
+    sequence = IssuerSequence("a", (), 0.0, true_ms)
     for step_ms in steps_ms:
         true_ms += rng.uniform(1.0, 60_000.0)
-        at_ms = stamps.next("group:3", clock.now_ms(true_ms, true_ms + step_ms)).at_ms
+        at_ms = sequence.next("group:3", clock.now_ms(true_ms, true_ms + step_ms)).at_ms
         assert at_ms >= max(true_ms, last_ms)
         last_ms = at_ms
 
 
-def heard(clock: IssuerClock, peer_off_ms: float, sent_ms: float, late_ms: float) -> None:
-    """An event that answers no request. Our timeline is the true time, off which the peer's clock is."""
-    clock.observe_peer("b", sent_ms + peer_off_ms, sent_ms + late_ms)
+def observe_event(clock: IssuerClock, peer_offset_ms: float, sent_ms: float, delay_ms: float) -> None:
+    """Records an event that answers no request. The local timeline is the true time; the peer's clock has an offset."""
+    clock.observe_peer("b", sent_ms + peer_offset_ms, sent_ms + delay_ms)
 
 
-def opened(clock: IssuerClock, peer_off_ms: float, asked_ms: float, there_ms: float, back_ms: float) -> float:
-    """The first event of a stream. Returns when it was heard."""
-    sent_ms, heard_ms = asked_ms + there_ms, asked_ms + there_ms + back_ms
-    clock.observe_peer("b", sent_ms + peer_off_ms, heard_ms, there_ms + back_ms)
-    return heard_ms
+def observe_stream_start(
+    clock: IssuerClock, peer_offset_ms: float, requested_ms: float, outward_ms: float, return_ms: float
+) -> float:
+    """Records the first event of a stream. Returns when it was received."""
+    sent_ms, received_ms = requested_ms + outward_ms, requested_ms + outward_ms + return_ms
+    clock.observe_peer("b", sent_ms + peer_offset_ms, received_ms, outward_ms + return_ms)
+    return received_ms
 
 
-WAYS = st.floats(0.0, 3_000.0)
+ONE_WAY_TIMES = st.floats(0.0, 3_000.0)
 
 
-@given(st.floats(0.0, HOUR_MS), WAYS, WAYS, st.lists(st.tuples(WAYS, WAYS), max_size=20))
+@given(
+    st.floats(0.0, HOUR_MS),
+    ONE_WAY_TIMES,
+    ONE_WAY_TIMES,
+    st.lists(st.tuples(ONE_WAY_TIMES, ONE_WAY_TIMES), max_size=20),
+)
 def test_a_purge_is_dated_no_earlier_than_its_request_and_no_later_than_a_round_trip_after_it(
-    peer_off_ms: float, there_ms: float, back_ms: float, events: list[tuple[float, float]]
+    peer_offset_ms: float, outward_ms: float, return_ms: float, events: list[tuple[float, float]]
 ) -> None:
-    """By a peer's clock, however long each event took and whichever way of an exchange was the slow one. `events`: how
-    long after the one before it each was sent and how long it took; all are heard while the exchange counts."""
+    """A purge must be dated correctly by a peer's clock, however long each event took and whichever direction of the
+    round trip was slow. `events`: the time since the previous event and the delay of each; all are received within
+    the first window."""
     clock = IssuerClock()
-    now_ms = began_ms = opened(clock, peer_off_ms, TRUE_MS, there_ms, back_ms)
-    sent_ms = TRUE_MS + there_ms
-    latest_ms = peer_off_ms + max(there_ms + back_ms, MIN_ROUND_TRIP_MS)
-    for number, (after_ms, late_ms) in enumerate([(0.0, 0.0), *events]):
+    now_ms = started_ms = observe_stream_start(clock, peer_offset_ms, TRUE_MS, outward_ms, return_ms)
+    sent_ms = TRUE_MS + outward_ms
+    latest_ms = peer_offset_ms + max(outward_ms + return_ms, MIN_ROUND_TRIP_MS)
+    for number, (after_ms, delay_ms) in enumerate([(0.0, 0.0), *events]):
         if number:
             sent_ms += after_ms
-            now_ms = max(now_ms, sent_ms + late_ms)
-            if now_ms >= began_ms + WINDOW_MS:
+            now_ms = max(now_ms, sent_ms + delay_ms)
+            if now_ms >= started_ms + WINDOW_MS:
                 break
-            heard(clock, peer_off_ms, sent_ms, now_ms - sent_ms)
-        assert -1e-3 <= clock.now_ms(now_ms, now_ms) - now_ms - peer_off_ms <= latest_ms - peer_off_ms + 1e-3
+            observe_event(clock, peer_offset_ms, sent_ms, now_ms - sent_ms)
+        assert (
+            -1e-3
+            <= clock.now_ms(now_ms, now_ms) - now_ms - peer_offset_ms
+            <= latest_ms - peer_offset_ms + 1e-3
+        )
 
 
 @given(st.floats(0.0, HOUR_MS), st.floats(0.0, 100.0), st.floats(0.0, 100.0), st.integers(0, 1000))
-def test_a_date_stays_careful_for_as_long_as_one_event_of_a_window_is_no_slower_than_the_round_trip(
-    peer_off_ms: float, there_ms: float, back_ms: float, seed: int
+def test_purges_are_not_dated_too_early_while_one_event_of_each_window_is_fast(
+    peer_offset_ms: float, outward_ms: float, return_ms: float, seed: int
 ) -> None:
-    """Five minutes of a stream, of whose events all but one in twenty are late by up to a second."""
+    """A stream of five minutes, in which all but one in twenty events are delayed by up to a second."""
     rng, clock = random.Random(seed), IssuerClock()
-    heard_ms = opened(clock, peer_off_ms, TRUE_MS, there_ms, back_ms)
-    sent_ms, most_ms = TRUE_MS + there_ms, max(there_ms + back_ms, MIN_ROUND_TRIP_MS)
+    received_ms = observe_stream_start(clock, peer_offset_ms, TRUE_MS, outward_ms, return_ms)
+    sent_ms, max_error_ms = TRUE_MS + outward_ms, max(outward_ms + return_ms, MIN_ROUND_TRIP_MS)
     for number in range(300):
         sent_ms += 1_000.0
-        late_ms = rng.uniform(0.0, there_ms + back_ms if number % 20 == 0 else 1_000.0)
-        heard_ms = max(heard_ms, sent_ms + late_ms)
-        heard(clock, peer_off_ms, sent_ms, heard_ms - sent_ms)
-        now_ms = heard_ms + rng.uniform(0.0, 1_000.0)
-        assert -1e-3 <= clock.now_ms(now_ms, now_ms) - now_ms - peer_off_ms <= most_ms + 1e-3
+        delay_ms = rng.uniform(0.0, outward_ms + return_ms if number % 20 == 0 else 1_000.0)
+        received_ms = max(received_ms, sent_ms + delay_ms)
+        observe_event(clock, peer_offset_ms, sent_ms, received_ms - sent_ms)
+        now_ms = received_ms + rng.uniform(0.0, 1_000.0)
+        assert -1e-3 <= clock.now_ms(now_ms, now_ms) - now_ms - peer_offset_ms <= max_error_ms + 1e-3
 
 
-@pytest.mark.parametrize("share", [-0.0001, 0.0001])
-def test_a_date_follows_a_peer_whose_clock_runs_at_another_rate(share: float) -> None:
-    """For six hours on one stream. `share`: by which the peer's is faster."""
+@pytest.mark.parametrize("drift", [-0.0001, 0.0001])
+def test_the_date_of_a_purge_follows_a_peer_whose_clock_drifts(drift: float) -> None:
+    """The clocks drift apart for six hours on one stream. `drift`: how much faster the peer's clock runs."""
     clock, rng = IssuerClock(), random.Random(5)
-    opened(clock, HOUR_MS, TRUE_MS, 2.0, 1.0)
+    observe_stream_start(clock, HOUR_MS, TRUE_MS, 2.0, 1.0)
     for second in range(6 * 3_600):
-        sent_ms, off_ms = TRUE_MS + second * 1_000.0, HOUR_MS + second * 1_000.0 * share
-        heard(clock, off_ms, sent_ms, rng.uniform(0.5, 2.0))
+        sent_ms, offset_ms = TRUE_MS + second * 1_000.0, HOUR_MS + second * 1_000.0 * drift
+        observe_event(clock, offset_ms, sent_ms, rng.uniform(0.5, 2.0))
         now_ms = sent_ms + 500.0
-        late_ms = clock.now_ms(now_ms, now_ms) - now_ms - off_ms
-        assert 0.0 <= late_ms <= MIN_ROUND_TRIP_MS + 2.0 * WINDOW_MS * abs(share)
+        error_ms = clock.now_ms(now_ms, now_ms) - now_ms - offset_ms
+        assert 0.0 <= error_ms <= MIN_ROUND_TRIP_MS + 2.0 * WINDOW_MS * abs(drift)
 
 
-def test_a_round_trip_that_was_slow_counts_in_full_until_later_events_say_more() -> None:
+def test_a_slow_round_trip_is_limited_after_the_first_window() -> None:
     clock = PeerClock()
     clock.observe(TRUE_MS, TRUE_MS + 900.0, 900.0)
-    assert clock.ahead_ms() == 0.0  # the answer took all of it
+    assert clock.ahead_ms() == 0.0  # the response took the whole round trip
     clock.observe(TRUE_MS + 1_000.0, TRUE_MS + 1_001.0)
     assert clock.ahead_ms() == 899.0
     clock.observe(TRUE_MS + WINDOW_MS + 900.0, TRUE_MS + WINDOW_MS + 901.0)
     assert clock.ahead_ms() == MAX_ROUND_TRIP_MS - 1.0
 
 
-def test_a_new_stream_counts_by_its_own_round_trip() -> None:
+def test_the_round_trip_of_a_new_stream_replaces_the_previous_one() -> None:
     clock = PeerClock()
     clock.observe(TRUE_MS, TRUE_MS + 10.0, 10.0)
     clock.observe(TRUE_MS + 1_000.0, TRUE_MS + 1_100.0, 200.0)
@@ -397,15 +433,16 @@
 
 
 @pytest.mark.parametrize("step_ms", [HOUR_MS, -HOUR_MS, 4_000.0, -4_000.0])
-def test_a_step_of_a_peers_clock_counts_from_its_next_event(step_ms: float) -> None:
+def test_a_step_of_a_peer_clock_takes_effect_with_its_next_event(step_ms: float) -> None:
     clock = PeerClock()
     clock.observe(TRUE_MS, TRUE_MS + 2.0, 6.0)
     clock.observe(TRUE_MS + 1_000.0 + step_ms, TRUE_MS + 1_001.0)
     assert clock.ahead_ms() == step_ms + 5.0
 
 
-def test_events_that_waited_while_we_were_stopped_date_nothing_early() -> None:
-    """The first of those that are read after a stop is as old as the stop."""
+def test_events_that_were_received_late_do_not_lower_the_estimate() -> None:
+    """If the process was stopped, the first event that it reads afterwards is as old as the stop, and would lower the
+    estimate of the peer's clock if a single event counted."""
     clock = PeerClock()
     clock.observe(TRUE_MS, TRUE_MS + 2.0, 6.0)
     for number in range(1, 100):
@@ -413,98 +450,102 @@
         assert 0.0 <= clock.ahead_ms() <= 6.0
 
 
-def test_a_feed_whose_clock_was_wrong_at_the_start_dates_by_its_peer(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_a_server_whose_clock_was_wrong_at_the_start_dates_purges_by_its_peer(tmp_path: Path) -> None:
+    async def scenario() -> None:
         behind = lambda: unix_ms() - HOUR_MS  # noqa: E731
         async with (
-            running_server(tmp_path, "a", clock=behind) as wrong,
-            running_server(tmp_path, "b") as right,
+            running_server(tmp_path, "a", clock=behind) as wrong_server,
+            running_server(tmp_path, "b") as right_server,
         ):
-            followed_ms = unix_ms()
-            peer = wrong.follow("127.0.0.1", right.port)
-            right.follow("127.0.0.1", wrong.port)
+            subscribed_ms = unix_ms()
+            peer = wrong_server.subscribe_to_peer("127.0.0.1", right_server.port)
+            right_server.subscribe_to_peer("127.0.0.1", wrong_server.port)
             await asyncio.wait_for(peer.caught_up.wait(), 5.0)
-            asked_ms = unix_ms()
-            round_trip_ms = max(asked_ms - followed_ms, MIN_ROUND_TRIP_MS)
-            answer = await send(wrong.port, "group:3")
-            assert asked_ms <= answer["at_ms"] <= unix_ms() + round_trip_ms
-            assert wrong.server_clock.own_ms() < asked_ms - HOUR_MS / 2  # what peers are told is its own
+            requested_ms = unix_ms()
+            round_trip_ms = max(requested_ms - subscribed_ms, MIN_ROUND_TRIP_MS)
+            response = await send(wrong_server.port, "group:3")
+            assert requested_ms <= response["at_ms"] <= unix_ms() + round_trip_ms
+            # peers are sent its own clock
+            assert wrong_server.server_clock.own_ms() < requested_ms - HOUR_MS / 2
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_purge_that_comes_before_the_peers_clocks_waits_for_them(
+def test_a_purge_waits_until_the_clocks_of_peers_are_known(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A server listens before its streams to peers are open, and its own clock may be an hour behind."""
-    serve_at_once = PurgeStream.serve
+    """A server listens before its streams from peers are open. A purge that it issued at once would be dated by its own
+    clock, which may be an hour behind."""
+    serve_without_delay = PurgeStream.serve
 
-    async def serve_later(stream: PurgeStream, sink: EventSink, vector: Vector) -> None:
+    async def serve_with_delay(stream: PurgeStream, sink: EventSink, vector: Vector) -> None:
         await asyncio.sleep(0.2)
-        await serve_at_once(stream, sink, vector)
+        await serve_without_delay(stream, sink, vector)
 
-    monkeypatch.setattr(PurgeStream, "serve", serve_later)
+    monkeypatch.setattr(PurgeStream, "serve", serve_with_delay)
 
-    async def scene() -> None:
-        async with running_server(tmp_path, "b") as right, running_server(tmp_path, "c") as other:
-            wrong = ServedLog(
+    async def scenario() -> None:
+        async with running_server(tmp_path, "b") as right_server, running_server(tmp_path, "c") as other:
+            wrong_server = ServedLog(
                 "a", SimDisk(), tokens(tmp_path), clock=lambda: unix_ms() - HOUR_MS, is_first_start=True
             )
-            for peer in (other, right):
-                wrong.follow("127.0.0.1", peer.port)
-            await wrong.serve()
-            asked_ms = unix_ms()
-            answer = await send(wrong.port, "group:3")
-            assert asked_ms <= answer["at_ms"] <= unix_ms() + MAX_ROUND_TRIP_MS
-            await wrong.end()
+            for peer in (other, right_server):
+                wrong_server.subscribe_to_peer("127.0.0.1", peer.port)
+            await wrong_server.serve()
+            requested_ms = unix_ms()
+            response = await send(wrong_server.port, "group:3")
+            assert requested_ms <= response["at_ms"] <= unix_ms() + MAX_ROUND_TRIP_MS
+            await wrong_server.end()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_purges_wait_for_peers_that_cannot_be_reached_at_a_start_only_and_not_for_long(
+def test_purges_wait_for_unreachable_peers_only_briefly_after_a_start(
     tmp_path: Path,
 ) -> None:
-    async def scene() -> None:
-        one = ServedLog("a", SimDisk(), tokens(tmp_path), clock=unix_ms, is_first_start=True)
-        one.follow("127.0.0.1", 1)
-        await one.serve()
-        began_ms = unix_ms()
-        await send(one.port, "group:3")
-        assert CLOCKS_WAIT_S * 900.0 <= unix_ms() - began_ms <= 10 * CLOCKS_WAIT_S * 1_000.0
-        began_ms = unix_ms()
+    async def scenario() -> None:
+        purge_server = ServedLog("a", SimDisk(), tokens(tmp_path), clock=unix_ms, is_first_start=True)
+        purge_server.subscribe_to_peer("127.0.0.1", 1)
+        await purge_server.serve()
+        started_ms = unix_ms()
+        await send(purge_server.port, "group:3")
+        assert CLOCKS_WAIT_S * 900.0 <= unix_ms() - started_ms <= 10 * CLOCKS_WAIT_S * 1_000.0
+        started_ms = unix_ms()
         for number in range(10):
-            await send(one.port, f"group:{number}")
-        assert unix_ms() - began_ms < 10 * CLOCKS_WAIT_S * 1_000.0  # or each would have waited
-        await one.end()
+            await send(purge_server.port, f"group:{number}")
+        assert unix_ms() - started_ms < 10 * CLOCKS_WAIT_S * 1_000.0  # otherwise each would have waited
+        await purge_server.end()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 # --- losses
 
 
-def test_a_loss_that_a_slow_clock_tells_neither_closes_nor_lowers_it() -> None:
-    behind, right = LowWatermark(), LowWatermark()
+def test_a_loss_reported_by_a_server_whose_clock_is_behind_stays_open() -> None:
+    """A server whose clock is behind limits the time of a loss. When it reports the loss to others, that earlier time must
+    not count as an attestation."""
+    behind, current = LowWatermark(), LowWatermark()
     loss = Loss("a", 5, TRUE_MS, TRUE_MS)
-    right.merge([loss], TRUE_MS)
+    current.merge([loss], TRUE_MS)
     behind.merge([loss], TRUE_MS - HOUR_MS)
-    assert behind.value_ms(TRUE_MS - HOUR_MS, HOUR_MS) == TRUE_MS - HOUR_MS + AHEAD_MS
-    for horizon, other in ((right, behind), (behind, right)):
-        horizon.merge(other.losses(), TRUE_MS)
-        assert horizon.value_ms(TRUE_MS, HOUR_MS) == TRUE_MS
-    vouched = right.attest(TRUE_MS - 500.0, "ops")
-    behind.merge(vouched, TRUE_MS)
+    assert behind.value_ms(TRUE_MS - HOUR_MS, HOUR_MS) == TRUE_MS - HOUR_MS + MAX_AHEAD_MS
+    for low_watermark, other in ((current, behind), (behind, current)):
+        low_watermark.merge(other.losses(), TRUE_MS)
+        assert low_watermark.value_ms(TRUE_MS, HOUR_MS) == TRUE_MS
+    attested = current.attest(TRUE_MS - 500.0, "ops")
+    behind.merge(attested, TRUE_MS)
     behind.merge([loss], TRUE_MS)
     assert behind.value_ms(TRUE_MS, HOUR_MS) == TRUE_MS - 500.0
 
 
 @given(st.lists(st.tuples(st.integers(1, 5), st.integers(0, 5)), min_size=1, max_size=5), st.randoms())
-def test_losses_with_moments_that_differ_join_in_any_order(
-    told: list[tuple[int, int]], rng: random.Random
+def test_losses_with_different_times_join_in_any_order(
+    reported: list[tuple[int, int]], rng: random.Random
 ) -> None:
-    losses = [Loss("a", 1, float(at), float(min(at, since))) for at, since in told]
+    losses = [Loss("a", 1, float(at), float(min(at, since))) for at, since in reported]
 
-    def all_of(given_losses: list[Loss]) -> Loss:
+    def join_all(given_losses: list[Loss]) -> Loss:
         known = given_losses[0]
         for loss in given_losses[1:]:
             known = join_losses(known, loss)
@@ -512,11 +553,11 @@
 
     shuffled = losses * 2
     rng.shuffle(shuffled)
-    assert all_of(losses) == all_of(shuffled)
-    assert all_of(losses).since_ms >= min(loss.since_ms for loss in losses)
+    assert join_all(losses) == join_all(shuffled)
+    assert join_all(losses).since_ms >= min(loss.since_ms for loss in losses)
 
 
-def test_a_horizon_is_not_closed_early_by_a_clock_that_is_ahead() -> None:
+def test_a_clock_that_is_ahead_ends_no_low_watermark_early() -> None:
     active = ActivePurges(retention_ms=24 * HOUR_MS)
     active.low_watermark.merge([Loss("a", 1, TRUE_MS, TRUE_MS)], TRUE_MS)
     now_ms = TRUE_MS + 24 * HOUR_MS - 1.0 + HOUR_MS
@@ -542,82 +583,88 @@
     )
 
 
-@pytest.mark.parametrize(("feed_off_ms", "director_off_ms"), [
+@pytest.mark.parametrize(("server_offset_ms", "director_offset_ms"), [
     (-HOUR_MS, 0.0), (HOUR_MS, 0.0), (0.0, -HOUR_MS), (0.0, HOUR_MS), (-4_000.0, 4_000.0),
 ])  # fmt: skip
-def test_a_director_binds_what_comes_and_what_was_missed_from_the_true_moment_and_after_a_restart(
-    tmp_path: Path, feed_off_ms: float, director_off_ms: float
+def test_a_director_applies_live_and_missed_purges_from_the_true_time_on_also_after_a_restart(
+    tmp_path: Path, server_offset_ms: float, director_offset_ms: float
 ) -> None:
-    """One backlog purge, one live; the copies are a second older than each."""
-
-    async def scene() -> None:
-        disk, now_ms = SimDisk(), lambda: unix_ms() + director_off_ms
-        async with running_server(tmp_path, clock=lambda: unix_ms() + feed_off_ms) as one:
-            await send(one.port, "group:4")
-            missed_ms = unix_ms()
-            holder = PurgeSubscription(options(tmp_path, one.port), Index(), now_ms, disk)
-            holder.start()
-            await holder.ready()
-            assert holder.cut_off.link is not Link.CUT_OFF
-            await send(one.port, "group:3")
-            live_ms = unix_ms()
-            await until(lambda: len(holder.active) == 2)
-            await holder.close()
-            again = PurgeSubscription(options(tmp_path, one.port), Index(), now_ms, disk)
-            for held in (holder, again):
-                for group, purged_ms in ((4, missed_ms), (3, live_ms)):
+    """One purge is received in a backlog and one live. Copies that are a second older than either must be rejected."""
+
+    async def scenario() -> None:
+        disk, now_ms = SimDisk(), lambda: unix_ms() + director_offset_ms
+        async with running_server(tmp_path, clock=lambda: unix_ms() + server_offset_ms) as purge_server:
+            await send(purge_server.port, "group:4")
+            missed_purge_ms = unix_ms()
+            director = PurgeSubscription(options(tmp_path, purge_server.port), Index(), now_ms, disk)
+            director.start()
+            await director.ready()
+            assert director.cut_off.link is not Link.CUT_OFF
+            await send(purge_server.port, "group:3")
+            live_purge_ms = unix_ms()
+            await until(lambda: len(director.active) == 2)
+            await director.close()
+            restored = PurgeSubscription(options(tmp_path, purge_server.port), Index(), now_ms, disk)
+            for subscription in (director, restored):
+                for group, purged_ms in ((4, missed_purge_ms), (3, live_purge_ms)):
                     at_ms = now_ms()
-                    most_ms = max(at_ms - held.active.index.newest_by_age("film", group, 1, 0, at_ms), 1.0)
-                    assert most_ms < unix_ms() - purged_ms + 1_000.0
-            await again.close()
+                    max_age_ms = max(
+                        at_ms - subscription.active.index.newest_purge_by_age_ms("film", group, 1, 0, at_ms),
+                        1.0,
+                    )
+                    assert max_age_ms < unix_ms() - purged_ms + 1_000.0
+            await restored.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_loss_of_a_feed_whose_clock_is_behind_voids_copies_from_before_the_true_moment(
+def test_a_loss_of_a_server_whose_clock_is_behind_invalidates_all_copies_from_before_it(
     tmp_path: Path,
 ) -> None:
-    """At the start by what the feed's clock says now; later because it was heard of after all else."""
-
-    async def scene() -> None:
-        async with running_server(tmp_path, clock=lambda: unix_ms() - HOUR_MS, is_first_start=False) as one:
-            began_ms = unix_ms()
-            holder = PurgeSubscription(options(tmp_path, one.port), Index(), unix_ms)
-            holder.start()
-            await holder.ready()
-            assert holder.lines()[1][1] > 0
-            assert holder.max_copy_age_ms("film") < unix_ms() - began_ms + 1_000.0
+    """The director corrects the first loss by the server's clock. It dates the second one by its own clock, because it
+    had received everything else before."""
+
+    async def scenario() -> None:
+        async with running_server(
+            tmp_path, clock=lambda: unix_ms() - HOUR_MS, is_first_start=False
+        ) as purge_server:
+            started_ms = unix_ms()
+            director = PurgeSubscription(options(tmp_path, purge_server.port), Index(), unix_ms)
+            director.start()
+            await director.ready()
+            assert director.lines()[1][1] > 0
+            assert director.max_copy_age_ms("film") < unix_ms() - started_ms + 1_000.0
             at_ms = unix_ms() - HOUR_MS + 5.0
-            one.active.low_watermark.merge([Loss("z", 9, at_ms, at_ms)], unix_ms())
-            one.stream.wake()
-            since = holder.low_watermark_ms
-            await until(lambda: holder.low_watermark_ms != since)
-            assert holder.max_copy_age_ms("film") < 2_000.0
+            purge_server.active.low_watermark.merge([Loss("z", 9, at_ms, at_ms)], unix_ms())
+            purge_server.stream.wake()
+            previous_ms = director.low_watermark_ms
+            await until(lambda: director.low_watermark_ms != previous_ms)
+            assert director.max_copy_age_ms("film") < 2_000.0
             status = json.loads(
-                await fetch("127.0.0.1", one.port, "GET", "/status", "a-token-of-the-operators")
+                await fetch("127.0.0.1", purge_server.port, "GET", "/status", "a-token-of-the-operators")
             )
-            assert status["horizon_ms"] == holder.low_watermark_ms
-            await holder.close()
+            assert status["horizon_ms"] == director.low_watermark_ms
+            await director.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_how_far_a_clock_is_behind_is_not_read_from_an_ordinary_way_or_from_nothing() -> None:
+def test_a_clock_within_the_network_delay_or_an_unknown_one_does_not_count_as_behind() -> None:
     assert clock_behind_ms(0.0, TRUE_MS) == 0.0
     assert clock_behind_ms(TRUE_MS - CLOCKS_AGREE_MS, TRUE_MS) == 0.0
     assert clock_behind_ms(TRUE_MS + HOUR_MS, TRUE_MS) == 0.0
     assert clock_behind_ms(TRUE_MS - HOUR_MS, TRUE_MS) == HOUR_MS
 
 
-def test_events_of_a_feed_that_says_nothing_of_its_clock_are_taken_by_their_moments(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with running_server(tmp_path) as one:
-            one.stream._clock = lambda: 0.0
-            watcher = RecordingSubscriber(one.port)
-            await until(lambda: watcher.subscribers[0].caught_up.is_set())
-            await send(one.port, "group:3")
-            await until(lambda: len(watcher.active) == 1)
-            assert watcher.subscribers[0].server_clock_ms == 0.0
-            await watcher.close()
+def test_purges_of_a_server_that_sends_no_clock_are_applied(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running_server(tmp_path) as purge_server:
+            purge_server.stream._clock = lambda: 0.0
+            recorder = RecordingSubscriber(purge_server.port)
+            await until(lambda: recorder.subscribers[0].caught_up.is_set())
+            await send(purge_server.port, "group:3")
+            await until(lambda: len(recorder.active) == 1)
+            assert recorder.subscribers[0].server_clock_ms == 0.0
+            await recorder.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/purges/test_director.py
+++ b/tests/purges/test_director.py
@@ -1,4 +1,4 @@
-"""Directors that subscribe to servers: enforcement on responses, readiness, being cut off, and restarts."""
+"""Directors that subscribe to purge log servers: limits on responses, readiness, being cut off, and restarts."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
     return read_operator(json.dumps({"purges": text}).encode())
 
 
-def fresh(command: Command) -> tuple[str, bytes]:
+def serve_fresh_copy(command: Command) -> tuple[str, bytes]:
     return f"served digest=aa,dated={int(time.time() * 1000)},remark=h", b"\x00bytes"
 
 
-def old(command: Command) -> tuple[str, bytes]:
+def serve_old_copy(command: Command) -> tuple[str, bytes]:
     return f"served digest=aa,dated={int(time.time() * 1000) - 2100},remark=h", b"\x00bytes"
 
 
@@ -58,44 +58,45 @@
         await node.close()
 
 
-def test_a_director_is_ready_once_caught_up_and_binds_what_comes_within_the_second(tmp_path: Path) -> None:
-    async def scene() -> None:
-        cache = Cache(fresh)
+def test_a_director_is_ready_once_caught_up_and_applies_new_purges_within_a_second(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        cache = Cache(serve_fresh_copy)
         address = await cache.start()
-        async with running_server(tmp_path) as one:
-            await send(one.port, "objects:7f* & class:film")
-            async with director(address, operator(tmp_path, one.port)) as (node, client):
-                client.ask(1)  # known at the start
+        async with running_server(tmp_path) as purge_server:
+            await send(purge_server.port, "objects:7f* & class:film")
+            async with director(address, operator(tmp_path, purge_server.port)) as (node, client):
+                client.ask(1)  # covered by a purge from before the start
                 await client.next()
                 client.ask(2, o="1111111111111111", tag="9")
                 await client.next()
-                began = time.time()
-                await send(one.port, "group:9 & parts:0-7")
+                started = time.time()
+                await send(purge_server.port, "group:9 & parts:0-7")
                 await until(
-                    lambda: node.director.router.purges.newest("film", 9, 5, 3, node.clock.now()) > 0.0
+                    lambda: node.director.router.purges.newest_purge_ms("film", 9, 5, 3, node.clock.now())
+                    > 0.0
                 )
-                assert time.time() - began < 1.0
+                assert time.time() - started < 1.0
                 client.ask(3, o="1111111111111111", tag="9")
                 await client.next()
                 client.ask(4, o="1111111111111111", tag="9", chunk="8")
                 await client.next()
-                ages = [int(seen[1].get("accept", 0)) for seen in cache.seen]
+                ages = [int(request[1].get("accept", 0)) for request in cache.seen]
                 assert 0 < ages[0] < 60_000 and 0 < ages[2] < 2_000
                 assert ages[1] == ages[3] == 604_800_000  # nothing older than the retention is accepted
                 assert node.purges is not None and node.purges.cut_off.link is Link.FOLLOWS
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 @trial
-async def test_an_answer_from_a_copy_older_than_the_purge_it_was_sent_under_is_not_passed_on() -> None:
-    dated = [0.0]
+async def test_a_response_from_a_copy_older_than_a_known_purge_is_not_forwarded() -> None:
+    copy_date_ms = [0.0]
 
-    def dating(command: Command) -> tuple[str, bytes]:
-        return f"served digest=aa,dated={int(dated[0])},remark=h", b"\x00bytes"
+    def serve_dated_copy(command: Command) -> tuple[str, bytes]:
+        return f"served digest=aa,dated={int(copy_date_ms[0])},remark=h", b"\x00bytes"
 
-    liar = Cache(dating)
-    node = Server(read_config(config({"c0": await liar.start(), "r0": REFUSED})))
+    cache = Cache(serve_dated_copy)
+    node = Server(read_config(config({"c0": await cache.start(), "r0": REFUSED})))
     client = await Client.to(await node.start())
     events = told(node.director)
     now = node.clock.now()
@@ -103,7 +104,7 @@
         WatchEvent(2, flush=notice_flush(asset="7f3a9c21e0b4d655", ms=now - 1000.0))
     )
     for stream, age, served in ((1, 900.0, True), (2, 1004.0, True), (3, 1200.0, False)):
-        dated[0] = now - age
+        copy_date_ms[0] = now - age
         client.ask(stream, d="3000" if served else "400")
         assert ((await client.next())[2] == 0) is served
     assert Status.ERROR in {status for _, _, status, _ in outcomes(events)}
@@ -114,8 +115,8 @@
 def test_cut_off_from_all_servers_strict_classes_use_young_copies_within_a_limit(
     tmp_path: Path,
 ) -> None:
-    async def scene() -> None:
-        cache = Cache(fresh)
+    async def scenario() -> None:
+        cache = Cache(serve_fresh_copy)
         address = await cache.start()
         op = operator(tmp_path, 1, cut_off_per_s=4)
         async with director(address, op) as (node, client):
@@ -124,19 +125,19 @@
                 client.ask(stream, o=f"{stream:016x}")
                 codes.append((await client.next())[2])
             served = codes.index(0) + 1
-            assert (
-                1 <= codes.count(0) <= 3 and codes.count(0) + codes.count(1) == 8
-            )  # half a second's worth at most
-            client.ask(10, o=f"{served:016x}")  # what was renewed is not counted again
+            # the budget holds at most half a second's tokens
+            assert 1 <= codes.count(0) <= 3 and codes.count(0) + codes.count(1) == 8
+            client.ask(10, o=f"{served:016x}")  # a part that was refetched costs no token
             assert (await client.next())[2] == 0
-            assert all(int(seen[1]["accept"]) <= 2000 for seen in cache.seen)
-            cache.script = old  # joined an older fill, say: what is older than the delay is not passed on
+            assert all(int(request[1]["accept"]) <= 2000 for request in cache.seen)
+            # a copy older than the delay, as from joining an older fill, is not forwarded
+            cache.script = serve_old_copy
             await asyncio.sleep(0.6)
-            asked = len(cache.seen)
+            request_count = len(cache.seen)
             client.ask(9, o=f"{99:016x}", d="300")
-            assert (await client.next())[2] != 0 and len(cache.seen) > asked
-            cache.script = fresh
-            client.ask(20, c="sheet", k="5c")  # not strict: goes on
+            assert (await client.next())[2] != 0 and len(cache.seen) > request_count
+            cache.script = serve_fresh_copy
+            client.ask(20, c="sheet", k="5c")  # not a strict class, so not limited
             await client.next()
             assert (
                 node.director.router.pending == {}
@@ -144,14 +145,14 @@
                 and node.purges.refetch_budget.rejected >= 5
             )
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_link_is_cut_off_past_the_delay_and_returning_for_a_while_after() -> None:
-    lines: list[Any] = []
-    link = CutOff(2000.0, frozenset({"film"}), lambda *line: lines.append(line[0].split()[0]))
+def test_a_link_is_cut_off_after_the_delay_and_then_returning_for_a_period() -> None:
+    messages: list[Any] = []
+    link = CutOff(2000.0, frozenset({"film"}), lambda *message: messages.append(message[0].split()[0]))
     link.update(100.0, 100.0)
-    assert link.link is Link.FOLLOWS and link.max_copy_age_ms("film") == 0.0  # a start is no return
+    assert link.link is Link.FOLLOWS and link.max_copy_age_ms("film") == 0.0  # a start is not a return
     link.update(100.0, 2100.0)
     assert link.link is Link.FOLLOWS
     link.update(100.0, 2101.0)
@@ -161,63 +162,59 @@
         and link.max_copy_age_ms("page") == 0.0
     )
     link.update(5000.0, 5000.0)
-    assert (
-        link.link is Link.RETURNING and link.max_copy_age_ms("film") == 0.0
-    )  # what is known binds; what is not is none
+    assert link.link is Link.RETURNING and link.max_copy_age_ms("film") == 0.0  # all purges are known again
     link.update(15_100.0, 5000.0 + RETURN_PERIOD_MS + 1.0)
-    assert link.link is Link.FOLLOWS and lines == ["feeds", "cut", "feeds"]
+    assert link.link is Link.FOLLOWS and messages == ["connected", "cut", "connected"]
 
 
-def test_stored_purges_bind_after_a_restart_and_only_the_rest_is_requested(
+def test_stored_purges_apply_after_a_restart_and_only_newer_ones_are_requested(
     tmp_path: Path,
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         disk, server_disk = SimDisk(), SimDisk()
-        index_of = Server(read_config(config({"r0": REFUSED})))
-        async with running_server(tmp_path, disk=server_disk) as one:
+        node = Server(read_config(config({"r0": REFUSED})))
+        async with running_server(tmp_path, disk=server_disk) as purge_server:
             for n in range(300):
-                await send(one.port, f"object:{n:016x}")
-            options = operator(tmp_path, one.port).purges
+                await send(purge_server.port, f"object:{n:016x}")
+            options = operator(tmp_path, purge_server.port).purges
             assert options is not None
-            subscription = PurgeSubscription(
-                options, index_of.director.router.purges, index_of.clock.now, disk
-            )
+            subscription = PurgeSubscription(options, node.director.router.purges, node.clock.now, disk)
             subscription.start()
             await subscription.ready()
             assert len(subscription.active) == 300
             await until(lambda: subscription.store.records >= 300)  # stored
-            subscription._tasks[-1].cancel()  # no chance to store more: the process dies here
-            left = disk.after_crash(Lost.ALL, False)
+            subscription._tasks[-1].cancel()  # a crash: nothing more is stored
+            remaining_disk = disk.after_crash(Lost.ALL, False)
             restored = PurgeSubscription(
-                options, type(index_of.director.router.purges)(), index_of.clock.now, left
+                options, type(node.director.router.purges)(), node.clock.now, remaining_disk
             )
-            assert len(restored.active) == 300 and restored.active.index.newest(
-                "film", 0, 7, 0, index_of.clock.now()
+            assert len(restored.active) == 300 and restored.active.index.newest_purge_ms(
+                "film", 0, 7, 0, node.clock.now()
             )
             received: list[int] = []
-            take = restored.receive
-            restored.on_purges = lambda purges, source: (received.append(len(purges)), take(purges))[1]
+            receive = restored.receive
+            restored.on_purges = lambda purges, source: (received.append(len(purges)), receive(purges))[1]
             restored.start()
             await restored.ready()
             assert not received
-            await send(one.port, "group:1")
+            await send(purge_server.port, "group:1")
             await until(lambda: received == [1])
             await subscription.close()
             await restored.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_an_invalid_purges_section_is_reported_in_one_line(tmp_path: Path) -> None:
-    for more, says in (({"feeds": []}, "purges.feeds: expected at least one"), ({"feeds": ["x:1"]}, r"purges.feeds\[0\]: 'x:1'"),
+    for more, message in (({"feeds": []}, "purges.feeds: expected at least one"), ({"feeds": ["x:1"]}, r"purges.feeds\[0\]: 'x:1'"),
                        ({"delay_ms": 100}, "purges.delay_ms: 100; expected a number from 2000"), ({"dirr": "x"}, "purges.dirr: unknown key")):  # fmt: skip
-        with pytest.raises(OperatorFileError, match=says):
+        with pytest.raises(OperatorFileError, match=message):
             operator(tmp_path, 1, **more)
     config_ = read_config(config({"r0": REFUSED}))
     with pytest.raises(ConfigError, match="purges.strict: 'song'; expected classes"):
         Server(config_, operator(tmp_path, 1, strict=["song"]))
-    good = operator(tmp_path, 1)
-    assert good.purges is not None
+    valid = operator(tmp_path, 1)
+    assert valid.purges is not None
     (tmp_path / "tokens").write_text("short x\n")
     with pytest.raises(ConfigError, match="tokens: line 1"):
-        Server(config_, good)
+        Server(config_, valid)
