--- a/tests/purges/test_disk_faults.py
+++ b/tests/purges/test_disk_faults.py
@@ -1,5 +1,5 @@
-"""Disk faults below a server and below a director: what was acknowledged survives, what others sent is not skipped, each
-fault is logged once, and everything is stored after it without a restart."""
+"""Disk faults of purge log servers and directors: acknowledged purges survive, received purges are not skipped, each fault
+is logged once, and everything is stored after the fault without a restart."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 from gladelane.purges.subscription_store import SubscriptionStore
 
 HOUR_MS = 3_600_000.0
-WAIT_S = 30.0  # many times what it takes
+WAIT_S = 30.0  # much longer than needed
 
 
-async def is_taking(port: int) -> bool:
+async def accepts_writes(port: int) -> bool:
     status = json.loads(await fetch("127.0.0.1", port, "GET", "/status", TOKEN))
     return bool(status["takes"])
 
 
-def names(log: PurgeLog) -> set[str]:
+def scopes_of(log: PurgeLog) -> set[str]:
     return {purge.scope for purge in log.active.purges_after({})}
 
 
@@ -43,26 +43,28 @@
 def test_a_server_rejects_while_its_disk_fails_and_accepts_after_it_without_a_restart(
     tmp_path: Path, kind: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         disk = SimDisk()
-        async with running_server(tmp_path, disk=disk) as one:
-            await send(one.port, "group:1")
+        async with running_server(tmp_path, disk=disk) as purge_server:
+            await send(purge_server.port, "group:1")
             disk.fault = FAULTS[kind]
             for group in (2, 3):
-                with pytest.raises(HttpStatusError, match="not stored") as refused:
-                    await send(one.port, f"group:{group}", f"key-{group}")
-                assert refused.value.status == 507
-            assert not await is_taking(one.port) and names(one) == {"group:1"}
+                with pytest.raises(HttpStatusError, match="not stored") as rejected:
+                    await send(purge_server.port, f"group:{group}", f"key-{group}")
+                assert rejected.value.status == 507
+            assert not await accepts_writes(purge_server.port) and scopes_of(purge_server) == {"group:1"}
             disk.fault = None
-            await until(lambda: one.store.can_store, WAIT_S)  # nobody asks for anything meanwhile
-            assert await is_taking(one.port)
-            assert (await send(one.port, "group:2", "key-2"))["seq"] == 2
-            for found in crashed(disk):
-                back = PurgeLog("a", found, tokens(tmp_path), clock=unix_ms)
-                assert names(back) == {"group:1", "group:2"}
-                assert not back.active.low_watermark.open_losses() and back.epoch > one.epoch
-
-    asyncio.run(scene())
+            await until(lambda: purge_server.store.can_store, WAIT_S)  # without any request in the meantime
+            assert await accepts_writes(purge_server.port)
+            assert (await send(purge_server.port, "group:2", "key-2"))["seq"] == 2
+            for remaining_disk in crashed(disk):
+                restarted = PurgeLog("a", remaining_disk, tokens(tmp_path), clock=unix_ms)
+                assert scopes_of(restarted) == {"group:1", "group:2"}
+                assert (
+                    not restarted.active.low_watermark.open_losses() and restarted.epoch > purge_server.epoch
+                )
+
+    asyncio.run(scenario())
     assert said_once(caplog, "feed: purges")
 
 
@@ -70,10 +72,10 @@
 def test_all_acknowledged_purges_survive_each_crash_point_with_a_fault_before_it(
     tmp_path: Path, kind: str
 ) -> None:
-    """The fault strikes at one operation and at the three after it; senders try again, each time with another purge."""
+    """The fault affects one operation and the three after it. A failed request is repeated with another purge."""
 
-    async def run_until_crash(disk: SimDisk, answered: dict[str, Purge]) -> None:
-        one = PurgeLog("a", disk, tokens(tmp_path), clock=lambda: 1e12, is_first_start=True)
+    async def run_until_crash(disk: SimDisk, acknowledged: dict[str, Purge]) -> None:
+        purge_server = PurgeLog("a", disk, tokens(tmp_path), clock=lambda: 1e12, is_first_start=True)
         for turn in range(3):
             for attempt in range(8):
                 entry = NewPurge(
@@ -81,10 +83,10 @@
                     f"k{turn}-{attempt}",
                     asyncio.get_running_loop().create_future(),
                 )
-                await one.committer.commit([entry])
+                await purge_server.committer.commit([entry])
                 if entry.accepted.exception() is None:
                     response = entry.accepted.result()
-                    answered[entry.key] = Purge(
+                    acknowledged[entry.key] = Purge(
                         response.issuer,
                         response.epoch,
                         response.seq,
@@ -93,72 +95,79 @@
                         entry.key,
                     )
                     break
-            assert entry.key in answered
-            assert one.store.can_store
-
-    undisturbed = SimDisk()
-    asyncio.run(run_until_crash(undisturbed, {}))
-    points = 0
-    for first in range(1, undisturbed.operations + 1):
-        fault_range = Fault(FAULTS[kind].error, FAULTS[kind].operations, first, first + 3)
-        tried = SimDisk(fault=fault_range)
-        asyncio.run(run_until_crash(tried, {}))
-        for at in range(first + 1, tried.operations + 1):
-            disk, answered = SimDisk(at, fault=fault_range), dict[str, Purge]()
+            assert entry.key in acknowledged
+            assert purge_server.store.can_store
+
+    faultless = SimDisk()
+    asyncio.run(run_until_crash(faultless, {}))
+    crash_points = 0
+    for first_fault in range(1, faultless.operations + 1):
+        fault_range = Fault(FAULTS[kind].error, FAULTS[kind].operations, first_fault, first_fault + 3)
+        faulty = SimDisk(fault=fault_range)
+        asyncio.run(run_until_crash(faulty, {}))
+        for crash_at in range(first_fault + 1, faulty.operations + 1):
+            disk, acknowledged = SimDisk(crash_at, fault=fault_range), dict[str, Purge]()
             with pytest.raises(Crash):
-                asyncio.run(run_until_crash(disk, answered))
-            for found in crashed(disk):
-                back = PurgeLog("a", found, tokens(tmp_path), clock=lambda: 1e12)
-                recovered = {purge.key: purge for purge in back.active.purges_after({})}
-                assert {key: recovered.get(key) for key in answered} == answered, (first, at)
-                assert back.epoch > max((p.epoch for p in recovered.values()), default=0)
-                points += 1
-    assert points > 300
+                asyncio.run(run_until_crash(disk, acknowledged))
+            for remaining_disk in crashed(disk):
+                restarted = PurgeLog("a", remaining_disk, tokens(tmp_path), clock=lambda: 1e12)
+                recovered = {purge.key: purge for purge in restarted.active.purges_after({})}
+                assert {key: recovered.get(key) for key in acknowledged} == acknowledged, (
+                    first_fault,
+                    crash_at,
+                )
+                assert restarted.epoch > max((p.epoch for p in recovered.values()), default=0)
+                crash_points += 1
+    assert crash_points > 300
 
 
 def test_purges_of_a_peer_during_a_disk_fault_are_neither_acknowledged_nor_skipped(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Marks come every second and say that all before them was told."""
+    """A peer sends its position every second. A server that could not store purges must not adopt that position, because
+    it would never receive those purges again."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         disk = SimDisk()
         async with (
             running_server(tmp_path, "a", copies=2) as a,
             running_server(tmp_path, "b", disk, copies=2) as b,
         ):
-            peer = b.follow("127.0.0.1", a.port)
-            a.follow("127.0.0.1", b.port)
+            peer = b.subscribe_to_peer("127.0.0.1", a.port)
+            a.subscribe_to_peer("127.0.0.1", b.port)
             await send(a.port, "group:1")
             disk.fault = FAULTS["everything fails"]
-            waiting = asyncio.ensure_future(send(a.port, "group:2"))
+            pending_request = asyncio.ensure_future(send(a.port, "group:2"))
             await until(lambda: len(a.active) == 2, WAIT_S)
-            heard_ms = peer.heard_ms
-            await until(lambda: peer.heard_ms > heard_ms + 1_500.0, WAIT_S)  # two marks later
-            assert names(b) == {"group:1"} and not b.active.positions.covers(a.active.positions.vector())
+            previous_ms = peer.position_received_ms
+            # wait for two more positions
+            await until(lambda: peer.position_received_ms > previous_ms + 1_500.0, WAIT_S)
+            assert scopes_of(b) == {"group:1"} and not b.active.positions.covers(a.active.positions.vector())
             disk.fault = None
-            await until(lambda: names(b) == {"group:1", "group:2"}, WAIT_S)
+            await until(lambda: scopes_of(b) == {"group:1", "group:2"}, WAIT_S)
             assert b.active.positions.covers(a.active.positions.vector())
             assert (await send(a.port, "group:3"))["seq"] == 3
-            for found in crashed(disk):
-                assert names(PurgeLog("b", found, tokens(tmp_path), clock=unix_ms)) == {
+            for remaining_disk in crashed(disk):
+                assert scopes_of(PurgeLog("b", remaining_disk, tokens(tmp_path), clock=unix_ms)) == {
                     "group:1",
                     "group:2",
                     "group:3",
                 }
-            waiting.cancel()
+            pending_request.cancel()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
     assert said_once(caplog, "feed: purges")
 
 
-def test_a_peer_whose_purges_cannot_be_stored_for_long_is_left_and_resumed(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_the_stream_from_a_peer_ends_while_its_purges_cannot_be_stored_and_resumes_later(
+    tmp_path: Path,
+) -> None:
+    async def scenario() -> None:
         disk = SimDisk()
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr("gladelane.purges.committer.MAX_WAITING", 5)
             async with running_server(tmp_path, "a") as a, running_server(tmp_path, "b", disk) as b:
-                peer = b.follow("127.0.0.1", a.port)
+                peer = b.subscribe_to_peer("127.0.0.1", a.port)
                 await until(lambda: peer.caught_up.is_set(), WAIT_S)
                 disk.fault = FAULTS["sync fails"]
                 for group in range(20):
@@ -168,136 +177,139 @@
                 await until(lambda: len(b.active) == 20, WAIT_S)
                 assert b.active.positions.covers(a.active.positions.vector())
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_start_that_cannot_be_stored_is_stored_once_the_disk_takes_it(
+def test_a_start_that_cannot_be_stored_is_stored_once_the_disk_accepts_writes(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         disk = SimDisk(fault=FAULTS["everything fails"])
-        async with running_server(tmp_path, disk=disk, is_first_start=False) as one:
-            assert one.store.has_unsaved_start() and not await is_taking(one.port)
+        async with running_server(tmp_path, disk=disk, is_first_start=False) as purge_server:
+            assert purge_server.store.has_unsaved_start() and not await accepts_writes(purge_server.port)
             disk.fault = None
-            await until(lambda: one.store.can_store, WAIT_S)
-            for found in crashed(disk):
-                back = PurgeLog("a", found, tokens(tmp_path), clock=unix_ms)
-                assert [loss.epoch for loss in back.active.low_watermark.open_losses()] == [one.epoch]
+            await until(lambda: purge_server.store.can_store, WAIT_S)
+            for remaining_disk in crashed(disk):
+                restarted = PurgeLog("a", remaining_disk, tokens(tmp_path), clock=unix_ms)
+                assert [loss.epoch for loss in restarted.active.low_watermark.open_losses()] == [
+                    purge_server.epoch
+                ]
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
     assert said_once(caplog, "feed: purges")
 
 
 def test_a_checkpoint_that_cannot_be_written_is_logged_once_and_written_later(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def scene() -> None:
-        mark = CheckpointFile(tmp_path / "a.mark")
-        async with running_server(tmp_path, checkpoint_file=mark) as one:
+    async def scenario() -> None:
+        checkpoint = CheckpointFile(tmp_path / "a.mark")
+        async with running_server(tmp_path, checkpoint_file=checkpoint) as purge_server:
             with pytest.MonkeyPatch.context() as patch:
 
-                def fails(path: Path, data: bytes) -> None:
+                def fail(path: Path, data: bytes) -> None:
                     raise OSError(errno.ENOSPC, "No space left on device")
 
-                patch.setattr(checkpoint_file, "replace_file", fails)
+                patch.setattr(checkpoint_file, "replace_file", fail)
                 for group in range(3):
-                    await send(one.port, f"group:{group}")
-            assert mark.read() == Checkpoint("a", one.epoch, 0)
-            await until(lambda: mark.read() == Checkpoint("a", one.epoch, 3), WAIT_S)
+                    await send(purge_server.port, f"group:{group}")
+            assert checkpoint.read() == Checkpoint("a", purge_server.epoch, 0)
+            await until(lambda: checkpoint.read() == Checkpoint("a", purge_server.epoch, 3), WAIT_S)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
     assert said_once(caplog, "feed: mark")
 
 
 def test_a_snapshot_that_cannot_be_stored_fails_no_purge_and_is_retried(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         disk = SimDisk()
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(log_compaction, "SNAPSHOT_AFTER", 5)
             patch.setattr(log_compaction, "SNAPSHOT_RETRY_AFTER", 2)
-            async with running_server(tmp_path, disk=disk) as one:
+            async with running_server(tmp_path, disk=disk) as purge_server:
                 for group in range(4):
-                    await send(one.port, f"group:{group}")
+                    await send(purge_server.port, f"group:{group}")
                 disk.fault = fault(errno.EIO, Operation.REPLACE)
                 for group in range(4, 8):
-                    await send(one.port, f"group:{group}")
+                    await send(purge_server.port, f"group:{group}")
                 disk.fault = None
                 for group in range(8, 11):
-                    await send(one.port, f"group:{group}")
+                    await send(purge_server.port, f"group:{group}")
                 await until(lambda: any(name.endswith(".snap") for name in disk.names()), WAIT_S)
-                for found in crashed(disk):
-                    assert len(PurgeLog("a", found, tokens(tmp_path), clock=unix_ms).active) == 11
+                for remaining_disk in crashed(disk):
+                    assert len(PurgeLog("a", remaining_disk, tokens(tmp_path), clock=unix_ms).active) == 11
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
     assert said_once(caplog, "feed: snapshot of purges")
 
 
-class Saves:
-    """Counts how often a director's background has tried to store what is pending."""
+class SaveCounter:
+    """Counts how often a director's background task has tried to store pending purges."""
 
     def __init__(self, store: SubscriptionStore) -> None:
-        self.ended = 0
+        self.finished = 0
         self._save = store.save
         store.save = self._counted  # type: ignore[method-assign]
 
     async def _counted(self) -> None:
         await self._save()
-        self.ended += 1
+        self.finished += 1
 
-    async def next(self) -> None:
-        """Until one that began after this call has ended: the first to end may have begun before."""
-        ended = self.ended
-        await until(lambda: self.ended >= ended + 2, WAIT_S)
+    async def wait_for_next(self) -> None:
+        """Waits for a save that started after this call; the next one to end may have started before it."""
+        previous_count = self.finished
+        await until(lambda: self.finished >= previous_count + 2, WAIT_S)
 
 
 @pytest.mark.parametrize("kind", FAULTS)
-def test_a_director_stores_what_it_received_during_a_disk_fault_after_it(
+def test_a_director_stores_purges_received_during_a_disk_fault_once_it_is_over(
     tmp_path: Path, kind: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         disk = SimDisk()
-        async with running_server(tmp_path, clock=lambda: unix_ms() - HOUR_MS) as one:
-            subscription = PurgeSubscription(options(tmp_path, one.port), Index(), unix_ms, disk)
-            saves = Saves(subscription.store)
+        async with running_server(tmp_path, clock=lambda: unix_ms() - HOUR_MS) as purge_server:
+            subscription = PurgeSubscription(options(tmp_path, purge_server.port), Index(), unix_ms, disk)
+            saves = SaveCounter(subscription.store)
             subscription.start()
             await subscription.ready()
-            await send(one.port, "group:1")
+            await send(purge_server.port, "group:1")
             await until(lambda: len(subscription.active) == 1, WAIT_S)
-            await saves.next()
+            await saves.wait_for_next()
             assert subscription.store.pending.is_empty()
             disk.fault = FAULTS[kind]
             for group in (2, 3):
-                await send(one.port, f"group:{group}")
+                await send(purge_server.port, f"group:{group}")
                 await until(lambda group=group: len(subscription.active) == group, WAIT_S)  # type: ignore[misc]
-                await saves.next()
-                assert len(subscription.store.pending.purges) == group - 1  # tried, and in vain
-            assert (
-                subscription.active.index.newest_by_age("film", 2, 1, 0, unix_ms()) > 0.0
-            )  # binds meanwhile
+                await saves.wait_for_next()
+                assert len(subscription.store.pending.purges) == group - 1  # the saves have failed
+            # a purge applies although it is not stored
+            assert subscription.active.index.newest_purge_by_age_ms("film", 2, 1, 0, unix_ms()) > 0.0
             disk.fault = None
-            await saves.next()
+            await saves.wait_for_next()
             assert subscription.store.pending.is_empty()
-            for found in crashed(disk):
-                restored = PurgeSubscription(options(tmp_path, one.port), Index(), unix_ms, found)
+            for remaining_disk in crashed(disk):
+                restored = PurgeSubscription(
+                    options(tmp_path, purge_server.port), Index(), unix_ms, remaining_disk
+                )
                 assert sorted(p.scope for p in restored.active.purges_after({})) == [
                     "group:1",
                     "group:2",
                     "group:3",
                 ]
-                bound_ms = restored.active.index.newest_by_age("film", 3, 1, 0, unix_ms())
-                assert bound_ms > unix_ms() - 60_000.0
+                newest_purge_ms = restored.active.index.newest_purge_by_age_ms("film", 3, 1, 0, unix_ms())
+                assert newest_purge_ms > unix_ms() - 60_000.0
             await subscription.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
     assert said_once(caplog, "director: purges")
 
 
 def test_a_director_with_a_failed_disk_closes_and_a_long_backlog_is_stored_in_parts(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         tokens(tmp_path)
         disk = SimDisk()
         subscription = PurgeSubscription(options(tmp_path, 1), Index(), unix_ms, disk)
@@ -309,14 +321,14 @@
         disk.fault = Fault(errno.EIO, EVERY_OPERATION)
         await subscription.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
     assert "director: purges not stored" in caplog.text
 
 
 def test_a_directors_snapshot_that_cannot_be_stored_is_retried(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         tokens(tmp_path)
         disk = SimDisk()
         subscription = PurgeSubscription(options(tmp_path, 1), Index(), unix_ms, disk)
@@ -325,11 +337,11 @@
             subscription.receive([Purge("a", 1, seq, unix_ms(), f"group:{seq}")])
             await subscription.store.save()
         assert any(name.endswith(".snap") for name in disk.names())
-        for found in crashed(disk):
-            assert len(PurgeSubscription(options(tmp_path, 1), Index(), unix_ms, found).active) == 11
+        for remaining_disk in crashed(disk):
+            assert len(PurgeSubscription(options(tmp_path, 1), Index(), unix_ms, remaining_disk).active) == 11
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(log_compaction, "SNAPSHOT_AFTER", 5)
         patch.setattr(log_compaction, "SNAPSHOT_RETRY_AFTER", 2)
-        asyncio.run(scene())
+        asyncio.run(scenario())
     assert said_once(caplog, "director: snapshot of purges")
--- a/tests/purges/test_hard_cases.py
+++ b/tests/purges/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""The hard cases of purges on sockets: joined fills, lost orders, servers that crash at every write, TLS."""
+"""Purges on sockets: joined fills, lost orders, crashes at every write, and TLS."""
 
 from __future__ import annotations
 
@@ -39,43 +39,43 @@
 
 
 @trial
-async def test_a_fill_under_way_when_a_purge_comes_and_who_joins_it_give_no_client_the_old_copy() -> None:
+async def test_no_later_request_gets_the_old_copy_of_a_fill_that_was_in_progress_during_a_purge() -> None:
+    """A fill reads the old copy before a purge. A cache may let a request after the purge join that fill, so the director
+    has to reject the old copy."""
     origin = FakeCacheStore()
     hub = FakeCacheStore({"r0": origin}, 0.01)
     cache = FakeCacheStore({"p0": hub, "r0": origin}, 0.3)
-    cache.eager = (
-        True  # the director asks for no joining once it knows of the purge: caches may join all the same
-    )
+    # once the director knows of the purge, it asks caches not to join fills; this cache does it all the same
+    cache.eager = True
     object_id = "7f3a9c21e0b4d655"
-    shelves = {"c0": cache, "p0": hub, "r0": origin}
-    standins = {name: FakeServer(name, shelf.answer) for name, shelf in shelves.items()}
-    addresses = {name: await standin.listen(Family.V4) for name, standin in standins.items()}
+    stores = {"c0": cache, "p0": hub, "r0": origin}
+    fake_servers = {name: FakeServer(name, store.answer) for name, store in stores.items()}
+    addresses = {name: await fake_server.listen(Family.V4) for name, fake_server in fake_servers.items()}
     async with running(config(addresses)) as (node, client):
         hub.copies[object_id, 3] = now_ms() - 5000.0  # the old copy
         events = told(node.director)
-        other = await Client.to(node.port)
+        other_client = await Client.to(node.port)
         client.ask(1, d="3000")
-        await until(lambda: cache.filling)  # the fill has taken the old copy, and is on its way
-        purged = now_ms()
-        node.director.apply_watch_event(WatchEvent(2, flush=notice_flush(asset=object_id, ms=purged)))
+        await until(lambda: cache.filling)  # the fill has read the old copy, and is in progress
+        purged_ms = now_ms()
+        node.director.apply_watch_event(WatchEvent(2, flush=notice_flush(asset=object_id, ms=purged_ms)))
         await asyncio.sleep(0.05)
-        other.ask(2, d="3000")  # joins that fill
-        answers = [await client.next(), await other.next()]
-        assert (
-            answers[0][2] == 0 and float(answers[0][4][1:]) < purged
-        )  # it was sent before the purge was told
+        other_client.ask(2, d="3000")  # joins that fill
+        answers = [await client.next(), await other_client.next()]
+        # the first request was sent before the director knew of the purge
+        assert answers[0][2] == 0 and float(answers[0][4][1:]) < purged_ms
         assert cache.joins >= 1 and Status.ERROR in {o[2] for o in outcomes(events)}
-        assert answers[1][2] != 0 or float(answers[1][4][1:]) >= purged - 5.0
-        other.ask(3, d="3000")
-        final = await other.next()
-        assert final[2] == 0 and float(final[4][1:]) >= purged - 5.0
-        other.writer.close()
-    for standin in standins.values():
-        await standin.close()
+        assert answers[1][2] != 0 or float(answers[1][4][1:]) >= purged_ms - 5.0
+        other_client.ask(3, d="3000")
+        final = await other_client.next()
+        assert final[2] == 0 and float(final[4][1:]) >= purged_ms - 5.0
+        other_client.writer.close()
+    for fake_server in fake_servers.values():
+        await fake_server.close()
 
 
-class Plain:
-    """A budget that counts, on the loop's own clock."""
+class CountingBudget:
+    """A budget of sockets that only counts them, on the clock of the event loop."""
 
     def __init__(self) -> None:
         self.held = 0
@@ -94,115 +94,125 @@
 
 
 @trial
-async def test_lost_orders_are_retried_and_a_restarted_cache_gets_all_before_it_counts() -> None:
-    standin, dropped = FakeServer("c0"), []
-    standin.drop = dropped.append
-    address = await standin.listen(Family.V4)
-    endpoints, budget = Endpoints(random.Random(1)), Plain()
+async def test_lost_orders_are_retried_and_a_restarted_cache_receives_all_orders_again() -> None:
+    """A restarted cache server may have old copies again, so it must not count as purged by its earlier process's
+    acknowledgements."""
+    fake_server, dropped = FakeServer("c0"), []
+    fake_server.drop = dropped.append
+    address = await fake_server.listen(Family.V4)
+    endpoints, budget = Endpoints(random.Random(1)), CountingBudget()
     endpoints.update([Listing("c0", address)])
     orders = Orders(1000.0, 4, budget.clock())
-    orders.servers({"c0": 1.0})
+    orders.set_servers({"c0": 1.0})
     orders.add([Purge("a", 1, n, 1000.0 + n, f"group:{n}") for n in range(1, 4)])
     task = asyncio.ensure_future(OrderSender(orders, endpoints, budget, 200.0).run())
-    await until(lambda: orders.purged("c0"))
+    await until(lambda: orders.is_purged("c0"))
     assert dropped == ["1001.000 group:1", "1002.000 group:2", "1003.000 group:3"]
-    await standin.set(address, Fault.REFUSED)
+    await fake_server.set(address, Fault.REFUSED)
     orders.add([Purge("a", 1, 4, 1004.0, "all")])
     await asyncio.sleep(0.3)
-    assert not orders.purged("c0") and len(dropped) == 3
-    await standin.set(address, Fault.NONE)
-    await until(lambda: orders.purged("c0"))
+    assert not orders.is_purged("c0") and len(dropped) == 3
+    await fake_server.set(address, Fault.NONE)
+    await until(lambda: orders.is_purged("c0"))
     assert dropped[3:] == ["1004.000 all"]
-    orders.servers({"c0": 2.0})  # the board tells of a new start
-    assert not orders.purged("c0")
-    await until(lambda: orders.purged("c0"))
+    orders.set_servers({"c0": 2.0})  # the endpoint list shows that the server was restarted
+    assert not orders.is_purged("c0")
+    await until(lambda: orders.is_purged("c0"))
     assert len(dropped) == 8 and budget.held == 0
     task.cancel()
-    await standin.close()
+    await fake_server.close()
 
 
-def test_a_server_crash_at_any_write_keeps_acknowledged_purges_and_repeats_no_number(
+def test_a_server_crash_at_any_write_loses_no_acknowledged_purge_and_reuses_no_number(
     tmp_path: Path,
 ) -> None:
-    """Every operation on its disk in turn, each with every fate of what was not synced."""
+    """The server crashes at each operation on its disk in turn, with each possible result for data that was not synced."""
 
-    async def run_until_crash(disk: SimDisk, answered: dict[str, Purge]) -> None:
+    async def run_until_crash(disk: SimDisk, acknowledged: dict[str, Purge]) -> None:
         server = PurgeLog("a", disk, tokens(tmp_path), clock=lambda: 1e12, is_first_start=True)
         for turn in range(6):
-            waiting = [
+            entries = [
                 NewPurge(f"group:{turn}", f"k{turn}-{n}", asyncio.get_running_loop().create_future())
                 for n in range(2)
             ]
-            await server.committer.commit(waiting)
-            for one in waiting:
-                told = one.accepted.result()
-                answered[one.key] = Purge(told.issuer, told.epoch, told.seq, told.at_ms, told.scope, one.key)
+            await server.committer.commit(entries)
+            for entry in entries:
+                response = entry.accepted.result()
+                acknowledged[entry.key] = Purge(
+                    response.issuer, response.epoch, response.seq, response.at_ms, response.scope, entry.key
+                )
             if turn == 3:
                 await asyncio.to_thread(server.store.log.snapshot, server.active.snapshot())
 
-    undisturbed = SimDisk()
-    asyncio.run(run_until_crash(undisturbed, {}))
-    points = 0
-    for at in range(1, undisturbed.operations + 1):
+    faultless = SimDisk()
+    asyncio.run(run_until_crash(faultless, {}))
+    crash_points = 0
+    for crash_at in range(1, faultless.operations + 1):
         for lost in Lost:
             for keeps_names in (True, False):
-                disk, answered = SimDisk(at), dict[str, Purge]()
+                disk, acknowledged = SimDisk(crash_at), dict[str, Purge]()
                 with pytest.raises(Crash):
-                    asyncio.run(run_until_crash(disk, answered))
-                back = PurgeLog(
+                    asyncio.run(run_until_crash(disk, acknowledged))
+                restarted = PurgeLog(
                     "a", disk.after_crash(lost, keeps_names), tokens(tmp_path), clock=lambda: 1e12
                 )
-                recovered = {purge.key: purge for purge in back.active.purges_after({})}
-                assert {key: recovered.get(key) for key in answered} == answered, (at, lost, keeps_names)
-                assert back.epoch > max((p.epoch for p in recovered.values()), default=0)
-                assert not back.active.positions.gaps()
-                points += 1
-    assert points > 150
+                recovered = {purge.key: purge for purge in restarted.active.purges_after({})}
+                assert {key: recovered.get(key) for key in acknowledged} == acknowledged, (
+                    crash_at,
+                    lost,
+                    keeps_names,
+                )
+                assert restarted.epoch > max((p.epoch for p in recovered.values()), default=0)
+                assert not restarted.active.positions.gaps()
+                crash_points += 1
+    assert crash_points > 150
 
 
-def certificate(folder: Path) -> tuple[Path, Path]:
-    """One for 127.0.0.1 that signs itself."""
+def write_certificate(folder: Path) -> tuple[Path, Path]:
+    """Writes a self-signed certificate for 127.0.0.1 and its key, and returns their paths."""
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "feed")])
     now = datetime.datetime.now(datetime.UTC)
-    made = (
+    signed = (
         x509.CertificateBuilder().subject_name(name).issuer_name(name).public_key(key.public_key())
         .serial_number(1).not_valid_before(now - datetime.timedelta(days=1)).not_valid_after(now + datetime.timedelta(days=1))
         .add_extension(x509.SubjectAlternativeName([x509.IPAddress(ipaddress.ip_address("127.0.0.1"))]), False)
         .add_extension(x509.BasicConstraints(True, None), True).sign(key, hashes.SHA256())
     )  # fmt: skip
-    cert, private = folder / "cert.pem", folder / "key.pem"
-    cert.write_bytes(made.public_bytes(serialization.Encoding.PEM))
-    private.write_bytes(
+    cert_file, key_file = folder / "cert.pem", folder / "key.pem"
+    cert_file.write_bytes(signed.public_bytes(serialization.Encoding.PEM))
+    key_file.write_bytes(
         key.private_bytes(
             serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
         )
     )
-    return cert, private
+    return cert_file, key_file
 
 
-def test_a_server_speaks_tls_and_a_client_that_does_not_trust_it_sends_no_token(tmp_path: Path) -> None:
-    async def scene() -> None:
-        cert, key = certificate(tmp_path)
-        serving = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
-        serving.load_cert_chain(cert, key)
+def test_a_server_uses_tls_and_a_client_that_does_not_trust_it_sends_no_token(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        cert_file, key_file = write_certificate(tmp_path)
+        server_context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
+        server_context.load_cert_chain(cert_file, key_file)
         server = ServedLog("a", SimDisk(), tokens(tmp_path), clock=unix_ms)
-        await server.serve(serving)
-        trusting = ssl.create_default_context(cafile=str(cert))
-        assert b'"name":"a"' in await fetch("127.0.0.1", server.port, "GET", "/status", TOKEN, tls=trusting)
+        await server.serve(server_context)
+        client_context = ssl.create_default_context(cafile=str(cert_file))
+        assert b'"name":"a"' in await fetch(
+            "127.0.0.1", server.port, "GET", "/status", TOKEN, tls=client_context
+        )
         with pytest.raises(ssl.SSLError):
             await fetch("127.0.0.1", server.port, "GET", "/status", TOKEN, tls=ssl.create_default_context())
         with pytest.raises(OSError):
             await fetch("127.0.0.1", server.port, "GET", "/status", TOKEN)
         await server.end()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_director_that_dies_at_any_write_knows_of_no_purge_less_than_its_position_says(
+def test_a_director_crash_at_any_write_keeps_all_purges_up_to_its_position(
     tmp_path: Path,
 ) -> None:
-    """A position past a purge that was not stored would never ask for it again."""
+    """If a director stored a position but not all purges up to it, it would never request those purges again."""
     options = Options(
         (("127.0.0.1", 1),), str(tmp_path / "tokens"), "", 1e9, 0.0, 3000.0, frozenset(), 1.0, 1.0
     )
@@ -219,19 +229,24 @@
                 assert subscription.store.log is not None
                 await asyncio.to_thread(subscription.store.log.snapshot, subscription.active.snapshot())
 
-    undisturbed = SimDisk()
-    asyncio.run(run_until_crash(undisturbed, []))
-    points = 0
-    for at in range(1, undisturbed.operations + 1):
+    faultless = SimDisk()
+    asyncio.run(run_until_crash(faultless, []))
+    crash_points = 0
+    for crash_at in range(1, faultless.operations + 1):
         for lost in Lost:
             for keeps_names in (True, False):
-                disk, stored = SimDisk(at), list[int]()
+                disk, stored = SimDisk(crash_at), list[int]()
                 with pytest.raises(Crash):
                     asyncio.run(run_until_crash(disk, stored))
-                back = PurgeSubscription(options, Index(), lambda: 1e12, disk.after_crash(lost, keeps_names))
-                upto = back.active.positions.vector().get(("a", 1), 0)
-                assert upto >= max(stored, default=0), (at, lost, keeps_names)
-                assert {p.seq for p in back.active.purges_after({})} == set(range(1, upto + 1))
-                assert all(back.active.index.newest("film", n, 5, 0, 1e12) for n in range(1, upto + 1))
-                points += 1
-    assert points > 150
+                restarted = PurgeSubscription(
+                    options, Index(), lambda: 1e12, disk.after_crash(lost, keeps_names)
+                )
+                last_seq = restarted.active.positions.vector().get(("a", 1), 0)
+                assert last_seq >= max(stored, default=0), (crash_at, lost, keeps_names)
+                assert {p.seq for p in restarted.active.purges_after({})} == set(range(1, last_seq + 1))
+                assert all(
+                    restarted.active.index.newest_purge_ms("film", n, 5, 0, 1e12)
+                    for n in range(1, last_seq + 1)
+                )
+                crash_points += 1
+    assert crash_points > 150
--- a/tests/purges/test_order.py
+++ b/tests/purges/test_order.py
@@ -1,4 +1,4 @@
-"""Order and state of purges: permutations, gaps, epochs, clocks, snapshots."""
+"""The state of active purges: any order of arrival, gaps, epochs, clocks and snapshots."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     format_vector,
     parse_vector,
 )
-from gladelane.purges.active_purges import AHEAD_MS, CLOCK_MARGIN_MS, SKEW_MS, ActivePurges
+from gladelane.purges.active_purges import CLOCK_MARGIN_MS, MAX_AHEAD_MS, SKEW_MS, ActivePurges
 from gladelane.purges.purge import InvalidPurgeError, IssuerSequence, Purge
 from gladelane.purges.scope import InvalidScopeError
 from gladelane.purges.vectors import merge_vectors
@@ -26,98 +26,107 @@
 REQUESTS = [("film", 3, 0xAA, 0), ("page", 4, 0x7F << 56, 9), ("film", 1, 5, 2), ("page", 3, 0xFA, 0)]
 
 
-def issued(seed: int, count: int = 12) -> list[Purge]:
+def issue_purges(seed: int, count: int = 12) -> list[Purge]:
     rng = random.Random(seed)
-    stamps = [IssuerSequence(name, (), 0.0, NOW) for name in "ab"]
-    return [rng.choice(stamps).next(rng.choice(SCOPES), NOW + rng.randrange(-500, 500)) for _ in range(count)]
+    sequences = [IssuerSequence(name, (), 0.0, NOW) for name in "ab"]
+    return [
+        rng.choice(sequences).next(rng.choice(SCOPES), NOW + rng.randrange(-500, 500)) for _ in range(count)
+    ]
 
 
-def answers(active: ActivePurges, now: float = NOW) -> list[float]:
-    return [active.index.newest(*request, now) for request in REQUESTS]
+def newest_times(active: ActivePurges, now: float = NOW) -> list[float]:
+    return [active.index.newest_purge_ms(*request, now) for request in REQUESTS]
 
 
 @given(st.integers(0, 1000), st.randoms(use_true_random=False))
 def test_bounds_and_positions_do_not_depend_on_the_order_or_on_repeats(seed: int, rng: random.Random) -> None:
-    purges = issued(seed)
-    straight, mixed = ActivePurges(), ActivePurges()
+    purges = issue_purges(seed)
+    in_order, out_of_order = ActivePurges(), ActivePurges()
     for purge in purges:
-        assert straight.apply(purge, NOW)
+        assert in_order.apply(purge, NOW)
     shuffled = purges + rng.sample(purges, 4)
     rng.shuffle(shuffled)
-    assert sum(mixed.apply(purge, NOW) for purge in shuffled) == len(purges)
-    assert answers(straight) == answers(mixed)
-    assert straight.positions.vector() == mixed.positions.vector() and not mixed.positions.gaps()
+    assert sum(out_of_order.apply(purge, NOW) for purge in shuffled) == len(purges)
+    assert newest_times(in_order) == newest_times(out_of_order)
+    assert (
+        in_order.positions.vector() == out_of_order.positions.vector() and not out_of_order.positions.gaps()
+    )
     restored = ActivePurges()
-    restored.restore(mixed.snapshot(), NOW)
+    restored.restore(out_of_order.snapshot(), NOW)
     assert (
-        answers(restored) == answers(straight) and restored.positions.vector() == straight.positions.vector()
+        newest_times(restored) == newest_times(in_order)
+        and restored.positions.vector() == in_order.positions.vector()
     )
     assert not any(restored.apply(purge, NOW) for purge in purges)
 
 
 @given(st.integers(0, 1000), st.sets(st.integers(0, 11), max_size=6))
-def test_gaps_are_named_exactly_survive_a_snapshot_and_close(seed: int, lacking: set[int]) -> None:
-    purges = issued(seed)
+def test_gaps_are_exact_survive_a_snapshot_and_close(seed: int, missing: set[int]) -> None:
+    purges = issue_purges(seed)
     active = ActivePurges()
-    for place, purge in enumerate(purges):
-        if place not in lacking:
+    for index, purge in enumerate(purges):
+        if index not in missing:
             active.apply(purge, NOW)
-    full: dict[Any, int] = {}
+    complete: dict[Any, int] = {}
     for purge in purges:
-        full[purge.issuer, purge.epoch] = purge.seq
-    active.positions.announce(full)
+        complete[purge.issuer, purge.epoch] = purge.seq
+    active.positions.announce(complete)
     restored = ActivePurges()
     restored.restore(active.snapshot(), NOW)
-    restored.positions.announce(full)
-    for one in (active, restored):
-        named = {(g.issuer, g.epoch, seq) for g in one.positions.gaps() for seq in range(g.first, g.last + 1)}
-        assert named == {(purges[n].issuer, purges[n].epoch, purges[n].seq) for n in lacking}
-        assert one.positions.covers(full) is not bool(lacking)
-        for place in lacking:
-            assert one.apply(purges[place], NOW)
-        assert not one.positions.gaps() and one.positions.covers(full)
-
-
-def test_an_issuer_with_an_older_disk_repeats_no_number_and_its_lost_purges_stay_active() -> None:
+    restored.positions.announce(complete)
+    for state in (active, restored):
+        found = {
+            (g.issuer, g.epoch, seq) for g in state.positions.gaps() for seq in range(g.first, g.last + 1)
+        }
+        assert found == {(purges[n].issuer, purges[n].epoch, purges[n].seq) for n in missing}
+        assert state.positions.covers(complete) is not bool(missing)
+        for index in missing:
+            assert state.apply(purges[index], NOW)
+        assert not state.positions.gaps() and state.positions.covers(complete)
+
+
+def test_an_issuer_with_an_older_disk_reuses_no_number_and_its_lost_purges_stay_active() -> None:
     first = IssuerSequence("a", (), 0.0, NOW)
     subscriber = ActivePurges()
     for _ in range(5):
         subscriber.apply(first.next("objects:7f*", NOW), NOW)
-    back = IssuerSequence("a", [("a", first.epoch)], NOW, NOW - 60_000.0)  # its clock stepped back too
-    late = back.next("group:3", NOW - 60_000.0)
-    assert back.epoch > first.epoch and late.at_ms >= NOW
-    assert subscriber.apply(late, NOW) and subscriber.positions.vector() == {
+    restarted = IssuerSequence("a", [("a", first.epoch)], NOW, NOW - 60_000.0)  # its clock was also set back
+    late_purge = restarted.next("group:3", NOW - 60_000.0)
+    assert restarted.epoch > first.epoch and late_purge.at_ms >= NOW
+    assert subscriber.apply(late_purge, NOW) and subscriber.positions.vector() == {
         ("a", first.epoch): 5,
-        ("a", back.epoch): 1,
+        ("a", restarted.epoch): 1,
     }
-    assert subscriber.index.newest("page", 4, 0x7F << 56, 0, NOW) == NOW + SKEW_MS
-    other = ActivePurges()
-    other.apply(late, NOW)
-    other.positions.announce(subscriber.positions.vector())
-    assert other.positions.gaps() == [Gap("a", first.epoch, 1, 5)]
+    assert subscriber.index.newest_purge_ms("page", 4, 0x7F << 56, 0, NOW) == NOW + SKEW_MS
+    late_subscriber = ActivePurges()
+    late_subscriber.apply(late_purge, NOW)
+    late_subscriber.positions.announce(subscriber.positions.vector())
+    assert late_subscriber.positions.gaps() == [Gap("a", first.epoch, 1, 5)]
 
 
-def test_a_clock_far_ahead_binds_no_further_than_it_may_and_what_is_past_its_retention_does_not() -> None:
+def test_times_far_ahead_are_limited_and_expired_purges_do_not_apply() -> None:
     active = ActivePurges(retention_ms=10_000.0)
     active.apply(Purge("a", 1, 1, NOW + 9e9, "group:3"), NOW)
-    assert active.index.newest("film", 3, 1, 0, NOW) == NOW + AHEAD_MS + SKEW_MS
-    past = NOW - 10_000.0 - CLOCK_MARGIN_MS
-    active.apply(Purge("a", 1, 2, past - 1.0, "group:4"), NOW)
-    assert active.index.newest("film", 4, 1, 0, NOW) == 0.0 and active.positions.vector() == {("a", 1): 2}
+    assert active.index.newest_purge_ms("film", 3, 1, 0, NOW) == NOW + MAX_AHEAD_MS + SKEW_MS
+    expired_ms = NOW - 10_000.0 - CLOCK_MARGIN_MS
+    active.apply(Purge("a", 1, 2, expired_ms - 1.0, "group:4"), NOW)
+    assert active.index.newest_purge_ms("film", 4, 1, 0, NOW) == 0.0 and active.positions.vector() == {
+        ("a", 1): 2
+    }
     assert active.expire(NOW) == 1 and len(active) == 1
     assert active.max_copy_age_ms() == 10_000.0
 
 
-def test_a_snapshot_leaves_out_what_a_wider_newer_purge_covers() -> None:
+def test_a_snapshot_omits_purges_that_a_wider_and_newer_one_covers() -> None:
     active = ActivePurges()
-    stamps = IssuerSequence("a", (), 0.0, NOW)
+    sequence = IssuerSequence("a", (), 0.0, NOW)
     for n in range(50):
-        active.apply(stamps.next(f"object:7f{n:014x}", NOW + n), NOW)
-    active.apply(stamps.next("group:9 & parts:3", NOW + 60), NOW)
-    active.apply(stamps.next("objects:7f*", NOW + 100), NOW)
+        active.apply(sequence.next(f"object:7f{n:014x}", NOW + n), NOW)
+    active.apply(sequence.next("group:9 & parts:3", NOW + 60), NOW)
+    active.apply(sequence.next("objects:7f*", NOW + 100), NOW)
     restored = ActivePurges()
     restored.restore(active.snapshot(), NOW)
-    assert len(restored) == 2 and answers(restored) == answers(active)
+    assert len(restored) == 2 and newest_times(restored) == newest_times(active)
     assert restored.positions.vector() == active.positions.vector()
 
 
@@ -126,26 +135,26 @@
     Purge("a", 1, 1, float("nan"), "all"), Purge("a", 1, 1, -1.0, "all"), Purge("a", 2**60, 1, NOW, "all"),
     Purge("a", 1, 1, NOW, "rubbish"), Purge("a", 1, 1, NOW, "objects:*"), Purge("a", 1, 1, NOW, "all", "k" * 200),
 ])  # fmt: skip
-def test_what_cannot_be_is_refused_and_changes_nothing(purge: Purge) -> None:
+def test_an_invalid_purge_is_rejected_and_changes_nothing(purge: Purge) -> None:
     active = ActivePurges()
     with pytest.raises((InvalidPurgeError, InvalidScopeError)):
         active.apply(purge, NOW)
-    assert not len(active) and not active.positions.vector() and answers(active) == [0.0] * 4
+    assert not len(active) and not active.positions.vector() and newest_times(active) == [0.0] * 4
 
 
-def test_patterns_too_many_to_look_up_bind_wider_and_never_narrower() -> None:
+def test_purges_with_too_many_patterns_apply_to_a_wider_scope() -> None:
     active = ActivePurges()
-    stamps = IssuerSequence("a", (), 0.0, NOW)
+    sequence = IssuerSequence("a", (), 0.0, NOW)
     for n in range(80):
-        places = f"{n:08b}".replace("0", "?").replace("1", "a")
-        active.apply(stamps.next(f"objects:{places}{'?' * 7}1 & class:film", NOW + n), NOW)
-    assert active.widened == 16 and len(active) == 80
-    assert active.index.newest("film", 0, 0xAAAAAAAAAAAAAAA1, 0, NOW) == NOW + 79 + SKEW_MS
-    assert active.index.newest("page", 0, 0xAAAAAAAAAAAAAAA1, 0, NOW) == 0.0
+        digits = f"{n:08b}".replace("0", "?").replace("1", "a")
+        active.apply(sequence.next(f"objects:{digits}{'?' * 7}1 & class:film", NOW + n), NOW)
+    assert active.widened_count == 16 and len(active) == 80
+    assert active.index.newest_purge_ms("film", 0, 0xAAAAAAAAAAAAAAA1, 0, NOW) == NOW + 79 + SKEW_MS
+    assert active.index.newest_purge_ms("page", 0, 0xAAAAAAAAAAAAAAA1, 0, NOW) == 0.0
 
 
 @given(st.text(max_size=40))
-def test_a_vector_reads_back_or_is_an_error(text: str) -> None:
+def test_any_text_is_a_vector_that_round_trips_or_an_error(text: str) -> None:
     vector = {("a", 5): 3, ("b.c", 7): 1}
     assert parse_vector(format_vector(vector)) == vector and parse_vector("") == {}
     try:
--- a/tests/purges/test_purge_log.py
+++ b/tests/purges/test_purge_log.py
@@ -1,4 +1,4 @@
-"""Purge log servers on loopback: durable responses, resumption, peers, backlogs, and malicious clients."""
+"""Purge log servers on loopback: durable responses, resumption, peers, backlogs, and invalid requests."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from gladelane.lab.simdisk import SimDisk
 from gladelane.purges import purge_stream, subscriber
 from gladelane.purges.active_purges import ActivePurges
-from gladelane.purges.batch import OWN
+from gladelane.purges.batch import SERVER_RECORD_PREFIX
 from gladelane.purges.control_part import PurgePart
 from gladelane.purges.purge import IssuerSequence, Purge
 from gladelane.purges.purge_log import PurgeLog
@@ -39,9 +39,9 @@
 
 TOKEN = "a-token-of-the-operators"
 ROOT = Path(__file__).parents[2]
-WAIT_S = 30.0  # many times what it takes
+WAIT_S = 30.0  # much longer than needed
 NEVER_S = 3600.0
-AT_ONCE_S = 1.0
+MAX_DELAY_S = 1.0
 
 
 def unix_ms() -> float:
@@ -56,7 +56,7 @@
 
 
 class ServedLog(PurgeLog):
-    """A purge log that is the one part of a control server."""
+    """A purge log that is the only part of a control server."""
 
     port = 0
 
@@ -71,15 +71,15 @@
 
 @asynccontextmanager
 async def running_server(
-    tmp: Path, name: str = "a", disk: Any = None, **more: Any
+    tmp: Path, name: str = "a", disk: Any = None, **overrides: Any
 ) -> AsyncIterator[ServedLog]:
-    settings = {"is_first_start": True, "clock": unix_ms, **more}
-    one = ServedLog(name, SimDisk() if disk is None else disk, tokens(tmp), **settings)
-    await one.serve()
+    settings = {"is_first_start": True, "clock": unix_ms, **overrides}
+    purge_server = ServedLog(name, SimDisk() if disk is None else disk, tokens(tmp), **settings)
+    await purge_server.serve()
     try:
-        yield one
+        yield purge_server
     finally:
-        await one.end()
+        await purge_server.end()
 
 
 async def send(port: int, scope: str, key: str = "", token: str = TOKEN, **tags: str) -> dict[str, Any]:
@@ -117,68 +117,74 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
-def run(scene: Any) -> None:
-    asyncio.run(scene)
+def run(scenario: Any) -> None:
+    asyncio.run(scenario)
 
 
-def test_a_purge_is_sent_at_once(tmp_path: Path) -> None:
-    """It wakes the stream: without that, it would wait for the next heartbeat, of which there are none here. One of
-    several is on time also on a machine that is busy; a delay would strike each of them."""
+def test_a_purge_is_sent_without_waiting_for_a_heartbeat(tmp_path: Path) -> None:
+    """A purge must wake the streams. Otherwise it would wait for the next heartbeat, which never comes in this test. On a
+    busy machine some purges may be late, but a missing wake-up would delay all of them."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(purge_stream, "HEARTBEAT_S", NEVER_S)
             patch.setattr(subscriber, "HEARTBEAT_TIMEOUT_S", NEVER_S)
-            async with running_server(tmp_path) as one:
-                watcher = RecordingSubscriber(one.port)
-                await until(lambda: watcher.subscribers[0].caught_up.is_set(), WAIT_S)
+            async with running_server(tmp_path) as purge_server:
+                recorder = RecordingSubscriber(purge_server.port)
+                await until(lambda: recorder.subscribers[0].caught_up.is_set(), WAIT_S)
                 delays_s: list[float] = []
                 for group in range(1, 6):
-                    await send(one.port, f"group:{group}")
-                    began = time.monotonic()
-                    await until(lambda group=group: len(watcher.active) == group, WAIT_S)  # type: ignore[misc]
-                    delays_s.append(time.monotonic() - began)
-                await watcher.close()
-        assert min(delays_s) < AT_ONCE_S, delays_s
-
-    run(scene())
-
-
-def test_repeats_with_a_purges_key_return_the_first_response(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with running_server(tmp_path) as one:
-            watcher = RecordingSubscriber(one.port)
-            await until(lambda: watcher.subscribers[0].caught_up.is_set(), WAIT_S)
-            first = await send(one.port, "tag:signs & class:page", "k1", signs="objects:7f* | group:3")
+                    await send(purge_server.port, f"group:{group}")
+                    started = time.monotonic()
+                    await until(lambda group=group: len(recorder.active) == group, WAIT_S)  # type: ignore[misc]
+                    delays_s.append(time.monotonic() - started)
+                await recorder.close()
+        assert min(delays_s) < MAX_DELAY_S, delays_s
+
+    run(scenario())
+
+
+def test_requests_with_the_same_idempotency_key_return_the_first_response(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running_server(tmp_path) as purge_server:
+            recorder = RecordingSubscriber(purge_server.port)
+            await until(lambda: recorder.subscribers[0].caught_up.is_set(), WAIT_S)
+            first = await send(
+                purge_server.port, "tag:signs & class:page", "k1", signs="objects:7f* | group:3"
+            )
             assert (first["seq"], first["again"]) == (1, False)
             assert set(first["scope"].split(" | ")) == {"class:page & group:3", "class:page & objects:7f*"}
-            await until(lambda: len(watcher.active) == 1, WAIT_S)
-            repeated = await send(one.port, "class:page & objects:7f* | class:page & group:3", "k1")
-            assert repeated["again"] and repeated["seq"] == 1 and len(one.active) == 1
-            both = await asyncio.gather(*(send(one.port, "group:9", "k2") for _ in range(8)))
-            assert {b["seq"] for b in both} == {2} and sum(not b["again"] for b in both) == 1
-            with pytest.raises(HttpStatusError, match="another scope") as refused:
-                await send(one.port, "group:4", "k1")
-            assert refused.value.status == 409
-            status = json.loads(await fetch("127.0.0.1", one.port, "GET", "/status", TOKEN))
+            await until(lambda: len(recorder.active) == 1, WAIT_S)
+            repeated = await send(purge_server.port, "class:page & objects:7f* | class:page & group:3", "k1")
+            assert repeated["again"] and repeated["seq"] == 1 and len(purge_server.active) == 1
+            responses = await asyncio.gather(*(send(purge_server.port, "group:9", "k2") for _ in range(8)))
+            assert {b["seq"] for b in responses} == {2} and sum(not b["again"] for b in responses) == 1
+            with pytest.raises(HttpStatusError, match="another scope") as rejected:
+                await send(purge_server.port, "group:4", "k1")
+            assert rejected.value.status == 409
+            status = json.loads(await fetch("127.0.0.1", purge_server.port, "GET", "/status", TOKEN))
             assert (
                 status["standing"] == 2
                 and status["followers"] == 1
                 and status["takes"]
                 and not status["gaps"]
             )
-            why = json.loads(
+            explanation = json.loads(
                 await fetch(
-                    "127.0.0.1", one.port, "GET", "/explain?object=7f00000000000000&class=page", TOKEN
+                    "127.0.0.1",
+                    purge_server.port,
+                    "GET",
+                    "/explain?object=7f00000000000000&class=page",
+                    TOKEN,
                 )
             )
-            assert [purge[2] for purge in why] == [1]
-            await watcher.close()
+            assert [purge[2] for purge in explanation] == [1]
+            await recorder.close()
 
-    run(scene())
+    run(scenario())
 
 
-HARM = [
+INVALID_REQUESTS = [
     ("POST", "/purges", b"{", "", 400), ("POST", "/purges", b"{}", "", 400), ("POST", "/purges", b'{"scope": "objects:*"}', "", 400),
     ("POST", "/purges", b'{"scope": 7}', "", 400), ("POST", "/purges", b'{"scope": "all", "x": 1}', "", 400),
     ("POST", "/purges", b"x" * 70_000, "", 413), ("GET", "/nothing", b"", "", 404), ("GET", "/follow?from=rubbish", b"", "", 400),
@@ -188,169 +194,174 @@
 ]  # fmt: skip
 
 
-def test_malicious_requests_are_rejected_with_their_status_and_the_server_goes_on(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with running_server(tmp_path) as one:
-            for method, target, body, token, status in HARM:
+def test_invalid_requests_are_rejected_with_their_status_and_the_server_keeps_serving(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running_server(tmp_path) as purge_server:
+            for method, target, body, token, status in INVALID_REQUESTS:
                 try:
-                    await fetch("127.0.0.1", one.port, method, target, token or TOKEN, body)
-                    got = 200
+                    await fetch("127.0.0.1", purge_server.port, method, target, token or TOKEN, body)
+                    received_status = 200
                 except HttpStatusError as error:
-                    got = error.status
+                    received_status = error.status
                     assert "\n" not in str(error)
-                assert got == status, (method, target, body[:60], got)
-            reader, writer = await asyncio.open_connection("127.0.0.1", one.port)
+                assert received_status == status, (method, target, body[:60], received_status)
+            reader, writer = await asyncio.open_connection("127.0.0.1", purge_server.port)
             writer.write(b"\x00\xff\r\n\r\n")
             assert (await reader.read(64)).startswith(b"HTTP/1.1 400")
             writer.close()
             with pytest.MonkeyPatch.context() as patch:
                 patch.setattr(server, "REQUEST_TIMEOUT_S", 0.1)
-                reader, writer = await asyncio.open_connection("127.0.0.1", one.port)
+                reader, writer = await asyncio.open_connection("127.0.0.1", purge_server.port)
                 writer.write(b"POST /purges HTTP/1.1\r\nHost: x\r\n")
                 assert (await reader.read(64)).startswith(b"HTTP/1.1 408")
                 writer.close()
-            assert (await send(one.port, "group:1"))["seq"] == 2
+            assert (await send(purge_server.port, "group:1"))["seq"] == 2
 
-    run(scene())
+    run(scenario())
 
 
-def test_tokens_rotate_without_a_restart_and_a_bad_file_leaves_the_old_ones(tmp_path: Path) -> None:
-    async def scene() -> None:
-        async with running_server(tmp_path) as one:
-            for content, good, bad in ((f"new {'n' * 20}\nops {TOKEN}\n", ["n" * 20, TOKEN], []), (f"new {'n' * 20}\n", ["n" * 20], [TOKEN]),
+def test_tokens_rotate_without_a_restart_and_an_invalid_file_keeps_the_old_ones(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with running_server(tmp_path) as purge_server:
+            for content, accepted_tokens, rejected_tokens in ((f"new {'n' * 20}\nops {TOKEN}\n", ["n" * 20, TOKEN], []), (f"new {'n' * 20}\n", ["n" * 20], [TOKEN]),
                                        ("broken\n", ["n" * 20], ["broken"])):  # fmt: skip
                 (tmp_path / "tokens").write_text(content)
-                for token in good:
-                    assert await fetch("127.0.0.1", one.port, "GET", "/status", token)
-                for token in bad:
+                for token in accepted_tokens:
+                    assert await fetch("127.0.0.1", purge_server.port, "GET", "/status", token)
+                for token in rejected_tokens:
                     with pytest.raises(HttpStatusError, match="known token"):
-                        await fetch("127.0.0.1", one.port, "GET", "/status", token)
-            assert "line 1: expected" in one.tokens.reload_error
+                        await fetch("127.0.0.1", purge_server.port, "GET", "/status", token)
+            assert "line 1: expected" in purge_server.tokens.reload_error
 
-    run(scene())
+    run(scenario())
     with pytest.raises(TokenFileError, match="line 1"):
         tokens(tmp_path)
 
 
-def test_a_server_killed_before_its_subscribers_heard_sends_to_them_after_its_restart(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_purges_that_a_stopped_server_did_not_send_are_sent_after_its_restart(tmp_path: Path) -> None:
+    async def scenario() -> None:
         disk = SimDisk()
-        async with running_server(tmp_path, disk=disk) as one:
-            watcher = RecordingSubscriber(one.port)
-            await until(lambda: watcher.subscribers[0].caught_up.is_set(), WAIT_S)
-            await send(one.port, "group:1")
-            await until(lambda: len(watcher.active) == 1, WAIT_S)
-            await watcher.close()
-            await send(one.port, "group:2", "key")
-            epoch, vector = one.epoch, watcher.active.positions.vector()
-        async with running_server(tmp_path, disk=disk) as back:
-            assert back.epoch > epoch and len(back.active) == 2
-            assert (await send(back.port, "group:2", "key"))["again"]  # keys outlive a restart
-            await send(back.port, "group:3")
-            late = RecordingSubscriber(back.port)
-            late.active.positions.advance_to(vector)
-            await until(lambda: late.subscribers[0].caught_up.is_set(), WAIT_S)
-            assert sorted(p.scope for p in late.active.purges_after({})) == ["group:2", "group:3"]
-            await late.close()
-
-    run(scene())
-
-
-def test_two_servers_backfill_each_other_also_one_restored_from_an_older_disk(tmp_path: Path) -> None:
-    async def scene() -> None:
-        old, disk_b = SimDisk(), SimDisk()
-        async with running_server(tmp_path, "a", old) as a:
+        async with running_server(tmp_path, disk=disk) as purge_server:
+            recorder = RecordingSubscriber(purge_server.port)
+            await until(lambda: recorder.subscribers[0].caught_up.is_set(), WAIT_S)
+            await send(purge_server.port, "group:1")
+            await until(lambda: len(recorder.active) == 1, WAIT_S)
+            await recorder.close()
+            await send(purge_server.port, "group:2", "key")
+            epoch, vector = purge_server.epoch, recorder.active.positions.vector()
+        async with running_server(tmp_path, disk=disk) as restarted:
+            assert restarted.epoch > epoch and len(restarted.active) == 2
+            assert (await send(restarted.port, "group:2", "key"))["again"]  # keys survive a restart
+            await send(restarted.port, "group:3")
+            late_recorder = RecordingSubscriber(restarted.port)
+            late_recorder.active.positions.advance_to(vector)
+            await until(lambda: late_recorder.subscribers[0].caught_up.is_set(), WAIT_S)
+            assert sorted(p.scope for p in late_recorder.active.purges_after({})) == ["group:2", "group:3"]
+            await late_recorder.close()
+
+    run(scenario())
+
+
+def test_peers_send_each_other_missing_purges_also_after_one_is_restored_from_an_older_disk(
+    tmp_path: Path,
+) -> None:
+    async def scenario() -> None:
+        old_disk, disk_b = SimDisk(), SimDisk()
+        async with running_server(tmp_path, "a", old_disk) as a:
             await send(a.port, "group:1")
-        restored = SimDisk()  # what a backup held then
-        restored._now, restored._stored = dict(old._now), dict(old._stored)
+        restored = SimDisk()  # the content of a backup from that time
+        restored._now, restored._stored = dict(old_disk._now), dict(old_disk._stored)
         async with running_server(tmp_path, "b", disk_b) as b:
-            async with running_server(tmp_path, "a", old) as a:
-                b.follow("127.0.0.1", a.port)
-                a.follow("127.0.0.1", b.port)
+            async with running_server(tmp_path, "a", old_disk) as a:
+                b.subscribe_to_peer("127.0.0.1", a.port)
+                a.subscribe_to_peer("127.0.0.1", b.port)
                 await asyncio.gather(send(a.port, "group:2"), send(b.port, "group:3"))
                 await until(lambda: len(a.active) == len(b.active) == 3, WAIT_S)
             await send(b.port, "group:4")  # while a is down
-            async with running_server(tmp_path, "a", restored) as back:
-                assert sorted(p.scope for p in back.active.purges_after({})) == ["group:1"]
-                back.follow("127.0.0.1", b.port)
-                await send(back.port, "group:5")
-                b.follow("127.0.0.1", back.port)
-                await until(lambda: len(back.active) == len(b.active) == 5, WAIT_S)
-                assert back.active.positions.vector() == b.active.positions.vector()
-                assert not back.active.positions.gaps() and not b.active.positions.gaps()
-                watcher = RecordingSubscriber(b.port, back.port)  # two feeds, each purge once
-                await until(lambda: all(one.caught_up.is_set() for one in watcher.subscribers), WAIT_S)
-                assert len(watcher.active) == 5
-                await watcher.close()
-
-    run(scene())
+            async with running_server(tmp_path, "a", restored) as restarted:
+                assert sorted(p.scope for p in restarted.active.purges_after({})) == ["group:1"]
+                restarted.subscribe_to_peer("127.0.0.1", b.port)
+                await send(restarted.port, "group:5")
+                b.subscribe_to_peer("127.0.0.1", restarted.port)
+                await until(lambda: len(restarted.active) == len(b.active) == 5, WAIT_S)
+                assert restarted.active.positions.vector() == b.active.positions.vector()
+                assert not restarted.active.positions.gaps() and not b.active.positions.gaps()
+                # two servers, but each purge only once
+                recorder = RecordingSubscriber(b.port, restarted.port)
+                await until(lambda: all(one.caught_up.is_set() for one in recorder.subscribers), WAIT_S)
+                assert len(recorder.active) == 5
+                await recorder.close()
+
+    run(scenario())
 
 
 def test_a_long_backlog_reaches_a_late_subscriber_and_a_slow_one_loses_nothing(
     tmp_path: Path,
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         disk = SimDisk()
-        stamps = IssuerSequence("a", (), 0.0, time.time() * 1000.0)
+        sequence = IssuerSequence("a", (), 0.0, time.time() * 1000.0)
         log = recover(disk)[0]
         for n in range(50_000):
-            log.append(encode_purge(stamps.next(f"object:{n:016x}", time.time() * 1000.0)))
+            log.append(encode_purge(sequence.next(f"object:{n:016x}", time.time() * 1000.0)))
         log.commit()
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(purge_stream, "MAX_RECENT", 20)
             patch.setattr(event_stream, "MAX_UNSENT_BYTES", 1000)
-            async with running_server(tmp_path, disk=disk) as one:
-                reader, writer = await asyncio.open_connection("127.0.0.1", one.port, limit=2**12)
+            async with running_server(tmp_path, disk=disk) as purge_server:
+                reader, writer = await asyncio.open_connection("127.0.0.1", purge_server.port, limit=2**12)
                 writer.write(
                     f"GET /follow?from= HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {TOKEN}\r\n\r\n".encode()
                 )
-                await until(lambda: one.stream.subscribers == 1, WAIT_S)  # and reads nothing more for now
-                watcher = RecordingSubscriber(one.port)
-                await until(lambda: len(watcher.active) == 50_000, 60.0)
+                await until(lambda: purge_server.stream.subscribers == 1, WAIT_S)  # and does not read for now
+                recorder = RecordingSubscriber(purge_server.port)
+                await until(lambda: len(recorder.active) == 50_000, 60.0)
                 for n in range(120):
-                    await send(one.port, f"group:{n}")
-                await until(lambda: len(watcher.active) == 50_120, WAIT_S)
-                seen: set[tuple[str, int, int]] = set()
-                while len(seen) < 50_120:
-                    line = await asyncio.wait_for(read_event(reader), 10.0)
-                    if b'"purges"' in line:
-                        seen |= {(p[0], p[1], p[2]) for p in json.loads(line[line.index(b"{") :])["purges"]}
+                    await send(purge_server.port, f"group:{n}")
+                await until(lambda: len(recorder.active) == 50_120, WAIT_S)
+                received_ids: set[tuple[str, int, int]] = set()
+                while len(received_ids) < 50_120:
+                    event = await asyncio.wait_for(read_event(reader), 10.0)
+                    if b'"purges"' in event:
+                        received_ids |= {
+                            (p[0], p[1], p[2]) for p in json.loads(event[event.index(b"{") :])["purges"]
+                        }
                 writer.close()
-                await watcher.close()
+                await recorder.close()
 
-    run(scene())
+    run(scenario())
 
 
 async def read_event(reader: asyncio.StreamReader) -> bytes:
-    """One event's line, however long."""
+    """Reads one event of any length."""
     received = b""
     while not received.endswith(b"\n\n"):
         received += await reader.read(1)
     return received
 
 
-def test_a_full_disk_is_reported_to_the_sender_and_no_rejected_purge_comes_back(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_a_full_disk_is_reported_to_the_sender_and_a_rejected_purge_is_not_recovered(tmp_path: Path) -> None:
+    async def scenario() -> None:
         disk = SimDisk(capacity_bytes=400)
-        async with running_server(tmp_path, disk=disk) as one:
+        async with running_server(tmp_path, disk=disk) as purge_server:
             stored = 0
-            with pytest.raises(HttpStatusError, match="not stored") as refused:
+            with pytest.raises(HttpStatusError, match="not stored") as rejected:
                 while True:
-                    await send(one.port, "group:1")
+                    await send(purge_server.port, "group:1")
                     stored += 1
-            assert refused.value.status == 507 and stored >= 2
+            assert rejected.value.status == 507 and stored >= 2
             disk.capacity_bytes = 10_000
-            assert (await send(one.port, "group:2"))["seq"] == stored + 1
-        async with running_server(tmp_path, disk=disk) as back:
-            assert len(back.active) == stored + 1
+            assert (await send(purge_server.port, "group:2"))["seq"] == stored + 1
+        async with running_server(tmp_path, disk=disk) as restarted:
+            assert len(restarted.active) == stored + 1
 
-    run(scene())
+    run(scenario())
 
 
 def test_a_server_killed_at_any_moment_keeps_all_acknowledged_purges(tmp_path: Path) -> None:
-    """SIGKILL of a real process, some 40 ms into a crowd of senders, several times over one folder."""
+    """A server process is killed by SIGKILL while many clients send purges, several times with the same folder."""
 
-    async def scene() -> None:
+    async def scenario() -> None:
         code = ("import asyncio, sys, time\nfrom pathlib import Path\nfrom gladelane.storage.files import Folder\n"
                 "from gladelane.control_plane.server import ControlServer\nfrom gladelane.control_plane.tokens import Tokens\n"
                 "from gladelane.purges.control_part import PurgePart\nfrom gladelane.purges.purge_log import PurgeLog\n"
@@ -359,49 +370,53 @@
                 " server = ControlServer(known, [PurgePart(purges)])\n"
                 " print(await server.start('127.0.0.1', 0), flush=True)\n await asyncio.Event().wait()\nasyncio.run(main())")  # fmt: skip
         tokens(tmp_path)
-        answered: dict[str, int] = {}
+        acknowledged: dict[str, int] = {}
         for turn in range(5):
             process = subprocess.Popen([sys.executable, "-c", code, str(tmp_path / "log"), str(tmp_path / "tokens")],
                                        cwd=ROOT, stdout=subprocess.PIPE, text=True)  # fmt: skip
             assert process.stdout is not None
             port = int(await asyncio.to_thread(process.stdout.readline))
 
-            async def sender(n: int, port: int = port, turn: int = turn) -> None:
+            async def send_purges(n: int, port: int = port, turn: int = turn) -> None:
                 with contextlib.suppress(OSError, HttpStatusError, TimeoutError):
                     for k in range(1000):
                         key = f"{turn}-{n}-{k}"
-                        answered[key] = (await send(port, f"group:{n}", key))["seq"]
+                        acknowledged[key] = (await send(port, f"group:{n}", key))["seq"]
 
-            senders = [asyncio.ensure_future(sender(n)) for n in range(8)]
-            await until(lambda turn=turn: sum(key.startswith(f"{turn}-") for key in answered) > 5, WAIT_S)  # type: ignore[misc]
+            senders = [asyncio.ensure_future(send_purges(n)) for n in range(8)]
+            await until(lambda turn=turn: sum(key.startswith(f"{turn}-") for key in acknowledged) > 5, WAIT_S)  # type: ignore[misc]
             await asyncio.sleep(0.01 * turn)
             process.send_signal(signal.SIGKILL)
             await asyncio.gather(*senders)
             process.wait()
             process.stdout.close()
         folder = Folder(tmp_path / "log")
-        back = PurgeLog("a", folder, tokens(tmp_path), clock=unix_ms)
-        recovered = {p.key: p.seq for p in back.active.purges_after({})}
-        assert len(answered) > 25 and {key: recovered.get(key) for key in answered} == answered
+        restarted = PurgeLog("a", folder, tokens(tmp_path), clock=unix_ms)
+        recovered = {p.key: p.seq for p in restarted.active.purges_after({})}
+        assert len(acknowledged) > 25 and {key: recovered.get(key) for key in acknowledged} == acknowledged
         folder.close()
 
-    run(scene())
+    run(scenario())
     assert os.listdir(tmp_path / "log")
 
 
 def test_an_invalid_purge_of_a_peer_is_neither_stored_nor_applied(tmp_path: Path) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         disk = SimDisk()
-        async with running_server(tmp_path, disk=disk) as one:
-            one.receive(
+        async with running_server(tmp_path, disk=disk) as purge_server:
+            purge_server.receive(
                 [
                     Purge("x", 1, 1, 1e12, "rubbish"),
                     Purge("", 1, 1, 1e12, "all"),
                     Purge("x", 1, 2, 1e12, "group:1"),
                 ]
             )
-            await until(lambda: one.active.positions.contains("x", 1, 2), WAIT_S)
+            await until(lambda: purge_server.active.positions.contains("x", 1, 2), WAIT_S)
         records = recover(disk)[1].records
-        assert [msgspec.msgpack.decode(r, type=Purge).seq for r in records if not r.startswith(OWN)] == [2]
+        assert [
+            msgspec.msgpack.decode(r, type=Purge).seq
+            for r in records
+            if not r.startswith(SERVER_RECORD_PREFIX)
+        ] == [2]
 
-    run(scene())
+    run(scenario())
--- a/tests/purges/test_scope_index.py
+++ b/tests/purges/test_scope_index.py
@@ -1,4 +1,4 @@
-"""Scopes, bounds and the index: tables for the texts, properties against the plainest possible scan."""
+"""Scopes, bounds and the index: texts in tables, and properties compared with a simple scan."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gladelane.purges.bounds import Bound, Limit, join, newest, still_binding
-from gladelane.purges.index import MAX_MASKS, Index, UnsupportedPatternError, dyadic
+from gladelane.purges.bounds import Bound, Limit, join, newest_at_ms, unexpired_limits
+from gladelane.purges.index import MAX_MASKS, Index, UnsupportedPatternError, dyadic_ranges
 from gladelane.purges.scope import MAX_BOXES, Box, InvalidScopeError, intersect, parse
 from gladelane.structures.step_map import StepMap
 
@@ -33,13 +33,13 @@
     ("tag:signs", "object:00000000000000aa | class:page & objects:7f3a*"),
     ("tag:all-signs & parts:1", "object:00000000000000aa & parts:1 | group:3 & parts:1 | class:page & objects:7f3a* & parts:1"),
 ])  # fmt: skip
-def test_texts_have_one_canonical_form(text: str, canonical: str) -> None:
+def test_a_scope_has_one_canonical_form(text: str, canonical: str) -> None:
     scope = parse(text, CATALOG)
     assert sorted(scope.text().split(" | ")) == sorted(canonical.split(" | "))
     assert parse(scope.text()) == scope
 
 
-@pytest.mark.parametrize("text,says", [
+@pytest.mark.parametrize("text,message", [
     ("", "no term"), ("object:aa", "expected 16 hex digits"), ("objects:xyz*", "no pattern"), ("objects:a*b*c", "no pattern"),
     ("objects:7f", "no pattern"), ("objects:7f..6f", "range is empty"), ("group:256", "from 0 to 255"), ("group:-1", "no number"),
     ("group:\u0663", "no number"), ("parts:9-3", "range is empty"), ("parts:99999999999", "no number"), ("class:a b", "no class"),
@@ -48,10 +48,10 @@
     ("tag:wide", "covers everything"), ("group:1 | objects:*", "covers everything"), ("group:1 &", "no term"), ("x" * 300_000, "characters"),
     (" | ".join(f"object:{n:016x}" for n in range(MAX_BOXES + 1)), "parts once its tags are put in"),
 ])  # fmt: skip
-def test_what_is_no_scope_says_why_in_one_line(text: str, says: str) -> None:
-    with pytest.raises(InvalidScopeError, match=says) as caught:
+def test_an_invalid_scope_is_reported_in_one_line(text: str, message: str) -> None:
+    with pytest.raises(InvalidScopeError, match=message) as error_info:
         parse(text, CATALOG)
-    assert "\n" not in str(caught.value) and len(str(caught.value)) < 400
+    assert "\n" not in str(error_info.value) and len(str(error_info.value)) < 400
 
 
 @given(st.text(alphabet="objectsgrupla:tn&|*?.-0123456789abcdf ", max_size=60))
@@ -81,10 +81,12 @@
 
 
 @given(boxes(), boxes())
-def test_a_meeting_covers_what_both_cover(one: Box, other: Box) -> None:
-    met = intersect(one, other)
+def test_an_intersection_covers_what_both_boxes_cover(one: Box, other: Box) -> None:
+    intersection = intersect(one, other)
     for request in REQUESTS:
-        assert bool(met and met.covers(*request)) == (one.covers(*request) and other.covers(*request))
+        assert bool(intersection and intersection.covers(*request)) == (
+            one.covers(*request) and other.covers(*request)
+        )
 
 
 BOUNDS = st.lists(st.tuples(st.sampled_from([1.0, 2.0, 3.0]), st.sampled_from([5.0, 6.0, 7.0])), max_size=4)
@@ -98,31 +100,31 @@
 
 
 @given(BOUNDS, BOUNDS, BOUNDS)
-def test_joining_is_a_semilattice_and_says_what_a_scan_says(a: Any, b: Any, c: Any) -> None:
+def test_joining_bounds_is_a_semilattice_and_equals_a_scan(a: Any, b: Any, c: Any) -> None:
     x, y, z = made(a), made(b), made(c)
     assert join(x, y) == join(y, x) and join(x, join(y, z)) == join(join(x, y), z) and join(x, x) == x
     for now in (4.0, 5.0, 6.0, 7.0):
         scan = max((at for at, until in (*a, *b) if until > now), default=0.0)
-        assert newest(join(x, y), now) == scan == newest(still_binding(join(x, y), now), now)
+        assert newest_at_ms(join(x, y), now) == scan == newest_at_ms(unexpired_limits(join(x, y), now), now)
 
 
 @given(st.lists(st.tuples(st.integers(0, 40), st.integers(0, 12), st.integers(0, 9)), max_size=30))
-def test_a_step_map_equals_the_plain_map_and_has_no_step_too_many(joins: list[tuple[int, int, int]]) -> None:
-    steps, plain = StepMap[int](0, max), [0] * 60
+def test_a_step_map_equals_a_list_and_has_no_redundant_steps(joins: list[tuple[int, int, int]]) -> None:
+    steps, expected = StepMap[int](0, max), [0] * 60
     for low, length, value in joins:
         steps.join(low, low + length, value)
         for n in range(low, low + length + 1):
-            plain[n] = max(plain[n], value)
-    assert [steps.at(n) for n in range(60)] == plain
-    assert len(steps) == 1 + sum(a != b for a, b in itertools.pairwise(plain))
+            expected[n] = max(expected[n], value)
+    assert [steps.at(n) for n in range(60)] == expected
+    assert len(steps) == 1 + sum(a != b for a, b in itertools.pairwise(expected))
     steps.update_values(lambda value: value // 5)
-    assert [steps.at(n) for n in range(60)] == [v // 5 for v in plain]
+    assert [steps.at(n) for n in range(60)] == [v // 5 for v in expected]
 
 
 @given(st.integers(0, 2**31), st.integers(0, 2**31))
-def test_dyadic_pieces_tile_a_range_and_are_few(a: int, b: int) -> None:
+def test_dyadic_ranges_tile_a_range_and_are_few(a: int, b: int) -> None:
     low, high = min(a, b), max(a, b)
-    pieces = list(dyadic(low, high))
+    pieces = list(dyadic_ranges(low, high))
     at = low
     for level, number in pieces:
         assert number << level == at
@@ -137,41 +139,41 @@
 
 
 @given(PURGES, st.randoms(use_true_random=False))
-def test_the_index_says_what_a_scan_says_in_every_order_and_forgets_what_ended(
+def test_the_index_equals_a_scan_in_any_order_and_removes_expired_entries(
     purges: Any, rng: random.Random
 ) -> None:
     index, other = Index(), Index()
     shuffled = purges[:]
     rng.shuffle(shuffled)
-    for into, listed in ((index, purges), (other, [*shuffled, *purges[:2]])):  # repeats cost nothing
-        for box, at, until in listed:
-            into.add(type(parse("all"))((box,)), at, until)
+    for target, added in ((index, purges), (other, [*shuffled, *purges[:2]])):  # repeats have no effect
+        for box, at, until in added:
+            target.add(type(parse("all"))((box,)), at, until)
     for now in (40.0, 50.0, 60.0):
         for request in REQUESTS:
             scan = max((at for box, at, until in purges if until > now and box.covers(*request)), default=0.0)
             cls, group, object_, part = request
             assert (
-                index.newest(cls, group, object_, part, now)
-                == other.newest(cls, group, object_, part, now)
+                index.newest_purge_ms(cls, group, object_, part, now)
+                == other.newest_purge_ms(cls, group, object_, part, now)
                 == scan
             )
         while index.expire(now):
             pass
         for request in REQUESTS:
             cls, group, object_, part = request
-            assert index.newest(cls, group, object_, part, now) == other.newest(
+            assert index.newest_purge_ms(cls, group, object_, part, now) == other.newest_purge_ms(
                 cls, group, object_, part, now
             )
     if all(until < 60.1 for _, _, until in purges):
-        assert not len(index) and not index._shapes and not index._due
+        assert not len(index) and not index._shapes and not index._expiries
 
 
-def test_patterns_that_would_slow_every_look_up_are_refused_and_change_nothing() -> None:
+def test_patterns_that_would_slow_down_lookups_are_rejected_and_change_nothing() -> None:
     index = Index()
     for n in range(MAX_MASKS):
-        places = f"{n:08b}".replace("0", "?").replace("1", "a")
-        index.add(parse(f"objects:{places}{'?' * 7}1"), 1.0)
+        digits = f"{n:08b}".replace("0", "?").replace("1", "a")
+        index.add(parse(f"objects:{digits}{'?' * 7}1"), 1.0)
     with pytest.raises(UnsupportedPatternError, match="expected a prefix or a range"):
         index.add(parse("objects:*2? | group:7"), 2.0)
-    assert index.newest("film", 7, 5, 0, 0.0) == 0.0
-    index.add(parse(f"objects:{'?' * 8}{'?' * 7}2"), 2.0)  # a form that stands already
+    assert index.newest_purge_ms("film", 7, 5, 0, 0.0) == 0.0
+    index.add(parse(f"objects:{'?' * 8}{'?' * 7}2"), 2.0)  # a form that is already in the index
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -125,7 +125,7 @@
     few = [budget.admit((200 + n, 0), 1.0, 1.0, 0.0) for n in range(20)]
     many = [budget.admit((300 + n, 0), 1.0, 1.0, 0.0) for n in range(400)]
     assert min(few) >= 500.0 and len(set(few)) > 15 and sum(many[-20:]) > 2 * sum(few) and max(many) <= 7500.0
-    assert not budget.is_quiet(QUIET_MS - 1.0) and budget.is_quiet(QUIET_MS) and budget.is_idle(1000.0)
+    assert not budget.has_no_recent_rejection(QUIET_MS - 1.0) and budget.has_no_recent_rejection(QUIET_MS) and budget.is_idle(1000.0)
 
 
 @given(
@@ -338,16 +338,16 @@
     moments = []
     for seed in range(20):
         reseed = BackfillSchedule(random.Random(seed))
-        due = [at for at in range(0, 12_000, 100) if reseed.due(known, told, at + 1.0)]
+        due = [at for at in range(0, 12_000, 100) if reseed.is_due(known, told, at + 1.0)]
         moments.append(due[0])
         assert 700 <= due[0] <= 2600 and all(
             later - sooner >= 3600 for sooner, later in zip(due, due[1:], strict=False)
         )
     assert len(set(moments)) > 8
     reseed = BackfillSchedule(random.Random(1))
-    assert not reseed.due(known, told, 1.0) and not reseed.due(known, known, 5000.0)  # another had told it
-    assert not reseed.due(known, told, 5100.0) and not reseed.due(known, None, 9000.0)
-    assert not reseed.due(known, told, 9100.0)
+    assert not reseed.is_due(known, told, 1.0) and not reseed.is_due(known, known, 5000.0)  # another had told it
+    assert not reseed.is_due(known, told, 5100.0) and not reseed.is_due(known, None, 9000.0)
+    assert not reseed.is_due(known, told, 9100.0)
 
 
 @given(st.lists(st.integers(1, 400), max_size=40))
