--- a/gladelane/purges/copy_limits.py
+++ b/gladelane/purges/copy_limits.py
@@ -103,14 +103,14 @@
         if self.refetch_budget.has_no_recent_rejection(now_ms):
             self.refetch_budget.deactivate(Cause.LOST)
             if link is Link.FOLLOWS:
-                self.refetch_budget.deactivate(Cause.BACK)
+                self.refetch_budget.deactivate(Cause.RECONNECTED)
         return has_changed
 
     def _activate_budget(self, link: Link, now_ms: float) -> None:
         if link is Link.CUT_OFF:
             self.refetch_budget.activate(Cause.CUT_OFF, now_ms)
         elif link is Link.RETURNING:
-            self.refetch_budget.activate(Cause.BACK, now_ms)
+            self.refetch_budget.activate(Cause.RECONNECTED, now_ms)
 
     def max_copy_age_ms(self, cls: str, now_ms: float) -> float:
         """Returns the age above which no copy may be used for a class, which is never more than the
@@ -131,14 +131,14 @@
         )
         return max(self._watermark_late_ms, *behind_ms, 0.0)
 
-    def admits(self, cls: str, part: PartKey, weight: float, now_ms: float) -> float:
+    def admit(self, cls: str, part: PartKey, weight: float, now_ms: float) -> float:
         """Returns 0.0 if a request is admitted, or the time in ms after which to retry it. `weight`: the
         value of the class relative to the most valuable one, from 0 to 1."""
         if cls not in self._options.strict:
             return 0.0
         return self.refetch_budget.admit(part, weight, self.max_copy_age_ms(cls, now_ms), now_ms)
 
-    def answered(self, cls: str, part: PartKey, dated_ms: float, in_time: bool) -> None:
+    def record_answer(self, cls: str, part: PartKey, dated_ms: float, in_time: bool) -> None:
         """Records that an attempt ended. `dated_ms`: the date of the copy, 0.0 if there was none."""
         self.newest_date_ms = max(self.newest_date_ms, dated_ms)
         if cls in self._options.strict:
--- a/gladelane/purges/peers.py
+++ b/gladelane/purges/peers.py
@@ -51,7 +51,7 @@
         """Starts without peers."""
         self.subscribers: list[Subscriber] = []
         self.clocks_settled = asyncio.Event()
-        self._without_clock: set[str] = set()
+        self._peers_without_clock: set[str] = set()
         self._receiver, self._replication = receiver, replication
         self._clock, self._tokens = clock, tokens
 
@@ -62,13 +62,13 @@
             host, port, self._tokens.first_token, self, self._clock.timeline_ms, tls, is_peer=True
         )
         self.subscribers.append(subscriber)
-        self._without_clock.add(_address(subscriber))
+        self._peers_without_clock.add(_address(subscriber))
         return subscriber
 
     async def settle_clocks(self) -> None:
         """Sets `clocks_settled` after `CLOCKS_WAIT_S`, unless it is set before."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(CLOCKS_WAIT_S if self._without_clock else 0.0):
+            async with asyncio.timeout(CLOCKS_WAIT_S if self._peers_without_clock else 0.0):
                 await self.clocks_settled.wait()
         self.clocks_settled.set()
 
@@ -102,8 +102,8 @@
     def _observe_clock(self, source: Subscriber) -> None:
         clock_ms, received_ms = source.server_clock_ms, source.received_ms
         self._clock.observe_peer(_address(source), clock_ms, received_ms, source.round_trip_ms)
-        self._without_clock.discard(_address(source))
-        if not self._without_clock:
+        self._peers_without_clock.discard(_address(source))
+        if not self._peers_without_clock:
             self.clocks_settled.set()
 
 
--- a/gladelane/purges/refetch_budget.py
+++ b/gladelane/purges/refetch_budget.py
@@ -56,7 +56,7 @@
     """Why copies are unusable. Several causes may be active at once."""
 
     CUT_OFF = "cut off from all feeds"
-    BACK = "feeds came back"
+    RECONNECTED = "feeds came back"
     LOST = "purges were lost"
 
 
--- a/gladelane/purges/scope.py
+++ b/gladelane/purges/scope.py
@@ -5,7 +5,7 @@
     term   = "object:" HEX16                one object
            | "objects:" PREFIX "*"          all objects whose id starts with the prefix
            | "objects:" FROM ".." TO        ids, both included; padded with 0 and with f to 16 digits
-           | "objects:" GLOB                16 places of hex digits and "?"; one "*" for missing places
+           | "objects:" GLOB                16 hex digits or "?"; one "*" stands for all missing digits
            | "group:" 0..255 | "class:" NAME | "parts:" N [ "-" M ]
            | "tag:" NAME                    the scope that the catalog has under this name
            | "all"                          everything; no other term may cover everything
--- a/gladelane/purges/subscription.py
+++ b/gladelane/purges/subscription.py
@@ -191,11 +191,11 @@
 
     def admits(self, cls: str, part: PartKey, weight: float) -> float:
         """Returns 0.0 if a request is admitted, or the time in ms after which to retry it."""
-        return self._limits.admits(cls, part, weight, self.clock())
+        return self._limits.admit(cls, part, weight, self.clock())
 
     def answered(self, cls: str, part: PartKey, dated_ms: float, in_time: bool) -> None:
         """Records that an attempt ended. `dated_ms`: the date of the copy, 0.0 if there was none."""
-        self._limits.answered(cls, part, dated_ms, in_time)
+        self._limits.record_answer(cls, part, dated_ms, in_time)
 
     def check_link(self) -> None:
         """Updates the state of the link to the servers."""
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -74,7 +74,7 @@
 
 def test_the_rate_grows_while_renewals_come_in_time_and_falls_when_one_in_ten_is_late() -> None:
     budget = RefetchBudget(20.0, 0.0, 0.0, random.Random(2))
-    budget.activate(Cause.BACK, 0.0)
+    budget.activate(Cause.RECONNECTED, 0.0)
     rates = [asked(budget, second * 1000.0, 2000) for second in range(6)]
     assert (
         all(later > sooner for sooner, later in zip(rates, rates[1:], strict=False))
