--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -214,31 +214,34 @@
             lambda: has_lost_quorum,
             lambda: {("f", 1): len(orders._purges)},
         )
-        orders.owned = sharded_orders.is_responsible_for
-        orders.servers({"c0": 7.0})
+        orders.is_responsible_for = sharded_orders.is_responsible_for
+        orders.set_servers({"c0": 7.0})
         orders.add(purges[:3])
         return orders, sharded_orders
 
     first, first_sharded = director(True)
     resource = first_sharded.resource_of("c0")
     assert resource == shard_resource(shard_of("c0", 4)) and first_sharded.export_progress(resource) == ""
-    for order in first.next(100.0):
-        first.acknowledged(order)
+    for order in first.next_orders(100.0):
+        first.record_acknowledged(order)
     progress = first_sharded.export_progress(resource)
     second, second_sharded = director(True)
     second_sharded.import_progress(resource, progress)
     second.add(purges[3:])
-    assert [purge.seq for order in second.next(100.0) for purge in order.purges] == [4, 5]
+    assert [purge.seq for order in second.next_orders(100.0) for purge in order.purges] == [4, 5]
     idle, idle_sharded = director(False)
     (
         idle_sharded.import_progress(resource, "{"),
         idle_sharded.import_progress(resource, '{"c0":[7.0,"f:1=x"]}'),
     )
-    assert idle.next(100.0) == [] and len(director(False, has_lost_quorum=True)[0].next(100.0)) == 1
+    assert (
+        idle.next_orders(100.0) == []
+        and len(director(False, has_lost_quorum=True)[0].next_orders(100.0)) == 1
+    )
     restarted, restarted_sharded = director(True)
-    restarted.servers({"c0": 8.0})  # the cache server has restarted and may hold purged copies again
+    restarted.set_servers({"c0": 8.0})  # the cache server has restarted and may hold purged copies again
     restarted_sharded.import_progress(resource, progress)
-    assert len(restarted.next(100.0)[0].purges) == 3
+    assert len(restarted.next_orders(100.0)[0].purges) == 3
 
 
 @pytest.mark.parametrize("fault", [fault for fault in InjectedFault if fault is not InjectedFault.NONE])
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -82,7 +82,7 @@
 
 def test_the_rate_grows_while_refetches_are_in_time_and_falls_when_one_in_ten_is_late() -> None:
     budget = RefetchBudget(20.0, 0.0, 0.0, random.Random(2))
-    budget.activate(Cause.BACK, 0.0)
+    budget.activate(Cause.RECONNECTED, 0.0)
     rates = [refetch_for_one_second(budget, second * 1000.0, 2000) for second in range(6)]
     assert (
         all(later > earlier for earlier, later in zip(rates, rates[1:], strict=False))
@@ -136,7 +136,11 @@
     few = [budget.admit((200 + n, 0), 1.0, 1.0, 0.0) for n in range(20)]
     many = [budget.admit((300 + n, 0), 1.0, 1.0, 0.0) for n in range(400)]
     assert min(few) >= 500.0 and len(set(few)) > 15 and sum(many[-20:]) > 2 * sum(few) and max(many) <= 7500.0
-    assert not budget.is_quiet(QUIET_MS - 1.0) and budget.is_quiet(QUIET_MS) and budget.is_idle(1000.0)
+    assert (
+        not budget.has_no_recent_rejection(QUIET_MS - 1.0)
+        and budget.has_no_recent_rejection(QUIET_MS)
+        and budget.is_idle(1000.0)
+    )
 
 
 @given(
@@ -363,7 +367,7 @@
     first_due_ms = []
     for seed in range(20):
         schedule = BackfillSchedule(random.Random(seed))
-        due_ms = [at_ms for at_ms in range(0, 12_000, 100) if schedule.due(known, reported, at_ms + 1.0)]
+        due_ms = [at_ms for at_ms in range(0, 12_000, 100) if schedule.is_due(known, reported, at_ms + 1.0)]
         first_due_ms.append(due_ms[0])
         assert 700 <= due_ms[0] <= 2600 and all(
             later - earlier >= 3600 for earlier, later in zip(due_ms, due_ms[1:], strict=False)
@@ -371,9 +375,9 @@
     assert len(set(first_due_ms)) > 8
     schedule = BackfillSchedule(random.Random(1))
     # at 5000 another director has sent the backfill
-    assert not schedule.due(known, reported, 1.0) and not schedule.due(known, known, 5000.0)
-    assert not schedule.due(known, reported, 5100.0) and not schedule.due(known, None, 9000.0)
-    assert not schedule.due(known, reported, 9100.0)
+    assert not schedule.is_due(known, reported, 1.0) and not schedule.is_due(known, known, 5000.0)
+    assert not schedule.is_due(known, reported, 5100.0) and not schedule.is_due(known, None, 9000.0)
+    assert not schedule.is_due(known, reported, 9100.0)
 
 
 @given(st.lists(st.integers(1, 400), max_size=40))
