--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,6 +1,8 @@
-"""The digest of all decisions: the same as recorded, one in every process, and changed by each small change
-of a constant. A change of decisions that is intended records them anew: `python -m benchmarks.decisions
---quick --record`."""
+"""The digest of all decisions equals the recorded one, is the same in every process, and detects small
+changes.
+
+After an intended change of decisions, record the digests again: `python -m benchmarks.decisions --quick
+--record`. """
 
 from __future__ import annotations
 
@@ -28,22 +30,22 @@
 
 
 @pytest.mark.parametrize("scene", sorted(decisions.golden()))
-def test_decisions_are_those_that_were_recorded(scene: str) -> None:
+def test_decisions_equal_the_recorded_ones(scene: str) -> None:
     assert decisions.run_scene(scene).text() == decisions.golden()[scene]
 
 
-def test_every_scene_that_rests_on_the_module_alone_is_recorded() -> None:
+def test_every_scene_that_depends_on_the_routing_code_only_is_recorded() -> None:
     assert set(decisions.golden()) == set(decisions.SCENES) - decisions.NOT_GOLDEN
     assert {len(text) for text in decisions.golden().values()} == {64}
 
 
-def test_the_digest_is_one_in_every_process() -> None:
+def test_the_digest_is_the_same_in_every_process() -> None:
     code = "from benchmarks import decisions as d; print(d.run_scene('site_hints').text(), d.run_scene('deployed').text())"
-    said = {
+    outputs = {
         subprocess.run([sys.executable, "-c", code], cwd=ROOT, env={**os.environ, "PYTHONHASHSEED": seed}, capture_output=True,
                        text=True, check=True).stdout for seed in ("1", "2")
     }  # fmt: skip
-    assert len(said) == 1 and decisions.golden()["site_hints"] in said.pop()
+    assert len(outputs) == 1 and decisions.golden()["site_hints"] in outputs.pop()
 
 
 @pytest.mark.parametrize(
--- a/tests/test_failure.py
+++ b/tests/test_failure.py
@@ -399,9 +399,8 @@
             else:
                 d.answer(fetch, Status.OK, Note.PARENT_HELD, after=9.0)
                 fetch = None
-    assert (
-        refused == 0 and errors < 12
-    )  # of some 90 requests that prefer it; errors of the trials after ejections are expected
+    # about 90 requests prefer this parent; the errors are those of the trials after its ejections
+    assert refused == 0 and errors < 12
     assert not any(d.router.stores[name].is_ejected(d.now) for name in ("c0", "c1", "c2", "p1"))
     for n in range(400):  # after its repair the parent is used again
         d.now += 100.0
--- a/tests/test_interface.py
+++ b/tests/test_interface.py
@@ -1,5 +1,4 @@
-"""Settings that are wrong name their key; unknown names are errors; modules that decide stay short enough to
-read."""
+"""Errors in settings name the key, unknown names are errors, and the routing modules stay short."""
 
 import ast
 import tomllib
@@ -16,7 +15,7 @@
 @pytest.mark.parametrize(
     "key", ["me", "zone", "origin_kind", "max_attempts", "cold_from", "fall_ms", "classes"]
 )
-def test_a_missing_key_is_named(key: str) -> None:
+def test_the_error_for_a_missing_key_names_it(key: str) -> None:
     with pytest.raises(ValueError, match=key):
         Settings.read({k: v for k, v in PLAIN.items() if k != key})
 
@@ -26,18 +25,18 @@
     [("me", -1), ("me", "x"), ("joins", 1), ("notes", "some"), ("zone", "nowhere"), ("fall_ms", float("nan")),
      ("hub_of", [5, 0]), ("seats_by_zone", [1]), ("max_attempts", 0), ("tick_ms", float("inf")), ("classes", [])],
 )  # fmt: skip
-def test_a_wrong_value_is_named(key: str, value: object) -> None:
+def test_the_error_for_a_wrong_value_names_its_key(key: str, value: object) -> None:
     with pytest.raises(ValueError, match=key):
         settings(**{key: value})
 
 
-def test_a_wrong_class_value_is_named() -> None:
+def test_the_error_for_a_wrong_class_value_names_its_key() -> None:
     bad = [dict(PLAIN["classes"][0], effect="maybe")]
     with pytest.raises(ValueError, match=r"classes\[0\].effect"):
         settings(classes=bad)
 
 
-def test_unknown_keys_are_passed_over_and_unknown_names_are_errors() -> None:
+def test_unknown_keys_are_ignored_and_unknown_names_are_errors() -> None:
     known = settings(colour="blue")
     with pytest.raises(ValueError, match="unknown class 'song'"):
         known.class_named("song")
@@ -50,7 +49,7 @@
 
 
 def too_long(source: str, name: str) -> list[str]:
-    """The module, and its classes and functions, that have more lines than a reader takes in at once."""
+    """The names of the module, classes and functions that exceed the limits on lines."""
     found = [name] if len(source.splitlines()) > MAX_MODULE_LINES else []
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.ClassDef):
@@ -66,7 +65,7 @@
 
 
 @pytest.mark.parametrize("path", ROUTING, ids=lambda path: path.name)
-def test_modules_that_decide_stay_readable(path: Path) -> None:
+def test_routing_modules_stay_within_the_line_limits(path: Path) -> None:
     assert too_long(path.read_text(), path.name) == []
 
 
@@ -82,7 +81,7 @@
         ("def f():\n" + "    x = 1\n" * 40, ["m:f"]),
     ],
 )
-def test_what_is_too_long_to_read_is_found(source: str, found: list[str]) -> None:
+def test_too_long_modules_classes_and_functions_are_found(source: str, found: list[str]) -> None:
     assert too_long(source, "m") == found
 
 
@@ -91,12 +90,12 @@
         assert all(len(line) <= MAX_LINE_LENGTH for line in path.read_text().splitlines()), path
 
 
-def test_the_interface_is_named_first_in_the_module() -> None:
+def test_the_router_module_names_the_interface_first() -> None:
     docstring = ast.get_docstring(ast.parse((ROOT / "gladelane" / "routing" / "router.py").read_text()))
     assert docstring is not None and "gladelane/routing/events.py" in docstring.split("The parts")[0]
 
 
-def test_the_deploy_file_names_every_module_that_decides() -> None:
+def test_the_deploy_file_names_every_routing_module() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     modules = {
         path.relative_to(ROOT).as_posix() for path in ROUTING if path.stem not in ("__init__", "events")
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The ordinary path: hash, gate, weights, thirds, source."""
+"""The ordinary path of a request: choice of cache and source, admission, utility and rank."""
 
 import pytest
 from conftest import PLAIN, Driver, members, only
@@ -12,26 +12,28 @@
     assert d.serve(object=5).rank > 0
 
 
-def test_parts_asked_for_in_turn_are_one_count_and_admission_covers_all_parts() -> None:
+def test_parts_requested_in_turn_count_once_and_admission_covers_all_parts() -> None:
     d = Driver()
     assert [d.serve(object=5, part=p).rank for p in range(6)] == [0] * 6
     assert d.serve(object=5, part=0).rank > 0
-    # parts not yet asked twice are kept too: a gate that empties must not keep every other part
+    # parts that were requested only once are kept as well: resetting the gate must not leave out every other
+    # part
     assert all(d.serve(object=5, part=p).rank > 0 for p in range(1, 9))
 
 
-def test_where_many_proxies_share_a_location_a_request_seen_stands_for_as_many() -> None:
-    # eight proxies a branch: 85 in 100 fills passed unkept, and one in five of them was filled again
-    for seats, first in ((2, False), (3, True), (16, True)):
-        d = Driver(seats_by_zone=[0, seats], proxies=16)
+def test_a_request_counts_for_all_directors_of_the_zone_if_there_are_many() -> None:
+    """With eight directors per zone, 85 % of the fills were not kept, and one in five of them was filled
+    again."""
+    for directors, is_kept_at_first in ((2, False), (3, True), (16, True)):
+        d = Driver(seats_by_zone=[0, directors], proxies=16)
         kept = [d.serve(object=7, cls="page").rank > 0 for _ in range(2)]
-        assert kept == [first, True]
-        assert (d.serve(object=8, part=3).rank > 0) is first
+        assert kept == [is_kept_at_first, True]
+        assert (d.serve(object=8, part=3).rank > 0) is is_kept_at_first
 
 
-def test_few_counts_give_the_lowest_rank_where_many_proxies_share_a_location() -> None:
-    for seats, ranks in ((1, {2, 3}), (16, {1})):
-        d = Driver(members(caches=1), seats_by_zone=[0, seats], proxies=16)
+def test_few_requests_give_the_lowest_rank_if_many_directors_share_a_zone() -> None:
+    for directors, ranks in ((1, {2, 3}), (16, {1})):
+        d = Driver(members(caches=1), seats_by_zone=[0, directors], proxies=16)
         for n in range(1, 10):
             d.serve(object=n, cls="page")
         d.now += 1000.0
@@ -39,7 +41,7 @@
         assert {d.serve(object=n, cls="page").rank for n in (8, 9)} <= ranks
 
 
-def test_an_admitted_object_is_kept_at_once_when_its_cache_came_back_empty() -> None:
+def test_an_admitted_object_is_kept_at_once_after_a_restart_of_its_cache() -> None:
     d = Driver()
     home = [d.serve(object=5) for _ in range(3)][-1].store
     d.members((Member(home, "edge", "box", started_at_ms=d.now - 60_000.0),))
@@ -48,13 +50,13 @@
     assert fetch.rank > 0
 
 
-def test_same_cache_for_an_object_part_and_all_caches_in_use() -> None:
+def test_an_object_part_has_one_cache_and_all_caches_are_used() -> None:
     d = Driver()
     assert len({d.serve(object=5).store for _ in range(10)}) == 1
     assert {d.serve(object=n).store for n in range(200)} == {"c0", "c1", "c2"}
 
 
-def test_source_is_the_hash_over_all_parents_and_the_next_when_that_one_is_not_ready() -> None:
+def test_source_is_the_first_ready_parent_in_hash_order() -> None:
     d = Driver()
     first = d.serve(object=5).source
     assert first in ("p0", "p1")
@@ -64,11 +66,11 @@
     assert d.serve(object=5).source == ({"p0", "p1"} - {first}).pop()
 
 
-def test_origin_is_the_source_where_there_are_no_parents() -> None:
+def test_origin_is_the_source_if_there_are_no_parents() -> None:
     assert Driver(members(parents=0)).serve(object=5).source == "root"
 
 
-def test_weights_of_answers_make_the_utility() -> None:
+def test_utility_is_weighted_by_the_source_of_answers() -> None:
     gained = {}
     for note in (Note.HIT, Note.PARENT_HELD, Note.FROM_ORIGIN, Note.NOT_REPORTED):
         d = Driver()
@@ -81,10 +83,10 @@
         Note.FROM_ORIGIN: base,
         Note.NOT_REPORTED: base,
     }
-    assert base == 2.0  # the class's worth times one counted request
+    assert base == 2.0  # the priority weight of the class times one counted request
 
 
-def test_thirds_of_utility_give_the_rank() -> None:
+def test_rank_is_the_third_of_the_utility() -> None:
     d = Driver(members(caches=1))
     for n in range(1, 10):
         for _ in range(n + 1):
@@ -95,7 +97,7 @@
     assert ranks == sorted(ranks) and set(ranks) == {1, 2, 3}
 
 
-def test_counts_and_utility_halve() -> None:
+def test_counts_and_utility_are_halved_periodically() -> None:
     d = Driver()
     d.serve(object=5)
     before = d.router.objects[5].utility
@@ -104,19 +106,20 @@
     assert d.router.objects[5].utility == before / 2
 
 
-def test_uncacheable_goes_through_unkept() -> None:
+def test_an_uncacheable_request_goes_through_a_cache_without_being_kept() -> None:
     d = Driver()
     fetch = only(d.ask(cls="pair"), Fetch)
     assert (fetch.rank, fetch.source) == (0, "root")
 
 
 @pytest.mark.parametrize("deadline", [600.0, 3000.0])
-def test_the_waits_of_a_write_for_a_refusing_origin_follow_its_deadline(deadline: float) -> None:
-    # 100 ms a try and 300 ms left, as they were, let a class with 600 ms try again once
+def test_backoffs_of_a_write_that_the_origin_rejects_scale_with_its_deadline(deadline: float) -> None:
+    """With a fixed backoff of 100 ms and 300 ms that had to be left, a class with a deadline of 600 ms was
+    retried only once."""
     sale = next(spec for spec in PLAIN["classes"] if spec["name"] == "sale")
     others = [spec for spec in PLAIN["classes"] if spec is not sale]
     driver = Driver(straight=True, classes=[*others, {**sale, "deadline_ms": deadline}])
-    tries, actions = 1, driver.ask("sale", part=0)
+    attempts, actions = 1, driver.ask("sale", part=0)
     while lookups := [a for a in actions if isinstance(a, Lookup)]:
         waits = [
             a
@@ -125,7 +128,7 @@
         ]
         if not waits:
             break
-        assert waits[0].due_ms - driver.now == pytest.approx(deadline / 30 * tries)
+        assert waits[0].due_ms - driver.now == pytest.approx(deadline / 30 * attempts)
         driver.now = waits[0].due_ms
-        tries, actions = tries + 1, driver.tell(Timer(waits[0].token))
-    assert tries == 5
+        attempts, actions = attempts + 1, driver.tell(Timer(waits[0].token))
+    assert attempts == 5
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,8 @@
-"""The five rules, case by case and over random sequences."""
+"""The rules that every decision must keep, in single cases and over random sequences of events.
+
+Checked are when a request may be repeated, that servers out of service get nothing, the age of copies after
+purges, the budgets of cold servers, and one final answer within the deadline.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +38,7 @@
 from gladelane.routing.router import Router
 
 
-def test_unsafe_is_not_repeated_nor_refused_once_it_may_have_run() -> None:
+def test_an_unsafe_request_is_neither_repeated_nor_rejected_once_it_may_have_run() -> None:
     for status in (Status.TIMEOUT, Status.RESET, Status.ERROR):
         d = Driver()
         actions = d.answer(only(d.ask(cls="pair"), Fetch), status, Note.NOT_REPORTED)
@@ -42,12 +46,12 @@
         only(actions, Fail)
 
 
-def test_unsafe_goes_on_after_an_outcome_that_proves_it_never_ran() -> None:
+def test_an_unsafe_request_is_retried_after_an_outcome_that_proves_it_never_ran() -> None:
     d = Driver()
     only(d.answer(only(d.ask(cls="pair"), Fetch), Status.CONNECT_FAILED, Note.NOT_REPORTED), Fetch)
 
 
-def test_keyed_is_repeated_only_within_its_window() -> None:
+def test_a_keyed_request_is_repeated_only_within_its_window() -> None:
     d = Driver(straight=True)
     only(d.answer(only(d.ask(cls="sale"), Lookup), Status.RESET, Note.NOT_REPORTED), Lookup)
     classes = [dict(c, window_ms=100.0) for c in __import__("conftest").PLAIN["classes"]]
@@ -57,7 +61,7 @@
     )
 
 
-def test_nothing_goes_to_a_store_told_to_drain_nor_names_it_as_source() -> None:
+def test_a_draining_store_gets_no_request_and_is_no_source() -> None:
     d = Driver()
     bad = {"c0", "p0"}
     told = [Member(m.store, m.zone, m.kind, state=State.DRAINING) for m in members() if m.store in bad]
@@ -67,7 +71,7 @@
         assert not {fetch.store, fetch.source} & bad
 
 
-def test_a_purge_bounds_the_age_on_every_attempt_and_is_not_joined() -> None:
+def test_a_purge_bounds_the_age_of_every_attempt_and_prevents_joining() -> None:
     d = Driver()
     d.serve(object=5)
     d.tell(Purge(5, 0, 80.0))
@@ -78,7 +82,7 @@
     assert 0 < again.max_age_ms <= 880.0 and not again.join
 
 
-def test_a_purge_of_a_group_binds_its_objects_and_no_others() -> None:
+def test_a_purge_of_a_group_applies_to_its_objects_only() -> None:
     d = Driver()
     d.tell(Purge(0, 4, 80.0))
     d.now += 700.0
@@ -86,14 +90,14 @@
     assert only(d.ask(object=6, group=3), Fetch).max_age_ms == 0.0
 
 
-def test_a_purge_stops_binding_when_caches_have_dropped_old_copies() -> None:
+def test_a_purge_expires_when_caches_have_dropped_old_copies() -> None:
     d = Driver()
     d.tell(Purge(5, 0, 0.0))
     d.now += 20_000.0
     assert only(d.ask(object=5), Fetch).max_age_ms == 0.0
 
 
-def test_an_aged_bound_never_exceeds_the_fresh_time() -> None:
+def test_an_age_bound_never_exceeds_the_fresh_time() -> None:
     classes = [dict(c, fresh_ms=300.0) for c in __import__("conftest").PLAIN["classes"]]
     d = Driver(classes=classes)
     d.tell(Purge(5, 0, 0.0))
@@ -115,7 +119,7 @@
             at.append(d.now)
     start = d.now
     assert start
-    usual = 1000.0 / 60.0 / 3  # requests a second and cache while all are warm
+    usual = 1000.0 / 60.0 / 3  # requests per second and cache while all are warm
     for since in at:
         inside = [t for t in at if since <= t < since + 2000.0]
         part = min(1.0, 0.2 + 0.8 * (inside[-1] - at[0] + 2000.0) / 15000.0)
@@ -123,10 +127,10 @@
 
 
 @pytest.mark.parametrize("served_before", [0, 60])
-def test_a_cold_parent_is_spared_too(served_before: int) -> None:
-    """Without a listed size it counts as one transfer at a time: 10 of these requests a second, of which a
-    cold parent bears a tenth, twice over. One director may send 0.65 of a window's 4, so 2, and not half of
-    the 30."""
+def test_a_cold_parent_gets_no_more_than_its_budget(served_before: int) -> None:
+    """A parent without a listed size counts as one transfer at a time, which is 10 of these requests per
+    second. A cold parent bears a tenth of that, times 2. A director may send 0.65 of the 4 requests of a
+    window, thus 2, and not half of the 30."""
     d = Driver()
     for n in range(served_before):
         d.serve(object=1000 + n)
@@ -135,7 +139,7 @@
     assert sources.count("p0") <= 2 and sources.count("p0") + sources.count("p1") == 30
 
 
-def test_never_two_out_where_second_copies_are_not_allowed() -> None:
+def test_there_is_one_attempt_in_flight_if_second_copies_are_not_allowed() -> None:
     d = Driver(second_copies=False)
     fetch = only(d.ask(object=5), Fetch)
     for step in range(30):
@@ -144,7 +148,7 @@
             assert not some(d.tell(Timer(token)), (Fetch, Lookup)), step
 
 
-def test_the_answer_comes_by_the_deadline_of_the_try_without_any_outcome() -> None:
+def test_the_final_answer_is_given_at_the_deadline_without_any_outcome() -> None:
     d = Driver()
     actions = d.ask(object=5)
     due = [a for a in actions if isinstance(a, SetTimer) and a.token == f"d:{d.ids}"]
@@ -159,163 +163,179 @@
     st.sampled_from(["ask", "end", "end", "purge", "group", "drain", "vanish", "restart", "lost", "wait", "gone", "odd"]),
     st.integers(0, 11), STATUSES, NOTES, st.sampled_from([1.0, 40.0, 300.0, 1500.0]),
 )  # fmt: skip
-SITE = st.fixed_dictionaries({
+SETTINGS_CHANGES = st.fixed_dictionaries({
     "second_copies": st.booleans(), "straight": st.booleans(), "cancel": st.booleans(), "joins": st.booleans(),
     "retry_after": st.booleans(), "notes": st.sampled_from(["all", "hit", "none"]),
     "flow_kb_per_s": st.sampled_from([0.0, 4000.0]),
 })  # fmt: skip
 
 
-class Watched:
-    """Plays a random sequence and holds every action against the rules."""
+class RuleChecker:
+    """Applies a random sequence of events to a router and checks every action against the rules."""
 
     def __init__(self, caches: int, parents: int, changes: dict[str, Any]) -> None:
-        self.d = Driver(members(caches, parents), **changes)
+        self.driver = Driver(members(caches, parents), **changes)
         self.listed = {m.store: m for m in members(caches, parents)}
-        self.open: dict[int, Request] = {}
+        self.open_requests: dict[int, Request] = {}
         self.ended: set[int] = set()
-        self.out: dict[tuple[int, int], tuple[str, float]] = {}
-        self.count: dict[int, int] = {}
-        self.maybe: dict[int, float] = {}
-        self.told: dict[str, float] = {}
+        self.in_flight: dict[tuple[int, int], tuple[str, float]] = {}
+        self.attempt_counts: dict[int, int] = {}
+        self.may_have_run_ms: dict[int, float] = {}
+        self.unavailable_since_ms: dict[str, float] = {}
         self.purges: dict[tuple[int, int], tuple[float, float]] = {}
         self.timers: list[tuple[float, str]] = []
 
     def tell(self, event: Any) -> None:
-        for action in self.d.tell(event):
+        for action in self.driver.tell(event):
             self.check(action)
 
-    def check(self, a: Any) -> None:
-        d, now = self.d, self.d.now
-        if isinstance(a, SetTimer):
-            self.timers.append((a.due_ms, a.token))
-        elif isinstance(a, (Fetch, Lookup)):
-            assert a.id in self.open and a.timeout_ms > 0
-            request = self.open[a.id]
-            spec = d.settings.class_named(request.cls)
-            others = [k for k in self.out if k[0] == a.id]
-            assert d.settings.second_copies or not others
+    def check(self, action: Any) -> None:
+        driver, now = self.driver, self.driver.now
+        if isinstance(action, SetTimer):
+            self.timers.append((action.due_ms, action.token))
+        elif isinstance(action, (Fetch, Lookup)):
+            assert action.id in self.open_requests and action.timeout_ms > 0
+            request = self.open_requests[action.id]
+            spec = driver.settings.class_named(request.cls)
+            others = [k for k in self.in_flight if k[0] == action.id]
+            assert driver.settings.second_copies or not others
             if spec.effect is Effect.UNSAFE:
-                assert not others and a.id not in self.maybe
-            first = min([self.maybe.get(a.id, now), *(self.out[k][1] for k in others)])
+                assert not others and action.id not in self.may_have_run_ms
+            first = min([self.may_have_run_ms.get(action.id, now), *(self.in_flight[k][1] for k in others)])
             if spec.effect is Effect.KEYED:
                 assert now - first <= spec.window_ms
-            names = {a.store} | ({a.source} if isinstance(a, Fetch) else set())
+            names = {action.store} | ({action.source} if isinstance(action, Fetch) else set())
             for name in names:
-                assert now <= self.told.get(name, now) + d.settings.drain_grace_ms
-            if isinstance(a, Lookup):
-                assert a.store == "root"
-            elif spec.cacheable:  # what is not kept runs at the origin: no copy can be old
-                self.check_age(a, request, now)
-            number = self.count.get(a.id, 0)
-            assert number < d.settings.max_attempts
-            self.count[a.id] = number + 1
-            self.out[(a.id, number)] = (a.store, now)
-        elif isinstance(a, (Refuse, Fail)):
-            assert a.id in self.open, "a second final answer"
-            spec = d.settings.class_named(self.open[a.id].cls)
-            ran = a.id in self.maybe or any(k[0] == a.id for k in self.out)
-            if isinstance(a, Refuse):
+                assert now <= self.unavailable_since_ms.get(name, now) + driver.settings.drain_grace_ms
+            if isinstance(action, Lookup):
+                assert action.store == "root"
+            elif spec.cacheable:  # other requests run at the origin, where no copy can be old
+                self.check_age(action, request, now)
+            number = self.attempt_counts.get(action.id, 0)
+            assert number < driver.settings.max_attempts
+            self.attempt_counts[action.id] = number + 1
+            self.in_flight[(action.id, number)] = (action.store, now)
+        elif isinstance(action, (Refuse, Fail)):
+            assert action.id in self.open_requests, "a second final answer"
+            spec = driver.settings.class_named(self.open_requests[action.id].cls)
+            ran = action.id in self.may_have_run_ms or any(k[0] == action.id for k in self.in_flight)
+            if isinstance(action, Refuse):
                 assert spec.effect is not Effect.UNSAFE or not ran
-            del self.open[a.id]
-            self.ended.add(a.id)
-        elif isinstance(a, Cancel):
-            assert d.settings.cancel and self.count.get(a.id, 0) > a.attempt
+            del self.open_requests[action.id]
+            self.ended.add(action.id)
+        elif isinstance(action, Cancel):
+            assert driver.settings.cancel and self.attempt_counts.get(action.id, 0) > action.attempt
 
-    def check_age(self, a: Fetch, request: Request, now: float) -> None:
+    def check_age(self, action: Fetch, request: Request, now: float) -> None:
         for key in ((request.object, 0), (0, request.group)):
             if key in self.purges:
-                purged, told = self.purges[key]
-                if told + self.d.settings.purge_grace_ms < now < purged + self.d.settings.purge_done_ms:
-                    assert 0 < a.max_age_ms <= now - purged and not a.join
+                purged, received = self.purges[key]
+                if (
+                    received + self.driver.settings.purge_grace_ms
+                    < now
+                    < purged + self.driver.settings.purge_done_ms
+                ):
+                    assert 0 < action.max_age_ms <= now - purged and not action.join
 
     def run_timers(self, until: float) -> None:
         while due := sorted(t for t in self.timers if t[0] <= until):
             self.timers.remove(due[0])
-            self.d.now = max(self.d.now, due[0][0])
-            self.overdue()
+            self.driver.now = max(self.driver.now, due[0][0])
+            self.check_deadlines()
             self.tell(Timer(due[0][1]))
-        self.d.now = until
+        self.driver.now = until
 
-    def overdue(self) -> None:
-        late = self.d.settings.answer_grace_ms
-        assert all(self.d.now <= r.deadline_ms + late for r in self.open.values())
+    def check_deadlines(self) -> None:
+        grace_ms = self.driver.settings.answer_grace_ms
+        assert all(self.driver.now <= r.deadline_ms + grace_ms for r in self.open_requests.values())
 
-    def step(self, what: str, n: int, status: Status, note: Note, wait: float) -> None:
-        d = self.d
+    def step(self, kind: str, number: int, status: Status, note: Note, wait: float) -> None:
+        driver = self.driver
         names = sorted(self.listed)
-        name = names[n % len(names)]
+        name = names[number % len(names)]
         member = self.listed[name]
-        if what == "ask":
-            d.ids += 1
-            cls = ("film", "page", "sale", "pair")[n % 4]
-            request = Request(d.ids, cls, n % 3 + 1, d.now + 400.0 * (n + 1), 300.0, group=n % 2, part=n % 5)
-            self.open[d.ids] = request
+        if kind == "ask":
+            driver.ids += 1
+            cls = ("film", "page", "sale", "pair")[number % 4]
+            request = Request(
+                driver.ids,
+                cls,
+                number % 3 + 1,
+                driver.now + 400.0 * (number + 1),
+                300.0,
+                group=number % 2,
+                part=number % 5,
+            )
+            self.open_requests[driver.ids] = request
             self.tell(request)
-        elif what == "end" and self.out:
-            key = sorted(self.out)[n % len(self.out)]
-            store, sent = self.out.pop(key)
+        elif kind == "end" and self.in_flight:
+            key = sorted(self.in_flight)[number % len(self.in_flight)]
+            store, sent = self.in_flight.pop(key)
             over = key[0] in self.ended or status is Status.OK
             if status not in NEVER_RAN:
-                self.maybe[key[0]] = min(sent, self.maybe.get(key[0], sent))
-            if over and key[0] in self.open:
-                del self.open[key[0]]
+                self.may_have_run_ms[key[0]] = min(sent, self.may_have_run_ms.get(key[0], sent))
+            if over and key[0] in self.open_requests:
+                del self.open_requests[key[0]]
                 self.ended.add(key[0])
-            self.tell(Outcome(key[0], key[1], store, status, d.now - sent, note, over=over))
-        elif what in ("purge", "group"):
-            key = (n % 3 + 1, 0) if what == "purge" else (0, n % 2)
-            self.purges[key] = (d.now - 50.0, d.now)
-            self.tell(Purge(key[0], n % 2, 50.0))
-        elif what in ("drain", "vanish", "restart"):
-            state = {"drain": State.DRAINING, "vanish": State.GONE, "restart": State.READY}[what]
+            self.tell(Outcome(key[0], key[1], store, status, driver.now - sent, note, over=over))
+        elif kind in ("purge", "group"):
+            key = (number % 3 + 1, 0) if kind == "purge" else (0, number % 2)
+            self.purges[key] = (driver.now - 50.0, driver.now)
+            self.tell(Purge(key[0], number % 2, 50.0))
+        elif kind in ("drain", "vanish", "restart"):
+            state = {"drain": State.DRAINING, "vanish": State.GONE, "restart": State.READY}[kind]
             if state is State.READY:
-                self.told.pop(name, None)
+                self.unavailable_since_ms.pop(name, None)
             else:
-                self.told.setdefault(name, d.now)
+                self.unavailable_since_ms.setdefault(name, driver.now)
             changed = Member(
-                name, member.zone, member.kind, state=state, started_at_ms=d.now if what == "restart" else 0
+                name,
+                member.zone,
+                member.kind,
+                state=state,
+                started_at_ms=driver.now if kind == "restart" else 0,
             )
             self.tell(Members(ListKind.CHANGES, (changed,)))
-        elif what == "lost":
+        elif kind == "lost":
             self.tell(Members(ListKind.FAILED))
-        elif what == "gone" and self.open:
-            number = sorted(self.open)[n % len(self.open)]
-            del self.open[number]
-            self.ended.add(number)
-            self.tell(ClientDisconnected(number))
-        elif what == "odd":
-            self.tell(Outcome(10_000 + n, 0, "nowhere", status, 1.0, note))
-            self.tell(ClientDisconnected(10_000 + n))
+        elif kind == "gone" and self.open_requests:
+            request_id = sorted(self.open_requests)[number % len(self.open_requests)]
+            del self.open_requests[request_id]
+            self.ended.add(request_id)
+            self.tell(ClientDisconnected(request_id))
+        elif kind == "odd":
+            self.tell(Outcome(10_000 + number, 0, "nowhere", status, 1.0, note))
+            self.tell(ClientDisconnected(10_000 + number))
         else:
-            self.run_timers(d.now + wait)
+            self.run_timers(driver.now + wait)
 
 
-@given(st.integers(0, 3), st.integers(0, 2), SITE, st.lists(STEP, max_size=80))
+@given(st.integers(0, 3), st.integers(0, 2), SETTINGS_CHANGES, st.lists(STEP, max_size=80))
 def test_random_sequences_keep_the_rules(
     caches: int, parents: int, changes: dict[str, Any], steps: list[Any]
 ) -> None:
-    w = Watched(caches, parents, changes)
+    checker = RuleChecker(caches, parents, changes)
     for step in steps:
-        w.step(*step)
-    w.run_timers(w.d.now + 8000.0)
-    assert not w.open and not w.d.router.pending
+        checker.step(*step)
+    checker.run_timers(checker.driver.now + 8000.0)
+    assert not checker.open_requests and not checker.driver.router.pending
 
 
 @given(st.lists(STEP, max_size=40))
 def test_same_events_give_the_same_actions(steps: list[Any]) -> None:
     runs = []
     for _ in range(2):
-        w = Watched(3, 2, {})
-        said: list[Any] = []
-        told = w.d.tell
-        w.d.tell = lambda e, told=told, said=said: (said.append(a := told(e)), a)[1]  # type: ignore[method-assign]
+        checker = RuleChecker(3, 2, {})
+        answers: list[Any] = []
+        tell = checker.driver.tell
+        checker.driver.tell = lambda e, tell=tell, answers=answers: (answers.append(a := tell(e)), a)[1]  # type: ignore[method-assign]
         for step in steps:
-            w.step(*step)
-        runs.append(said)
+            checker.step(*step)
+        runs.append(answers)
     assert runs[0] == runs[1]
 
 
-def test_an_empty_list_is_refused_at_once() -> None:
+def test_a_request_is_rejected_at_once_if_the_list_is_empty() -> None:
     d = Driver(())
     only(d.ask(object=5), Refuse)
     assert isinstance(d.router, Router)
@@ -325,7 +345,7 @@
     return [{**c, **changes} for c in PLAIN["classes"]]
 
 
-UNLIKE: dict[str, tuple[int, int, dict[str, Any]]] = {
+DEPLOYMENTS: dict[str, tuple[int, int, dict[str, Any]]] = {
     "one cache, no parents": (1, 0, {"parent_kind": ""}),
     "a hundred caches and many proxies": (100, 9, {"seats_by_zone": [0, 40], "proxies": 400}),
     "nothing is kept": (3, 2, {"classes": _classes(cacheable=False)}),
@@ -335,18 +355,18 @@
 }
 
 
-@pytest.mark.parametrize("name", UNLIKE)
-def test_deployments_unlike_the_known_ones_keep_the_rules(name: str) -> None:
+@pytest.mark.parametrize("name", DEPLOYMENTS)
+def test_unusual_deployments_keep_the_rules(name: str) -> None:
     draw = random.Random(name)
     kinds = ["ask", "ask", "ask", "end", "end", "purge", "group", "drain", "restart", "lost", "wait", "gone"]
-    w = Watched(*UNLIKE[name])
+    checker = RuleChecker(*DEPLOYMENTS[name])
     for _ in range(600):
-        w.step(
+        checker.step(
             draw.choice(kinds),
             draw.randrange(12),
             draw.choice(list(Status)),
             draw.choice(list(Note)),
             draw.choice([1.0, 40.0, 300.0]),
         )
-    w.run_timers(w.d.now + 8000.0)
-    assert w.count and not w.open and not w.d.router.pending
+    checker.run_timers(checker.driver.now + 8000.0)
+    assert checker.attempt_counts and not checker.open_requests and not checker.driver.router.pending
