--- a/gladelane/lab/cold.py
+++ b/gladelane/lab/cold.py
@@ -230,7 +230,7 @@
         budgets = ColdBudgets(self.settings, self.case.directors, random.Random(self.rng.random()))
         budgets.learned_ms = began_ms
         tokens = Tokens()
-        tokens.renew(informed_ms)
+        tokens.reset(informed_ms)
         for kind, mean in enumerate(CLASSES):
             for _ in range(0 if self.case.fresh else MEAN_SAMPLES):
                 budgets.work(str(kind), mean * self.unit)
--- a/gladelane/routing/endpoint_updates.py
+++ b/gladelane/routing/endpoint_updates.py
@@ -12,9 +12,8 @@
 from .store import Store
 
 POLL_BACKOFF_MS = 1000.0  # delay before a list that could not be read is requested again
-INITIAL_LINK_SHARE = (
-    1.2  # initial limit of a source in a large zone, relative to this director's share of its link
-)
+# Initial limit of a source in a large zone, relative to this director's share of its link.
+INITIAL_LINK_SHARE = 1.2
 MIN_INGRESS_FILLS = 1.0  # minimum of fills per cache of the zone, for all directors together
 
 
@@ -35,7 +34,7 @@
         store_list.apply_settings(context.settings)
         listed = {member.store: member for member in event.stores}
         if event.kind is not ListKind.CHANGES:
-            for name in [known for known in store_list.stores if known not in listed]:
+            for name in [name for name in store_list.stores if name not in listed]:
                 store_list.remove(name)
         observed_start = ObservedStart(context.now_ms, event.kind is ListKind.CHANGES)
         for member in listed.values():
@@ -70,17 +69,18 @@
         origin, parents = store_list.origin, store_list.parents
         if not origin or not parents:
             return
-        widest = max(parent.max_concurrent_attempts for parent in parents)
-        is_wider = widest > origin.max_concurrent_attempts  # if not, its limit is created at its first use
+        max_parent_limit = max(parent.max_concurrent_attempts for parent in parents)
+        # if this is false, the limit of the origin is created at its first use
+        exceeds_origin_limit = max_parent_limit > origin.max_concurrent_attempts
         if not origin.is_initial_limit_set:
             origin.is_initial_limit_set = True
-            if is_wider:
-                origin.concurrency.raise_max_limit(widest)
+            if exceeds_origin_limit:
+                origin.concurrency.raise_max_limit(max_parent_limit)
             self._set_initial_limit(
                 origin, sum(self._context.cold.link_share(parent.member) for parent in parents)
             )
-        elif is_wider:  # a larger parent that joins must not undo what was learned
-            origin.concurrency.max_limit = max(origin.concurrency.max_limit, widest)
+        elif exceeds_origin_limit:  # a larger parent that joins must not undo what was learned
+            origin.concurrency.max_limit = max(origin.concurrency.max_limit, max_parent_limit)
 
     def _divide_initial_limits(self) -> None:
         """Divides the initial limits of unused sources among the directors of a large fleet.
--- a/gladelane/routing/load_shedding.py
+++ b/gladelane/routing/load_shedding.py
@@ -65,10 +65,10 @@
             self._context.emit(Fail(pending.request.id))
         self._requests.drop(pending)
 
-    def forget(self, number: int) -> None:
+    def end_request(self, request_id: int) -> None:
         """Ends a request that was answered or whose client disconnected, and cancels its attempts in
         flight."""
-        pending = self._requests.pending.get(number)
+        pending = self._requests.pending.get(request_id)
         if pending is not None:
             self._cancel_attempts(pending)
             self._requests.drop(pending)
--- a/gladelane/routing/router.py
+++ b/gladelane/routing/router.py
@@ -153,7 +153,7 @@
             case Purge():
                 self.freshness.add_purge(event)
             case ClientDisconnected():
-                self.shedding.forget(event.id)
+                self.shedding.end_request(event.id)
             case Started():
                 self.requests.mark_started(event.id)
             case _:
@@ -239,7 +239,7 @@
         if event.status is Status.OK and pending.spec.cacheable:
             self.work.learn_elapsed(pending)
             self.admission.add_utility(pending, event.note)
-        self.shedding.forget(event.id)
+        self.shedding.end_request(event.id)
 
     def _start(self) -> None:
         self._is_started = True
--- a/gladelane/routing/server_credit.py
+++ b/gladelane/routing/server_credit.py
@@ -44,9 +44,9 @@
     __slots__ = ("credit", "at_ms", "recently_taken", "admitted_cost", "stake", "observed_start", "_slots")
 
     def __init__(self) -> None:
-        self.renew(NEVER_MS)
+        self.reset(NEVER_MS)
 
-    def renew(self, now: float, observed_start: ObservedStart | None = None) -> None:
+    def reset(self, now: float, observed_start: ObservedStart | None = None) -> None:
         """Resets the bucket for a new process of the server: it has no credit, and earns it from now on.
         Without `observed_start`, its start became known now by a complete list."""
         self.observed_start = observed_start or ObservedStart(now)
@@ -62,7 +62,7 @@
             work += self._slots.pop()[1]
         self._slots.append((slot, work))
 
-    def forget(self, slot: int) -> None:
+    def drop_expired_usage(self, slot: int) -> None:
         """Subtracts from `recently_taken` what was taken more than a window before this slot."""
         while self._slots and self._slots[0][0] < slot - SLOTS:
             self.recently_taken -= self._slots.popleft()[1]
--- a/gladelane/routing/slow_start.py
+++ b/gladelane/routing/slow_start.py
@@ -63,7 +63,7 @@
     own: float
     mean_high: float
     mean_low: float
-    usual_of: tuple[_Kind, ...] = ()
+    usual_of: tuple[_ServerKind, ...] = ()
 
 
 class _Mean:
@@ -82,11 +82,11 @@
         return Work(own, self.work * uncertainty, self.work / uncertainty)
 
 
-class _Kind:
+class _ServerKind:
     """One kind of servers, caches or parents: its slow start settings, and the work sent to warm servers."""
 
-    def __init__(self, start: float, warm_ms: float, multiple: float, senders: int) -> None:
-        self.start, self.warm_ms, self.multiple = start, warm_ms, multiple
+    def __init__(self, start_share: float, warm_ms: float, multiple: float, senders: int) -> None:
+        self.start_share, self.warm_ms, self.multiple = start_share, warm_ms, multiple
         self.senders = max(senders, 1)
         self.sent = 0.0
         self.usual = 0.0  # work per second and warm server
@@ -101,7 +101,7 @@
 
     def capacity_share(self, age_ms: float) -> float:
         """The capacity of a cold server of this age as a part of that of a warm one."""
-        return self.start + (1.0 - self.start) * min(age_ms / self.warm_ms, 1.0)
+        return self.start_share + (1.0 - self.start_share) * min(age_ms / self.warm_ms, 1.0)
 
 
 class ColdBudgets:
@@ -119,8 +119,8 @@
         self.max_spending_ms = WINDOW_SHARE * self.window_ms
         # all directors may be in this zone if the settings do not give their number
         senders = directors if s.seats_by_zone else s.proxies
-        self.caches = _Kind(s.cold_from, s.warm_after_ms, s.fall_multiple, senders)
-        self.parents = _Kind(s.parent_cold_from, s.parent_cold_ms, s.parent_fall_multiple, s.proxies)
+        self.caches = _ServerKind(s.cold_from, s.warm_after_ms, s.fall_multiple, senders)
+        self.parents = _ServerKind(s.parent_cold_from, s.parent_cold_ms, s.parent_fall_multiple, s.proxies)
         # when the usual load was last updated; initially, when this process started
         self.learned_ms = NEVER_MS
         self.started_ms = NEVER_MS
@@ -131,10 +131,10 @@
         self.clocks_disagree = False  # whether a date of the platform is ahead of the clock passed as `now`
         self.process_count = 1  # processes of this director: two during a hot restart
 
-    def _kind_of(self, member: Member) -> _Kind:
+    def _kind_of(self, member: Member) -> _ServerKind:
         return self.parents if member.kind == self.parent_kind else self.caches
 
-    def _is_warm(self, kind: _Kind, member: Member, observed_start: ObservedStart, now: float) -> bool:
+    def _is_warm(self, kind: _ServerKind, member: Member, observed_start: ObservedStart, now: float) -> bool:
         if not member.started_at_ms or not kind.warm_ms:
             return True
         return self._age_ms(member, observed_start, now) >= kind.warm_ms
@@ -176,7 +176,7 @@
         """The work of a request that has arrived; called once for all of its attempts."""
         return self.means.setdefault(class_name, _Mean()).learn(own)
 
-    def _cost(self, kind: _Kind, work: Work) -> float:
+    def _cost(self, kind: _ServerKind, work: Work) -> float:
         """The cost of a request as the servers account for it. Caches account for the mean of the class, and
         the actual transfer may take more."""
         return max(work.own, work.mean_high if kind is self.caches else MIN_HUB_COST_SHARE * work.mean_high)
@@ -188,8 +188,8 @@
         if self._is_warm(kind, member, tokens.observed_start, now):
             return True
         cost = self._cost(kind, work)
-        together = self._allowed(kind, member, tokens, now) * kind.senders * self.window_ms / 1000.0
-        if cost > MAX_REQUEST_SHARE * together + MAX_REQUEST_MEANS * work.mean_low:
+        allowed_to_all = self._allowed(kind, member, tokens, now) * kind.senders * self.window_ms / 1000.0
+        if cost > MAX_REQUEST_SHARE * allowed_to_all + MAX_REQUEST_MEANS * work.mean_low:
             return False
         credit = self._refill(kind, member, tokens, now)
         if max(tokens.admitted_cost, credit) >= cost:
@@ -219,37 +219,37 @@
         """The credit that earlier processes of this director may have spent on a server within the window
         that ends now, as the time in which a director earns it. This process has no record of it. At most it
         is the credit earned since the server started, and the most that a director may spend in a window."""
-        began = self._process_started_ms()
-        if now >= began + self.window_ms:
+        started_ms = self._process_started_ms()
+        if now >= started_ms + self.window_ms:
             return 0.0
-        age_ms = self._age_ms(member, tokens.observed_start, began)
+        age_ms = self._age_ms(member, tokens.observed_start, started_ms)
         return min(STEADY_SHARE * age_ms, self.max_spending_ms)
 
     def _slot(self, now: float) -> int:
         return int(now * SLOTS // self.window_ms)
 
-    def _allowed(self, kind: _Kind, member: Member, tokens: Tokens, now: float) -> float:
+    def _allowed(self, kind: _ServerKind, member: Member, tokens: Tokens, now: float) -> float:
         """Work per second that this director's share of the server's capacity bears without overload."""
-        part = kind.capacity_share(self._age_ms(member, tokens.observed_start, now))
+        capacity_share = kind.capacity_share(self._age_ms(member, tokens.observed_start, now))
         warm_share = self.link_share(member) or kind.usual or MIN_LINK_WORK_PER_S / kind.senders
-        return warm_share * part * kind.multiple
+        return warm_share * capacity_share * kind.multiple
 
-    def _refill(self, kind: _Kind, member: Member, tokens: Tokens, now: float) -> float:
+    def _refill(self, kind: _ServerKind, member: Member, tokens: Tokens, now: float) -> float:
         """Adds the credit earned since the last call; returns how much of it may be staked now."""
         if tokens.at_ms == NEVER_MS:
-            tokens.renew(now)
+            tokens.reset(now)
         elif tokens.at_ms > now:  # handed over by a process with another clock: cannot be converted
             tokens.credit, tokens.at_ms = min(tokens.credit, 0.0), now
         allowed_to_director = self._allowed(kind, member, tokens, now) / 1000.0  # work per ms
         allowed = allowed_to_director / self.process_count
-        most = allowed * self.max_spending_ms
+        max_credit = allowed * self.max_spending_ms
         if now > tokens.at_ms:
-            gained = allowed * STEADY_SHARE * max(now - max(tokens.at_ms, self._process_started_ms()), 0.0)
-            tokens.credit, tokens.at_ms = min(tokens.credit + gained, most), now
+            earned = allowed * STEADY_SHARE * max(now - max(tokens.at_ms, self._process_started_ms()), 0.0)
+            tokens.credit, tokens.at_ms = min(tokens.credit + earned, max_credit), now
             tokens.admitted_cost = tokens.stake = 0.0
-            tokens.forget(self._slot(now))
+            tokens.drop_expired_usage(self._slot(now))
         withheld = allowed_to_director * self._withheld_ms(member, tokens, now)
-        return min(tokens.credit, most - withheld - tokens.recently_taken)
+        return min(tokens.credit, max_credit - withheld - tokens.recently_taken)
 
     def learn(self, now: float, caches: Iterable[ListedServer], parents: Iterable[ListedServer]) -> None:
         """Updates the usual load of warm servers from the work sent since the last update."""
--- a/gladelane/routing/store.py
+++ b/gladelane/routing/store.py
@@ -38,7 +38,7 @@
 class Store:
     """One server on the endpoint list, what was learned from its outcomes, and its slow start budget.
 
-    In a large fleet a router sends nothing to most servers, so the attributes that only a server in use needs
+    In a large fleet a router sends nothing to most servers, so attributes that only a server in use needs
     are created at their first use."""
 
     def __init__(
@@ -76,8 +76,8 @@
         if self.initial_weight > 1.0:
             limit.limit = min(limit.max_limit, INITIAL_LIMIT_PER_WEIGHT * self.initial_weight)
         if self.division.directors > 1:
-            part = INITIAL_LIMIT_PER_WEIGHT * self.initial_weight / self.division.directors
-            limit.limit = min(limit.max_limit, max(part, MIN_DIVIDED_INITIAL_LIMIT))
+            share = INITIAL_LIMIT_PER_WEIGHT * self.initial_weight / self.division.directors
+            limit.limit = min(limit.max_limit, max(share, MIN_DIVIDED_INITIAL_LIMIT))
             limit.divide(self.division.directors, self.division.chance)
         return limit
 
@@ -90,7 +90,7 @@
     def tokens(self) -> Tokens:
         """The slow start budget of the server."""
         tokens = Tokens()
-        tokens.renew(self.listed_ms, self.observed_start)
+        tokens.reset(self.listed_ms, self.observed_start)
         return tokens
 
     @cached_property
@@ -120,14 +120,13 @@
         if self.is_limit_in_use:
             self.concurrency.divide(division.directors, division.chance)
 
-    def renew(self, observed_start: ObservedStart) -> None:
-        """Discards what was learned about the previous process, because a new one was listed under this
-        name."""
+    def record_restart(self, observed_start: ObservedStart) -> None:
+        """Resets failures and the slow start budget, because a new process was listed under this name."""
         self.reset_failures()
         self.observed_start = observed_start
         self.listed_ms = observed_start.at_ms
         if "tokens" in vars(self):  # if not, they are created with this start
-            self.tokens.renew(observed_start.at_ms, observed_start)
+            self.tokens.reset(observed_start.at_ms, observed_start)
 
     def is_ejected(self, now: float) -> bool:
         """Whether the server is ejected. After the ejection, one trial at a time is admitted until one
--- a/gladelane/routing/store_list.py
+++ b/gladelane/routing/store_list.py
@@ -96,7 +96,7 @@
         old = store.member
         # Any other date means a restart, also an earlier one: the machine's clock may have been set back.
         if member.started_at_ms and member.started_at_ms != old.started_at_ms:
-            store.renew(observed_start)
+            store.record_restart(observed_start)
         if member == old:
             return
         is_moved = (member.kind, member.zone) != (old.kind, old.zone)
@@ -106,7 +106,7 @@
         if is_moved:
             self._place(store)
         elif (member.state, member.weight) != (old.state, old.weight):
-            self._forget_order(self._list_of(store))
+            self._invalidate_order(self._list_of(store))
 
     def apply_settings(self, settings: Settings) -> None:
         """Applies settings: reclassifies all servers if they name other kinds or another zone."""
@@ -116,7 +116,7 @@
         self._cache_count = 0
         for servers in (self.caches, self.parents, self.origins):
             servers.clear()
-            self._forget_order(servers)
+            self._invalidate_order(servers)
         for store in self.stores.values():
             self._place(store)
 
@@ -169,11 +169,11 @@
             store.divide_limit(division)
 
     def _mark_list_changed(self, servers: list[Store]) -> None:
-        self._forget_order(servers)
+        self._invalidate_order(servers)
         if servers is not self.caches:
             self.sources_changed = True
 
-    def _forget_order(self, servers: list[Store] | None) -> None:
+    def _invalidate_order(self, servers: list[Store] | None) -> None:
         if servers is self.caches:
             self._cache_order = None
         elif servers is self.parents:
--- a/tests/routing/test_cold.py
+++ b/tests/routing/test_cold.py
@@ -68,7 +68,7 @@
 
 def tokens_of(now: float = NOW) -> Tokens:
     tokens = Tokens()
-    tokens.renew(now)
+    tokens.reset(now)
     return tokens
 
 
@@ -175,7 +175,7 @@
 def sent_to(cold: ColdBudgets, server: Member, observed_start: ObservedStart, until: float) -> float:
     """The work that this director sends after it learned of the server, with no random admissions."""
     tokens = Tokens()
-    tokens.renew(observed_start.at_ms, observed_start)
+    tokens.reset(observed_start.at_ms, observed_start)
     cold.rng = AlwaysRejects()
     return sum(own for _, own in send_small_requests(cold, server, tokens, observed_start.at_ms, until))
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -179,7 +179,7 @@
         self.open_requests: dict[int, Request] = {}
         self.ended: set[int] = set()
         self.in_flight: dict[tuple[int, int], tuple[str, float]] = {}
-        self.attempt_counts: dict[int, int] = {}
+        self.count: dict[int, int] = {}  # attempts by request
         self.may_have_run_ms: dict[int, float] = {}
         self.unavailable_since_ms: dict[str, float] = {}
         self.purges: dict[tuple[int, int], tuple[float, float]] = {}
@@ -211,9 +211,9 @@
                 assert action.store == "root"
             elif spec.cacheable:  # other requests run at the origin, where no copy can be old
                 self.check_age(action, request, now)
-            number = self.attempt_counts.get(action.id, 0)
+            number = self.count.get(action.id, 0)
             assert number < driver.settings.max_attempts
-            self.attempt_counts[action.id] = number + 1
+            self.count[action.id] = number + 1
             self.in_flight[(action.id, number)] = (action.store, now)
         elif isinstance(action, (Refuse, Fail)):
             assert action.id in self.open_requests, "a second final answer"
@@ -224,7 +224,7 @@
             del self.open_requests[action.id]
             self.ended.add(action.id)
         elif isinstance(action, Cancel):
-            assert driver.settings.cancel and self.attempt_counts.get(action.id, 0) > action.attempt
+            assert driver.settings.cancel and self.count.get(action.id, 0) > action.attempt
 
     def check_age(self, action: Fetch, request: Request, now: float) -> None:
         for key in ((request.object, 0), (0, request.group)):
@@ -369,4 +369,4 @@
             draw.choice([1.0, 40.0, 300.0]),
         )
     checker.run_timers(checker.driver.now + 8000.0)
-    assert checker.attempt_counts and not checker.open_requests and not checker.driver.router.pending
+    assert checker.count and not checker.open_requests and not checker.driver.router.pending
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from test_net_rules import during_the_dial, notice
-from test_rules import Watched
+from test_rules import RuleChecker
 
 from gladelane.routing.events import (
     Action,
@@ -65,12 +65,12 @@
         "wait",
         "gone",
     ]
-    watched = Watched(4, 3, SITE)
+    watched = RuleChecker(4, 3, SITE)
     for _ in range(500):
         status, note = draw.choice(list(Status)), draw.choice(list(Note))
         watched.step(draw.choice(kinds), draw.randrange(12), status, note, draw.choice([1.0, 40.0, 300.0]))
-    watched.run_timers(watched.d.now + 8000.0)
-    assert watched.count and not watched.open and not watched.d.router.pending
+    watched.run_timers(watched.driver.now + 8000.0)
+    assert watched.count and not watched.open_requests and not watched.driver.router.pending
 
 
 @pytest.mark.parametrize("hub", [False, True])
