--- a/gladelane/routing/attempts.py
+++ b/gladelane/routing/attempts.py
@@ -175,14 +175,14 @@
             limit.in_flight += 1
         name = store.member.store
         pending.in_flight[pending.attempt_count] = Attempt(
-            name, source.member.store, self._context.now_ms, pending.aim_ms, is_fill, limits
+            name, source.member.store, self._context.now_ms, pending.objective_ms, is_fill, limits
         )
         pending.attempt_count += 1
         pending.tried_stores.append(name)
 
     def _schedule_hedge(self, pending: PendingRequest) -> None:
         if self._context.settings.second_copies and pending.spec.effect is Effect.SAFE:
-            due_ms = pending.arrived_ms + pending.aim_ms * HEDGE_DELAY_SHARE
+            due_ms = pending.arrived_ms + pending.objective_ms * HEDGE_DELAY_SHARE
             if due_ms < pending.request.deadline_ms:
                 self._context.emit(SetTimer(f"{HEDGE_TIMER}:{pending.request.id}", due_ms))
 
@@ -191,4 +191,4 @@
     """The timeout of a write: the first attempt of a repeatable write leaves time for another one."""
     if pending.spec.effect is Effect.UNSAFE or pending.attempt_count:
         return left_ms
-    return min(left_ms, max(pending.aim_ms, left_ms * FIRST_WRITE_SHARE))
+    return min(left_ms, max(pending.objective_ms, left_ms * FIRST_WRITE_SHARE))
--- a/gladelane/routing/cache_admission.py
+++ b/gladelane/routing/cache_admission.py
@@ -24,7 +24,7 @@
 UTILITY_WEIGHTS = {Note.HIT: 100.0, Note.AGED: 100.0, Note.PARENT_HELD: 10.0}  # 1 for any other note
 MAX_OBJECTS = 8192  # objects in the table; the least recently requested ones are evicted
 MAX_SENT_OBJECTS = 512  # objects remembered for each cache, from which its rank thresholds are computed
-PART_BITS = 63  # mask of the part numbers that are distinguished
+PART_MASK = 63  # mask of the part numbers that are distinguished
 
 
 @dataclass(slots=True)
@@ -62,7 +62,7 @@
         self.objects.move_to_end(request.object)
         entry.count += 1.0
         if not entry.admitted:
-            self._advance_gate(entry, 1 << (request.part & PART_BITS))
+            self._advance_gate(entry, 1 << (request.part & PART_MASK))
 
     def _advance_gate(self, entry: ObjectStats, part: int) -> None:
         if self._context.is_scattered:
--- a/gladelane/routing/events.py
+++ b/gladelane/routing/events.py
@@ -46,10 +46,10 @@
 MAX_DROPPABLE_MS = 70.0
 
 
-def is_informative_timeout(waited_ms: float, aim_ms: float) -> bool:
+def is_informative_timeout(waited_ms: float, objective_ms: float) -> bool:
     """Whether a timeout says anything about the store. A timeout says nothing if the attempt had less time
     than its latency objective and so little time that stores may drop it."""
-    return waited_ms >= min(aim_ms, MAX_DROPPABLE_MS)
+    return waited_ms >= min(objective_ms, MAX_DROPPABLE_MS)
 
 
 class Note(Enum):
--- a/gladelane/routing/latency_feedback.py
+++ b/gladelane/routing/latency_feedback.py
@@ -18,9 +18,9 @@
 RECENT_MS = 1000.0  # a source is in use if its latest fill ended within this time
 # A source is late alone if its lateness exceeds that of every other source in use by this factor and margin.
 ALONE_FACTOR, ALONE_MARGIN = 2.0, 0.1
-MIN_LATENESS_ALONE = (
-    0.5  # lateness above which a source that is late alone is sent less, because any source is late at times
-)
+# Lateness above which a source that is late alone is sent less. It is not lower, as any source is late at
+# times.
+MIN_LATENESS_ALONE = 0.5
 
 _TIMED = (Status.OK, Status.TIMEOUT, Status.CANCELLED)  # outcomes whose latency is evaluated
 _FROM_CACHE = (Note.HIT, Note.AGED)
@@ -54,7 +54,7 @@
         answered in time, was lost and says nothing about load."""
         now_ms = self._context.now_ms
         elapsed_ms = attempt.elapsed_ms(now_ms, event.unread_ms)
-        is_late = elapsed_ms > attempt.aim_ms
+        is_late = elapsed_ms > attempt.objective_ms
         if event.status is Status.OK and not is_late:
             store.timely_sent_ms = max(store.timely_sent_ms, attempt.sent_ms)
         elif event.status is Status.TIMEOUT and attempt.sent_ms < store.timely_sent_ms:
@@ -82,7 +82,7 @@
         store_list, note = self._context.store_list, event.note
         source = store_list.origin if note is Note.FROM_ORIGIN else store_list.stores.get(attempt.source)
         has_waited = note is Note.NOT_REPORTED or event.source_wait_ms > elapsed_ms / 2
-        return _Fill(source, note, event.status, elapsed_ms > attempt.aim_ms, has_waited)
+        return _Fill(source, note, event.status, elapsed_ms > attempt.objective_ms, has_waited)
 
     def _limits_of_fill(self, fill: _Fill, store: Store) -> list[ConcurrencyLimit]:
         context, source = self._context, fill.source
--- a/gladelane/routing/request_state.py
+++ b/gladelane/routing/request_state.py
@@ -23,7 +23,7 @@
     store: str
     source: str
     sent_ms: float
-    aim_ms: float
+    objective_ms: float
     #: Whether a miss at the store is filled from another server.
     is_fill: bool
     limits: list[ConcurrencyLimit]
@@ -44,7 +44,7 @@
     request: Request
     spec: ClassSpec
     arrived_ms: float
-    aim_ms: float
+    objective_ms: float
     max_attempts: int
     work: Work
     #: Number of attempts sent so far, and thus the number of the next attempt.
--- a/gladelane/routing/retries.py
+++ b/gladelane/routing/retries.py
@@ -18,8 +18,8 @@
 MAX_IMMEDIATE_ERRORS = 2  # immediate errors from different servers that show that the request is at fault
 WINDOW_MARGIN_TICKS = 2  # a key's window ends earlier by this many ticks of a store's clock
 
-# Both are parts of the class's deadline. If the origin rejects a write, the wait before the next attempt is
-# the first one times the number of attempts so far, and at least the second one must be left to make it.
+# Both are parts of a class's deadline: the backoff after a write was rejected by the origin, for each attempt
+# made so far, and the time that must be left for another attempt.
 WRITE_BACKOFF_SHARE, WRITE_MIN_LEFT_SHARE = 1 / 30, 0.1
 MAX_WRITE_ATTEMPTS = 5
 
--- a/gladelane/routing/router.py
+++ b/gladelane/routing/router.py
@@ -177,10 +177,10 @@
         spec = context.settings.class_named(request.cls)
         work_ms = self.work.estimate(request, spec)
         self.shedding.learn_value(spec.name)
-        aim_ms = min(spec.aim_ms + spec.aim_stretch * work_ms, spec.deadline_ms)
+        objective_ms = min(spec.aim_ms + spec.aim_stretch * work_ms, spec.deadline_ms)
         work = context.cold.work(spec.name, work_ms)
         max_attempts = context.settings.max_attempts
-        pending = PendingRequest(request, spec, context.now_ms, aim_ms, max_attempts, work)
+        pending = PendingRequest(request, spec, context.now_ms, objective_ms, max_attempts, work)
         if request.ran_ms:  # all requests with the same key share one window
             pending.mark_may_have_run(request.ran_ms, request.ran_at)
         self.requests.pending[request.id] = pending
@@ -220,7 +220,7 @@
         for limit in attempt.limits:
             limit.release()
         waited_ms = attempt.elapsed_ms(self.context.now_ms, event.unread_ms)
-        if event.status is not Status.TIMEOUT or is_informative_timeout(waited_ms, attempt.aim_ms):
+        if event.status is not Status.TIMEOUT or is_informative_timeout(waited_ms, attempt.objective_ms):
             store = self.store_list.stores.get(event.store)
             if store:
                 self.latency.learn(attempt, event, store)
--- a/gladelane/routing/store.py
+++ b/gladelane/routing/store.py
@@ -57,8 +57,8 @@
         # if weights are listed, a weight is the number of transfers that the link carries at the full rate
         self.initial_weight = member.weight if is_weighted else 0.0
         self.timely_sent_ms = 0.0  # when the attempt was sent that is the latest to be answered in time
-        self.observed_start = observed_start  # of the start of its current process
-        self.listed_ms = observed_start.at_ms  # when that was listed, or listed again after a removal
+        self.observed_start = observed_start  # how the start of its process became known
+        self.listed_ms = observed_start.at_ms  # when that start was listed, or listed again after a removal
         # only used for the origin, whose initial limit depends on those of the parents
         self.is_initial_limit_set = False
         self.rank_thresholds = (0.0, 0.0)  # utilities of its objects from which the rank is 2 and 3
