--- a/gladelane/hot_restart/coordinator.py
+++ b/gladelane/hot_restart/coordinator.py
@@ -206,7 +206,7 @@
             limits.client_connections,
             limits.buffered_bytes,
         )
-        self._director.router.cold.parts = processes
+        self._director.router.cold.process_count = processes
         log.info("upgrade: processes=%d", processes)
 
     def hand_over(self) -> Offer | None:
--- a/gladelane/hot_restart/learned_state.py
+++ b/gladelane/hot_restart/learned_state.py
@@ -27,16 +27,16 @@
     """What a router has learned about one server. Times are in ms; rates and credits as in `Store`."""
 
     store: str
-    came_up_ms: float  # start of the server process that this describes
-    fails: float
+    started_at_ms: float  # start of the server process that this describes
+    failure_score: float
     lateness: float
     error_rate: float
     answered_ms: float
-    down_until: float
-    rest_ms: float
+    ejected_until_ms: float
+    ejection_ms: float
     limit: float
     fills: float
-    opened: bool
+    is_initial_limit_set: bool
     #: Credit of the server's token budget while it warms up; the time up to which credit was added, negative
     #: if there is no credit; and 0, a position that only older versions used.
     tokens: tuple[float, float, float] = (0.0, -1.0, 0.0)
@@ -84,16 +84,16 @@
 def _snapshot_of_store(name: str, store: Store) -> StoreLearnedState:
     return StoreLearnedState(
         name,
-        store.member.came_up_ms,
-        store.fails,
+        store.member.started_at_ms,
+        store.failure_score,
         store.lateness,
         store.error_rate,
         store.answered_ms,
-        store.down_until,
-        store.rest_ms,
+        store.ejected_until_ms,
+        store.ejection_ms,
         store.concurrency.limit,
         store.fills.limit,
-        store.opened,
+        store.is_initial_limit_set,
     )
 
 
@@ -109,9 +109,9 @@
     learned_state = take_snapshot(router, NEW_PROCESS_SHARE)
     for entry in learned_state.stores:
         tokens = router.stores[entry.store].tokens
-        moved_credit = max(tokens.left, 0.0) * NEW_PROCESS_SHARE
+        moved_credit = max(tokens.credit, 0.0) * NEW_PROCESS_SHARE
         entry.tokens = moved_credit, tokens.at_ms, 0.0
-        tokens.left -= moved_credit
+        tokens.credit -= moved_credit
     router.budgets.retries -= learned_state.retries
     router.budgets.hedges -= learned_state.hedges
     return learned_state
@@ -121,7 +121,7 @@
     """Gives the budgets that `split_learned_state` deducted back to the router. Only valid if no other
     process can have read the learned state."""
     for entry in learned_state.stores:
-        router.stores[entry.store].tokens.left += entry.tokens[0]
+        router.stores[entry.store].tokens.credit += entry.tokens[0]
     router.budgets.retries += learned_state.retries
     router.budgets.hedges += learned_state.hedges
 
@@ -138,7 +138,7 @@
     return msgspec.structs.replace(
         entry,
         answered_ms=entry.answered_ms + by_ms if entry.answered_ms else 0.0,
-        down_until=entry.down_until + by_ms if entry.down_until else 0.0,
+        ejected_until_ms=entry.ejected_until_ms + by_ms if entry.ejected_until_ms else 0.0,
         tokens=(credit, counted_ms + by_ms if counted_ms >= 0.0 else counted_ms, unused),
     )
 
@@ -147,12 +147,12 @@
     """Applies learned state to a router that has its endpoint list already. Servers that are not listed, or
     that have restarted since, are skipped."""
     router.budgets.retries, router.budgets.hedges = learned_state.retries, learned_state.hedges
-    router.ingress_limit.limit = min(learned_state.ingress_limit, router.ingress_limit.most)
+    router.ingress_limit.limit = min(learned_state.ingress_limit, router.ingress_limit.max_limit)
     router.cold.caches.usual, router.cold.parents.usual = learned_state.usual
     router.work.mean_ms.update(learned_state.mean_work_ms)
     for entry in learned_state.stores:
         store = router.stores.get(entry.store)
-        if store is not None and store.member.came_up_ms == entry.came_up_ms:
+        if store is not None and store.member.started_at_ms == entry.started_at_ms:
             _restore_store(store, entry)
     for stats in learned_state.objects:
         router.objects[stats.key] = ObjectStats(
@@ -161,16 +161,16 @@
 
 
 def _restore_store(store: Store, entry: StoreLearnedState) -> None:
-    store.fails = entry.fails
+    store.failure_score = entry.failure_score
     store.lateness = entry.lateness
     store.answered_ms = entry.answered_ms
     store.error_rate = entry.error_rate
-    store.down_until = entry.down_until
-    store.rest_ms = entry.rest_ms
-    store.opened = entry.opened
-    store.concurrency.most = max(store.concurrency.most, entry.limit)
+    store.ejected_until_ms = entry.ejected_until_ms
+    store.ejection_ms = entry.ejection_ms
+    store.is_initial_limit_set = entry.is_initial_limit_set
+    store.concurrency.max_limit = max(store.concurrency.max_limit, entry.limit)
     store.concurrency.limit = entry.limit
-    store.fills.limit = min(entry.fills, store.fills.most)
+    store.fills.limit = min(entry.fills, store.fills.max_limit)
     credit, counted_ms, _ = entry.tokens
     if counted_ms >= 0.0:
-        store.tokens.left, store.tokens.at_ms = credit, counted_ms
+        store.tokens.credit, store.tokens.at_ms = credit, counted_ms
--- a/gladelane/recovery/warm_start.py
+++ b/gladelane/recovery/warm_start.py
@@ -18,7 +18,7 @@
 from ..routing.cache_admission import AGEING_MS, FORGET_BELOW
 from ..routing.events import Settings
 from ..routing.router import Router
-from ..routing.store import DOWN_MS
+from ..routing.store import MIN_EJECTION_MS
 from ..storage.boot import BootTimestamp
 
 FORMAT = 1
@@ -88,7 +88,12 @@
     if age_ms > HEALTH_EXPIRES_MS:
         stores = [
             msgspec.structs.replace(
-                store, fails=0.0, lateness=0.0, error_rate=0.0, down_until=0.0, rest_ms=DOWN_MS
+                store,
+                failure_score=0.0,
+                lateness=0.0,
+                error_rate=0.0,
+                ejected_until_ms=0.0,
+                ejection_ms=MIN_EJECTION_MS,
             )
             for store in stores
         ]
@@ -101,7 +106,7 @@
         msgspec.structs.replace(
             store,
             answered_ms=_shift_timestamp(store.answered_ms, shift_ms),
-            down_until=_shift_timestamp(store.down_until, shift_ms),
+            ejected_until_ms=_shift_timestamp(store.ejected_until_ms, shift_ms),
         )
         for store in learned_state.stores
     ]
@@ -120,7 +125,8 @@
     Budgets for retries and hedged requests never exceed those of a cold start: if most directors restart at
     the same time, saved budgets would permit a retry storm."""
     same_count = sum(
-        stored.store in router.stores and router.stores[stored.store].member.came_up_ms == stored.came_up_ms
+        stored.store in router.stores
+        and router.stores[stored.store].member.started_at_ms == stored.started_at_ms
         for stored in document.learned_state.stores
     )
     if same_count < MIN_SAME_SERVERS_SHARE * max(len(document.learned_state.stores), len(router.stores), 1):
--- a/gladelane/simhost.py
+++ b/gladelane/simhost.py
@@ -105,7 +105,7 @@
         cell=_integer(parts, 4),
         state=_STATES[parts[5]],
         weight=_number(parts, 6),
-        came_up_ms=_number(parts, 7),
+        started_at_ms=_number(parts, 7),
     )
 
 
@@ -113,7 +113,7 @@
     "INBOUND": _parse_request,
     "ENDED": _parse_outcome,
     "PROBE_RESULT": _parse_probe_result,
-    "TIMED_OUT_CLIENT": lambda parts, _: api.ClientGone(int(parts[1])),
+    "TIMED_OUT_CLIENT": lambda parts, _: api.ClientDisconnected(int(parts[1])),
     "PEER": lambda parts, _: api.Message(int(parts[1]), bytes.fromhex(_text(parts, 2) or "")),
     "UNDER_WAY": lambda parts, _: api.Started(int(parts[1]), _integer(parts, 2)),
     "REPLACED": lambda parts, _: api.Purge(_integer(parts, 1), _integer(parts, 2), _number(parts, 3)),
@@ -134,12 +134,12 @@
     api.Fetch: _format_fetch,
     api.Cancel: lambda a: f"DROP_ATTEMPT {a.id} {a.attempt}",
     api.Probe: lambda a: f"ASK_LOAD {a.store}",
-    api.Refuse: lambda a: f"REFUSE {a.id} {a.come_back_ms:.3f}",
+    api.Refuse: lambda a: f"REFUSE {a.id} {a.retry_after_ms:.3f}",
     api.Fail: lambda a: f"ERROR {a.id}",
     api.SetTimer: lambda a: f"REMIND {a.token} {a.due_ms:.3f}",
     api.Subscribe: lambda a: f"FOLLOW {int(a.on)}",
-    api.AskList: lambda _action: "FETCH",
-    api.Tell: lambda a: f"MEMO_TO {'*' if a.to is None else a.to} {a.data.hex() or '-'}",
+    api.PollEndpointList: lambda _action: "FETCH",
+    api.SendMessage: lambda a: f"MEMO_TO {'*' if a.to is None else a.to} {a.data.hex() or '-'}",
     api.Log: lambda a: f"REMARK {a.text}",
 }
 
--- a/tests/hot_restart/test_delayed_event_loop.py
+++ b/tests/hot_restart/test_delayed_event_loop.py
@@ -30,19 +30,19 @@
 @pytest.mark.parametrize("status", [Status.OK, Status.TIMEOUT])
 def test_answers_that_lay_unread_do_not_reduce_limits(status: Status) -> None:
     driver = delayed_driver(status, DELAY_MS)
-    assert all(cache.concurrency.limit == cache.most_attempts for cache in driver.router.caches)
+    assert all(cache.concurrency.limit == cache.max_concurrent_attempts for cache in driver.router.caches)
 
 
 @pytest.mark.parametrize("status", [Status.OK, Status.TIMEOUT])
 def test_answers_that_servers_sent_late_reduce_limits(status: Status) -> None:
     driver = delayed_driver(status, 0.0)
-    assert any(cache.concurrency.limit < cache.most_attempts for cache in driver.router.caches)
+    assert any(cache.concurrency.limit < cache.max_concurrent_attempts for cache in driver.router.caches)
 
 
 @pytest.mark.parametrize(("unread_ms", "is_ejected"), [(DELAY_MS, False), (0.0, True)])
 def test_timeouts_while_answers_lay_unread_do_not_eject_a_server(unread_ms: float, is_ejected: bool) -> None:
     driver = delayed_driver(Status.TIMEOUT, unread_ms)
-    assert any(cache.resting(driver.now) for cache in driver.router.caches) is is_ejected
+    assert any(cache.is_ejected(driver.now) for cache in driver.router.caches) is is_ejected
 
 
 def test_outcomes_state_how_long_an_answer_may_have_lain_unread(
--- a/tests/hot_restart/test_handover.py
+++ b/tests/hot_restart/test_handover.py
@@ -111,7 +111,10 @@
 @pytest.mark.parametrize("step_ms", [0.0, HOUR_MS, -HOUR_MS, 4000.0, -4000.0, 50.0, -50.0])
 def test_handover_times_survive_a_wall_clock_step_between_the_two_starts(step_ms: float) -> None:
     learned_state = split_learned_state(busy_driver().router)
-    learned_state.stores[0].down_until, learned_state.stores[0].tokens = NOW + 300.0, (8.0, NOW - 50.0, 0.0)
+    learned_state.stores[0].ejected_until_ms, learned_state.stores[0].tokens = (
+        NOW + 300.0,
+        (8.0, NOW - 50.0, 0.0),
+    )
     written = Handover("n0 a:1", NOW, {"c0": NOW - 9.0}, {}, NOW - 7.0, 9, [],
                        {"k": [(NOW - 400.0, "r0")]}, learned_state, BOOT, HOUR_MS)  # fmt: skip
     reader = clock_at(NOW - HOUR_MS + 5.0, HOUR_MS + step_ms)  # 5 ms after the document was written
@@ -125,9 +128,9 @@
     )
     assert received.learned_state is not None
     store = received.learned_state.stores[0]
-    assert [store.down_until - now, now - store.tokens[1]] == pytest.approx([295.0, 55.0], abs=0.01)
-    assert [store.came_up_ms for store in received.learned_state.stores] == [
-        entry.came_up_ms for entry in learned_state.stores
+    assert [store.ejected_until_ms - now, now - store.tokens[1]] == pytest.approx([295.0, 55.0], abs=0.01)
+    assert [store.started_at_ms for store in received.learned_state.stores] == [
+        entry.started_at_ms for entry in learned_state.stores
     ]
 
 
@@ -207,8 +210,8 @@
 
 def test_learned_state_is_restored_and_budgets_are_split() -> None:
     old = busy_driver().router
-    old.stores["c0"].tokens.left, old.stores["c0"].tokens.at_ms = 80.0, 4.0
-    old.stores["c1"].trip(old.context.now_ms)
+    old.stores["c0"].tokens.credit, old.stores["c0"].tokens.at_ms = 80.0, 4.0
+    old.stores["c1"].eject(old.context.now_ms)
     retries, hedges = old.budgets.retries, old.budgets.hedges
     new = Router(old.settings, 9)
     new.handle(old.context.now_ms, Members(ListKind.COMPLETE, members(2)))
@@ -216,20 +219,20 @@
     assert new.budgets.retries + old.budgets.retries == pytest.approx(
         retries
     ) and new.budgets.hedges + old.budgets.hedges == pytest.approx(hedges)
-    assert new.stores["c0"].tokens.left == old.stores["c0"].tokens.left == 40.0
-    assert new.stores["c1"].resting(old.context.now_ms) and new.work.mean_ms == old.work.mean_ms
+    assert new.stores["c0"].tokens.credit == old.stores["c0"].tokens.credit == 40.0
+    assert new.stores["c1"].is_ejected(old.context.now_ms) and new.work.mean_ms == old.work.mean_ms
     assert new.objects.keys() == old.objects.keys() and list(new.objects) == list(old.objects)
     assert all(new.objects[key] == entry for key, entry in old.objects.items()) and new.objects[5].admitted
 
 
 def test_learned_state_of_restarted_or_unlisted_stores_is_not_restored() -> None:
     old = busy_driver().router
-    old.stores["c1"].trip(old.context.now_ms)
+    old.stores["c1"].eject(old.context.now_ms)
     new = Router(old.settings, 9)
-    fresh = (Member("c1", "edge", "box", came_up_ms=old.context.now_ms), Member("root", "hub", "root"))
+    fresh = (Member("c1", "edge", "box", started_at_ms=old.context.now_ms), Member("root", "hub", "root"))
     new.handle(old.context.now_ms, Members(ListKind.COMPLETE, fresh))
     restore(new, split_learned_state(old))
-    assert new.stores.keys() == {"c1", "root"} and not new.stores["c1"].resting(old.context.now_ms)
+    assert new.stores.keys() == {"c1", "root"} and not new.stores["c1"].is_ejected(old.context.now_ms)
 
 
 def test_an_object_key_beyond_msgpack_range_does_not_block_the_snapshot() -> None:
--- a/tests/hot_restart/test_handover_faults.py
+++ b/tests/hot_restart/test_handover_faults.py
@@ -139,7 +139,7 @@
 
     @property
     def budgets(self) -> tuple[float, float, list[float]]:
-        credits = [store.tokens.left for store in self.router.stores.values()]
+        credits = [store.tokens.credit for store in self.router.stores.values()]
         return self.router.budgets.retries, self.router.budgets.hedges, credits
 
     async def connect(self, request_count: int) -> None:
@@ -184,7 +184,7 @@
                 old.register.take_out("c2", NOW_MS)
                 old.coordinator.hand_over()
             old.register.take_out("c1", NOW_MS)
-            old.router.stores["c0"].tokens.left = 80.0
+            old.router.stores["c0"].tokens.credit = 80.0
             before = old.budgets
             old.coordinator.listen()
             new = ProcessStub(tmp_path)
--- a/tests/recovery/test_folder_faults.py
+++ b/tests/recovery/test_folder_faults.py
@@ -191,7 +191,7 @@
     router = make_router(now_ms)
     for number in range(20):
         router.handle(now_ms, Request(number + 1, "film", number % 4 + 1, now_ms + 5_000.0, size_kb=100.0))
-    router.stores["c0"].down_until = now_ms + 2_000.0
+    router.stores["c0"].ejected_until_ms = now_ms + 2_000.0
     return router
 
 
@@ -218,7 +218,7 @@
     second.restore(KeyWindows(RETENTION_MS, 100))
     second.close()
     assert second.is_warm and len(fresh.objects) == 4
-    assert fresh.stores["c0"].down_until == pytest.approx(machine.wall_ms + 1_000.0)
+    assert fresh.stores["c0"].ejected_until_ms == pytest.approx(machine.wall_ms + 1_000.0)
 
 
 def folder_on(disks: dict[str, SimDisk]) -> Any:
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -221,8 +221,8 @@
     router.handle(1000.0, Members(ListKind.COMPLETE, members()))
     for n in range(60):
         router.handle(1000.0 + n, Request(n + 1, "film", n % 7 + 1, 9000.0, size_kb=100.0))
-    router.stores["c0"].fails = 2.0
-    router.stores["c0"].down_until = 5000.0
+    router.stores["c0"].failure_score = 2.0
+    router.stores["c0"].ejected_until_ms = 5000.0
     router.stores["c0"].concurrency.limit = 9.0
     return router
 
@@ -258,14 +258,14 @@
     fresh.handle(2500.0, Members(ListKind.COMPLETE, members()))
     assert not apply_document(fresh, make_document(old), 2500.0, 500.0)
     assert fresh.objects.keys() == old.objects.keys() and all(o.admitted for o in fresh.objects.values())
-    assert fresh.stores["c0"].concurrency.limit == 9.0 and fresh.stores["c0"].down_until == 5000.0
+    assert fresh.stores["c0"].concurrency.limit == 9.0 and fresh.stores["c0"].ejected_until_ms == 5000.0
     assert (
         fresh.budgets.retries == 15.0
         and not fresh.pending
-        and all(s.concurrency.out == 0 for s in fresh.stores.values())
+        and all(s.concurrency.in_flight == 0 for s in fresh.stores.values())
     )
     assert (
-        old.budgets.retries == 30.0 and old.stores["c0"].concurrency.out > 0
+        old.budgets.retries == 30.0 and old.stores["c0"].concurrency.in_flight > 0
     )  # the snapshot changed nothing
 
 
@@ -278,7 +278,7 @@
     learned_state = decay_learned_state(take_snapshot(make_busy_router()), age_ms)
     assert len(learned_state.objects) == objects and bool(learned_state.stores) is limits
     if health is not None:
-        assert next(s for s in learned_state.stores if s.store == "c0").fails == health
+        assert next(s for s in learned_state.stores if s.store == "c0").failure_score == health
     if objects and age_ms:
         assert all(o.count < 9.0 * 0.51 for o in learned_state.objects)
 
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -14,7 +14,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from test_net_rules import during_the_dial, notice
-from test_rules import Watched
+from test_rules import RuleChecker
 
 from gladelane.routing.events import (
     Action,
@@ -66,12 +66,12 @@
         "wait",
         "gone",
     ]
-    watched = Watched(4, 3, SECOND_DEPLOYMENT)
+    watched = RuleChecker(4, 3, SECOND_DEPLOYMENT)
     for _ in range(500):
         status, note = rng.choice(list(Status)), rng.choice(list(Note))
         watched.step(rng.choice(step_kinds), rng.randrange(12), status, note, rng.choice([1.0, 40.0, 300.0]))
-    watched.run_timers(watched.d.now + 8000.0)
-    assert watched.count and not watched.open and not watched.d.router.pending
+    watched.run_timers(watched.driver.now + 8000.0)
+    assert watched.count and not watched.open_requests and not watched.driver.router.pending
 
 
 @pytest.mark.parametrize("is_parent", [False, True])
@@ -88,8 +88,8 @@
     cold_from, warm_ms, multiple = (0.066, 21_000.0, 2.0) if is_parent else (0.15, 18_000.0, 4.0)
     budgets = [ColdBudgets(deployment, directors, random.Random(n)) for n in range(directors)]
     tokens_by_director = [Tokens() for _ in budgets]
-    member = Member("s", "hub", "mid", weight=weight, came_up_ms=1.0) if is_parent else Member(
-        "s", "edge", "box", weight=weight, came_up_ms=1.0)  # fmt: skip
+    member = Member("s", "hub", "mid", weight=weight, started_at_ms=1.0) if is_parent else Member(
+        "s", "edge", "box", weight=weight, started_at_ms=1.0)  # fmt: skip
     sent: list[tuple[float, float]] = []
     now_ms = 1.0
     while now_ms < 6000.0:
@@ -129,7 +129,7 @@
 
 def test_the_origin_is_the_source_once_the_budgets_of_cold_parents_are_used_up() -> None:
     members_with_cold_parents = tuple(
-        Member(m.store, m.zone, m.kind, weight=30.0, came_up_ms=99_999.0 if m.kind == "mid" else 0.0)
+        Member(m.store, m.zone, m.kind, weight=30.0, started_at_ms=99_999.0 if m.kind == "mid" else 0.0)
         for m in members(4, 2)
     )
     driver = Driver(members_with_cold_parents, **SECOND_DEPLOYMENT)
@@ -140,7 +140,7 @@
 @pytest.mark.parametrize("retry_after", [True, False])
 def test_a_refusal_has_a_retry_delay_only_if_the_settings_allow_it(retry_after: bool) -> None:
     driver = Driver((), **{**SECOND_DEPLOYMENT, "retry_after": retry_after})
-    delays_ms = [only(driver.ask(object=n), Refuse).come_back_ms for n in range(1, 30)]
+    delays_ms = [only(driver.ask(object=n), Refuse).retry_after_ms for n in range(1, 30)]
     assert all(0.0 < delay_ms <= 2000.0 if retry_after else delay_ms == 0.0 for delay_ms in delays_ms)
 
 
