--- a/gladelane/audit/activity_log.py
+++ b/gladelane/audit/activity_log.py
@@ -1,13 +1,13 @@
-"""A director's activity log: what it did under which view, as a sequence of intervals. Pure.
+"""A director's activity log: what it did under which view, as a sequence of intervals. No I/O, no clock.
 
 An interval lasts from one change of the director's view to the next. It counts attempts and answers by
-request class. An attempt counts under the view at its first byte, and carries the number of that interval.
-Each interval has a seal over its content and the seal before it, so anyone who has its neighbours detects an
-interval that was altered, removed or inserted.
+request class. An attempt counts under the view that is current when its first byte is sent, and carries
+the number of that interval. The intervals form a hash chain: the seal of each is a hash of its content and of
+the preceding seal, so an interval that was altered, removed or inserted is detected from its neighbours.
 
-The log is bounded. It drops first the oldest intervals that a control server has stored, then the oldest that
-none has; a `LostIntervals` record remains of the latter, and the audit answers *unknown* for them. The work
-of a killed director after its last checkpoint is unknown as well.
+The log is bounded. It drops the oldest intervals first. A `LostIntervals` record replaces those that no
+control server had stored, and the audit answers *unknown* for them. The work of a killed director after its
+last checkpoint is unknown as well.
 """
 
 from __future__ import annotations
@@ -21,29 +21,30 @@
 
 from .view import DIGEST_BYTES
 
-INTERVAL_OVERHEAD_BYTES = 120  # of an interval in memory, beside its classes
-CLASS_BYTES = 24
-End = Literal["", "open", "stopped"]
-Totals = Mapping[str, list[int]]  # served, refused, failed since the process started, by class
+INTERVAL_OVERHEAD_BYTES = 120  # memory of an interval without its class counts
+CLASS_BYTES = 24  # memory of one class's counts
+IntervalEnd = Literal["", "open", "stopped"]
+ClassTotals = Mapping[str, list[int]]  # by class: served, refused and failed since the process started
 
 
 class ClassCounts(msgspec.Struct, array_like=True):
-    """What an interval counted of one request class. `older` are answers to attempts that were sent under an
-    earlier view. Fields are stored by their position."""
+    """Counts of one request class in one interval. `sent_earlier` counts the responses to attempts that were
+    sent under an earlier view. Fields are stored by their position."""
 
     sent: int = 0
     served: int = 0
     refused: int = 0
     failed: int = 0
-    older: int = 0
+    sent_earlier: int = 0
 
 
 class ActivityInterval(msgspec.Struct, frozen=True, array_like=True):
     """One interval. Fields are stored and sent by their position.
 
-    Moments are Unix ms of the director's clock, which never goes back. `view` is a `view_id`. `end` is empty
-    where the next interval follows at once; "open" marks a checkpoint, which is the last interval of a killed
-    process; "stopped" means that the process ended on purpose. `value` is what the answered requests earned.
+    Times are Unix ms of the director's clock, which never goes back. `view` is a `view_id`. `end` is empty if
+    the next interval follows without a gap; "open" marks a checkpoint, which is the last interval of a killed
+    process; "stopped" means that the process was shut down in order. `value` is the total value of the
+    requests that were served.
     """
 
     number: int
@@ -52,13 +53,13 @@
     view: str
     counts: dict[str, ClassCounts]
     value: float
-    end: End = ""
+    end: IntervalEnd = ""
     seal: str = ""
 
 
 class LostIntervals(msgspec.Struct, frozen=True, array_like=True):
     """A range of intervals that were dropped before a control server had them; `first` and `last` are
-    included. `seal` is that of the last. Fields are stored by their position."""
+    included. `seal` is the seal of the last one. Fields are stored by their position."""
 
     first: int
     last: int
@@ -68,23 +69,23 @@
 
 
 def first_seal(director: str, start: int) -> str:
-    """The seal that stands before the first interval of a director's start."""
+    """The seal that precedes the first interval of a director's start."""
     return blake2b(f"{director}:{start}".encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
-def sealed(before: str, interval: ActivityInterval) -> ActivityInterval:
-    """The interval with its seal, where `before` is the seal of the interval before it."""
+def with_seal(before: str, interval: ActivityInterval) -> ActivityInterval:
+    """The interval with its seal; `before` is the seal of the preceding interval."""
     bare = msgspec.structs.replace(interval, seal="")
     content = before.encode() + msgspec.msgpack.encode(bare)
     return msgspec.structs.replace(bare, seal=blake2b(content, digest_size=DIGEST_BYTES).hexdigest())
 
 
-def is_sealed(before: str, interval: ActivityInterval) -> bool:
-    """Whether the interval's seal fits its content and the seal before it."""
-    return sealed(before, interval).seal == interval.seal
+def is_seal_valid(before: str, interval: ActivityInterval) -> bool:
+    """Whether the interval's seal matches its content and the preceding seal `before`."""
+    return with_seal(before, interval).seal == interval.seal
 
 
-def size_of(interval: ActivityInterval) -> int:
+def estimate_bytes(interval: ActivityInterval) -> int:
     """The approximate memory of an interval, in bytes."""
     return INTERVAL_OVERHEAD_BYTES + CLASS_BYTES * len(interval.counts)
 
@@ -99,17 +100,17 @@
         view: str,
         value_by_class: Mapping[str, float],
         now_ms: float,
-        most_bytes: int = 4_000_000,
+        max_bytes: int = 4_000_000,
     ) -> None:
         """`start` numbers the director's processes in ascending order. `view` is the id of the first view,
-        `value_by_class` what an answered request of each class earns."""
-        self.director, self.start, self.most_bytes = director, start, most_bytes
+        `value_by_class` the value of one served request of each class."""
+        self.director, self.start, self.max_bytes = director, start, max_bytes
         self.number = 1  # of the open interval
         self.view = view
         self.value_by_class = value_by_class
         self.lost: list[LostIntervals] = []
-        self.stored = 0  # the last number that one control server has
-        self.copied = 0  # the last number that enough control servers have
+        self.stored = 0  # last number up to which one control server has all intervals
+        self.copied = 0  # last number up to which enough control servers have all intervals
         self._seal = first_seal(director, start)
         self._from_ms = now_ms
         self._counts: dict[str, ClassCounts] = {}
@@ -118,8 +119,8 @@
         self._bytes = 0
 
     def record_attempt(self, cls: str) -> int:
-        """Counts an attempt whose first byte is about to leave. Returns the interval's number, which the
-        attempt carries."""
+        """Counts an attempt whose first byte is about to be sent. Returns the number of the interval, which
+        the attempt keeps."""
         count = self._counts.get(cls)
         if count is None:
             count = self._counts[cls] = ClassCounts()
@@ -127,27 +128,29 @@
         return self.number
 
     def record_answer(self, cls: str, number: int) -> None:
-        """Notes that an attempt of interval `number` was the answer to its request."""
+        """Counts the response to a request, given by an attempt that was sent in interval `number`."""
         if number != self.number:
-            self._counts.setdefault(cls, ClassCounts()).older += 1
+            self._counts.setdefault(cls, ClassCounts()).sent_earlier += 1
 
-    def close_interval(self, view: str, totals: Totals, now_ms: float, end: End = "") -> ActivityInterval:
+    def close_interval(
+        self, view: str, totals: ClassTotals, now_ms: float, end: IntervalEnd = ""
+    ) -> ActivityInterval:
         """Closes the open interval at a change of the view to `view`, or at the end of the process."""
-        interval = sealed(self._seal, self._open_interval(totals, now_ms, end))
+        interval = with_seal(self._seal, self._open_interval(totals, now_ms, end))
         self._totals = {cls: tuple(row) for cls, row in totals.items()}
         self._seal = interval.seal
         self._intervals.append(interval)
-        self._bytes += size_of(interval)
+        self._bytes += estimate_bytes(interval)
         self.number += 1
         self.view, self._from_ms, self._counts = view, interval.to_ms, {}
         self._drop_excess()
         return interval
 
-    def checkpoint(self, totals: Totals, now_ms: float) -> ActivityInterval:
-        """The open interval up to now."""
-        return sealed(self._seal, self._open_interval(totals, now_ms, "open"))
+    def checkpoint(self, totals: ClassTotals, now_ms: float) -> ActivityInterval:
+        """The open interval as it is at `now_ms`."""
+        return with_seal(self._seal, self._open_interval(totals, now_ms, "open"))
 
-    def _open_interval(self, totals: Totals, now_ms: float, end: End) -> ActivityInterval:
+    def _open_interval(self, totals: ClassTotals, now_ms: float, end: IntervalEnd) -> ActivityInterval:
         counts = {cls: msgspec.structs.replace(count) for cls, count in self._counts.items()}
         value = 0.0
         for cls, row in totals.items():
@@ -160,33 +163,34 @@
         to_ms = max(now_ms, self._from_ms)
         return ActivityInterval(self.number, self._from_ms, to_ms, self.view, counts, value, end)
 
-    def unreported(self, most: int) -> list[ActivityInterval]:
-        """The oldest intervals that no control server is known to have, `most` at most."""
+    def unreported(self, max_intervals: int) -> list[ActivityInterval]:
+        """The oldest intervals that no control server is known to have; at most `max_intervals` of them."""
         found = []
         for interval in self._intervals:
             if interval.number > self.stored:
                 found.append(interval)
-                if len(found) == most:
+                if len(found) == max_intervals:
                     break
         return found
 
     def intervals(self) -> list[ActivityInterval]:
-        """All closed intervals that are still here, oldest first."""
+        """All closed intervals that are still in the log, oldest first."""
         return list(self._intervals)
 
     def acknowledge(self, stored: int, copied: int) -> None:
-        """One control server has all intervals up to `stored`, and enough servers have those up to `copied`.
-        A server that lost its data reports a lower number, and what is still here is sent to it again."""
+        """Records that one control server has all intervals up to `stored`, and that enough servers have all
+        up to `copied`. A server that lost its data reports a lower `stored`, so that the intervals which are
+        still in the log are sent again."""
         self.stored = stored
         self.copied = max(self.copied, min(copied, stored))
         while self._intervals and self._intervals[0].number <= self.copied:
-            self._bytes -= size_of(self._intervals.popleft())
-        self.lost = [one for one in self.lost if one.last > self.copied]
+            self._bytes -= estimate_bytes(self._intervals.popleft())
+        self.lost = [lost_range for lost_range in self.lost if lost_range.last > self.copied]
 
     def _drop_excess(self) -> None:
-        while self._bytes > self.most_bytes and len(self._intervals) > 1:
+        while self._bytes > self.max_bytes and len(self._intervals) > 1:
             interval = self._intervals.popleft()
-            self._bytes -= size_of(interval)
+            self._bytes -= estimate_bytes(interval)
             if interval.number > self.stored:
                 self._record_loss(interval)
 
--- a/gladelane/audit/activity_log_store.py
+++ b/gladelane/audit/activity_log_store.py
@@ -1,8 +1,8 @@
-"""Stores a director's activity log in its lasting folder, for the next process to report what a killed one
-had not. Decides nothing.
+"""Stores a director's activity log in a persistent folder, from which the next process reports what a killed
+process had not reported. Makes no decisions.
 
-Pages are written a few times a second, in a thread and without a sync. They outlive the process but not a
-power cut, after which the audit answers *unknown*.
+Pages are written a few times a second, in a thread and without fsync. They survive the end of the process
+but not a power failure, after which the audit answers *unknown*.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 log = logging.getLogger(__name__)
 
-SNAPSHOT_AFTER = 2_000  # records
+SNAPSHOT_AFTER = 2_000  # records in the log
 
 
 class LogPage(msgspec.Struct, array_like=True):
-    """One record, or one start in a snapshot: closed intervals with their views, and the open interval's
-    checkpoint. Enough control servers have all intervals up to `copied`. Fields are stored by their
-    position."""
+    """A record of the log, or the state of one start in a snapshot: closed intervals with their views, and a
+    checkpoint of the open interval. Enough control servers have all intervals up to `copied`. Fields are
+    stored by their position."""
 
     director: str
     start: int
@@ -39,8 +39,8 @@
 
 
 def join_pages(pages: list[LogPage]) -> list[LogPage]:
-    """Joins pages, given in their order of writing, to one for each start, oldest start first. Intervals that
-    control servers have are left out."""
+    """Merges pages, given in the order in which they were written, into one page per start, oldest start
+    first. Intervals up to `copied` are left out."""
     joined: dict[int, LogPage] = {}
     for page in pages:
         total = joined.setdefault(page.start, LogPage(page.director, page.start))
@@ -57,21 +57,22 @@
 
 
 class ActivityLogStore:
-    """The folder of one director."""
+    """The persistent activity log of one director."""
 
     def __init__(self, path: Path) -> None:
-        """Opens the folder; one with unreadable content is set aside. Raises FolderInUseError and OSError."""
-        self.left: list[LogPage] = []  # by earlier processes
+        """Opens the folder. A folder with unreadable content is renamed and replaced. Raises FolderInUseError
+        and OSError."""
+        self.recovered_pages: list[LogPage] = []  # written by earlier processes, one per start
         try:
             self._open(Folder(path))
         except (CorruptLogError, msgspec.MsgspecError) as error:
             self._disk.close()
-            aside = rename_damaged_folder(path)
-            log.warning("audit: trail set aside as %s: %s", aside, error)
+            renamed = rename_damaged_folder(path)
+            log.warning("audit: damaged activity log renamed to %s: %s", renamed, error)
             self._open(Folder(path))
-        self._outage = Outage(log, "audit: trail")
-        # what was recovered need not count: the next snapshot replaces it as well
-        snapshot_outage = Outage(log, "audit: snapshot of the trail")
+        self._outage = Outage(log, "audit: activity log")
+        # recovered records need not count towards the threshold: the next snapshot replaces them as well
+        snapshot_outage = Outage(log, "audit: snapshot of the activity log")
         self._compaction = LogCompaction(self._log, snapshot_outage, 0, SNAPSHOT_AFTER)
 
     def _open(self, disk: Disk) -> None:
@@ -80,22 +81,22 @@
         try:
             self._log, found = recover(disk, "never")
         except OSError:
-            disk.close()  # otherwise the next attempt would find the folder in use
+            disk.close()  # otherwise the next attempt to open would find the folder in use
             raise
         pages: list[LogPage] = []
         if found.snapshot is not None:
             pages += msgspec.msgpack.decode(found.snapshot, type=list[LogPage])
         pages += [msgspec.msgpack.decode(record, type=LogPage) for record in found.records]
-        self.left = join_pages(pages)
+        self.recovered_pages = join_pages(pages)
 
     @property
     def needs_snapshot(self) -> bool:
-        """Whether there are so many records that the next write should bring a snapshot."""
+        """Whether the log is so long that the next write should include a snapshot."""
         return self._compaction.is_due
 
     def write(self, page: LogPage, snapshot: list[LogPage] | None) -> bool:
-        """Writes a page, and then the snapshot, which holds all that must remain. Blocks, so it runs in a
-        thread. Returns whether the page is stored."""
+        """Writes a page, and then the snapshot if there is one, which must hold everything that is to be
+        kept. Blocks, so call it in a thread. Returns whether the page was stored."""
         self._log.append(msgspec.msgpack.encode(page))
         try:
             self._log.commit()
--- a/gladelane/audit/activity_log_writer.py
+++ b/gladelane/audit/activity_log_writer.py
@@ -1,4 +1,4 @@
-"""Writes the activity log to its folder, and opens the folder as soon as that is possible."""
+"""Writes the activity log to its folder, and opens the folder as soon as it is available."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
 
 
 class ActivityLogWriter:
-    """The folder of one director; without a folder it does nothing."""
+    """Writes the activity log of one director; does nothing if no folder is configured."""
 
     def __init__(self, folder: str) -> None:
         self._folder = folder
         self.store: ActivityLogStore | None = None
-        self.reopen_ms = 0.0  # when the folder may be opened again, by `steady_ms`
-        self._outage = Outage(log, "audit: trail's folder")
-        self._written = 0  # number of the last interval in the folder
+        self.reopen_ms = 0.0  # earliest time of the next attempt to open the folder, by `steady_ms`
+        self._outage = Outage(log, "audit: activity log folder")
+        self._last_written = 0  # number of the last interval in the folder
 
     def open(self) -> list[LogPage]:
-        """Opens the folder if that is due, and returns what earlier processes left there. A folder that is in
-        use, as during an upgrade, or cannot be read for a while is tried again later. Raises OSError for
-        faults that do not pass."""
+        """Opens the folder if an attempt is due, and returns the pages of earlier processes. If another
+        process has the folder, as during an upgrade, or if the error is transient, a later call tries again.
+        Raises OSError for permanent faults."""
         if not self._folder or self.store is not None or steady_ms() <= self.reopen_ms:
             return []
         try:
             self.store = ActivityLogStore(Path(self._folder))
         except FolderInUseError:
-            log.info("audit: the process before this one has the trail's folder")
+            log.info("audit: the activity log folder is in use by the previous process")
             self.reopen_ms = steady_ms() + REOPEN_AFTER_MS
             return []
         except OSError as error:
@@ -50,22 +50,22 @@
             self.reopen_ms = steady_ms() + REOPEN_AFTER_MS
             return []
         self._outage.report_success()
-        return self.store.left
+        return self.store.recovered_pages
 
     async def write(self, recorder: ActivityRecorder, earlier: Iterable[LogPage]) -> None:
-        """Writes the intervals that are new and a checkpoint, in a thread. `earlier` are pages of earlier
-        processes that must remain."""
+        """Writes a checkpoint and the intervals that are not in the folder yet, in a thread. `earlier` are
+        the pages of earlier processes that must be kept."""
         if self.store is None:
             return
         activity_log = recorder.log
         intervals = activity_log.intervals()
-        new = [interval for interval in intervals if interval.number > self._written]
+        new_intervals = [interval for interval in intervals if interval.number > self._last_written]
         checkpoint = recorder.checkpoint()
         page = LogPage(
             director=activity_log.director,
             start=activity_log.start,
-            intervals=new,
-            views=recorder.views_of((*new, checkpoint)),
+            intervals=new_intervals,
+            views=recorder.views_of((*new_intervals, checkpoint)),
             open=checkpoint,
             lost=activity_log.lost,
             copied=activity_log.copied,
@@ -74,7 +74,7 @@
         if self.store.needs_snapshot:
             snapshot = [*earlier, _complete_page(recorder, intervals, page)]
         if await asyncio.to_thread(self.store.write, page, snapshot):
-            self._written = max(self._written, new[-1].number if new else 0)
+            self._last_written = max(self._last_written, new_intervals[-1].number if new_intervals else 0)
 
     async def close(self) -> None:
         """Releases the folder."""
@@ -83,5 +83,5 @@
 
 
 def _complete_page(recorder: ActivityRecorder, intervals: list[ActivityInterval], page: LogPage) -> LogPage:
-    """The page with all intervals that are still here."""
+    """The page with all intervals that are still in the log."""
     return msgspec.structs.replace(page, intervals=intervals, views=recorder.all_views())
--- a/gladelane/audit/activity_recorder.py
+++ b/gladelane/audit/activity_recorder.py
@@ -1,11 +1,11 @@
-"""Records what this director does under which view, in its activity log."""
+"""Feeds a director's activity log: starts a new interval whenever the director's view changes."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 
 from ..net.director import Director
-from .activity_log import ActivityInterval, ActivityLog, Totals
+from .activity_log import ActivityInterval, ActivityLog, ClassTotals
 from .options import AuditOptions
 from .view import View, view_id
 from .view_source import ViewSource
@@ -23,7 +23,7 @@
         source: ViewSource,
         clock: Callable[[], float],
     ) -> None:
-        """`name` is the director's, `start` the number of this process. `clock` returns Unix ms."""
+        """`name` is the director's name, `start` the number of this process. `clock` returns Unix ms."""
         self._director, self._source, self._clock = director, source, clock
         self.view = source.read()
         self.view_id = view_id(self.view)
@@ -41,20 +41,21 @@
         self.log.close_interval(self.view_id, self._totals(), self._clock())
 
     def stop(self) -> None:
-        """Closes the last interval."""
+        """Closes the last interval at the end of the process."""
         self.log.close_interval(self.view_id, self._totals(), self._clock(), "stopped")
 
     def checkpoint(self) -> ActivityInterval:
-        """The open interval up to now."""
+        """The open interval as it is now."""
         return self.log.checkpoint(self._totals(), self._clock())
 
     def views_of(self, intervals: Iterable[ActivityInterval]) -> dict[str, View]:
-        """The views of some intervals, by id, as far as they are here."""
-        view_ids = dict.fromkeys(interval.view for interval in intervals)  # in a fixed order
+        """The views to which `intervals` refer, by id, as far as they are known."""
+        # a dict, since the order must not vary
+        view_ids = dict.fromkeys(interval.view for interval in intervals)
         return {name: self._views[name] for name in view_ids if name in self._views}
 
     def all_views(self) -> dict[str, View]:
-        """All views that are here, by id."""
+        """All known views, by id."""
         return dict(self._views)
 
     def drop_unused_views(self) -> None:
@@ -62,5 +63,5 @@
         used = {interval.view for interval in self.log.intervals()} | {self.view_id}
         self._views = {name: view for name, view in self._views.items() if name in used}
 
-    def _totals(self) -> Totals:
+    def _totals(self) -> ClassTotals:
         return self._director.metrics.classes
--- a/gladelane/audit/answers.py
+++ b/gladelane/audit/answers.py
@@ -1,4 +1,4 @@
-"""Answers the questions that commands ask a control server about the audit. Does no I/O."""
+"""Answers the audit queries that commands send to a control server. No I/O."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 from .verification import find_inconsistencies
 from .wire import ExpectedDigests
 
-UPGRADE_MS = 10_000.0  # for which two processes of one name may be an upgrade
-MAX_ROWS = 20_000  # of one answer
+UPGRADE_MS = 10_000.0  # two processes of one name may overlap for this long in an upgrade
+MAX_ROWS = 20_000  # in one answer
 END_OF_TIME_MS = float(2**53)
 
 
 class AuditAnswers:
-    """The answers of one control server. All moments are ms of its clock."""
+    """Answers the queries to one control server. All times are ms of its clock."""
 
     def __init__(
         self,
@@ -46,8 +46,8 @@
         self._report_log, self._replication, self._clock = report_log, replication, clock
 
     def audit(self, parameters: Mapping[str, str]) -> AuditReply:
-        """What all directors did `at` a moment, or one `director` did `from` one moment `to` another. Raises
-        ValueError for a malformed moment and HttpStatusError for an unknown director."""
+        """What all directors did `at` a time, or what one `director` did `from` one time `to` another. Raises
+        ValueError for a malformed time and HttpStatusError for an unknown director."""
         if "at" in parameters:
             rows = audit_queries.rows_at(self._store, float(parameters["at"]))
         else:
@@ -57,12 +57,12 @@
             from_ms = float(parameters.get("from", 0.0))
             to_ms = float(parameters.get("to", END_OF_TIME_MS))
             rows = audit_queries.rows_between(self._store, director, from_ms, to_ms)
-        is_cut = len(rows) > MAX_ROWS
+        is_truncated = len(rows) > MAX_ROWS
         rows = rows[:MAX_ROWS]
-        return AuditReply(*self._head(), rows, is_cut, self._views_of(rows))
+        return AuditReply(*self._head(), rows, is_truncated, self._views_of(rows))
 
     def versions(self) -> VersionsReply:
-        """What each director acts on now."""
+        """The view that each director acts on now."""
         rows = audit_queries.latest_rows(self._store)
         views: Views = {}
         for row in rows:
@@ -71,10 +71,10 @@
         return VersionsReply(*self._head(), rows, views, self._expects())
 
     def lagging(self) -> LaggingReply:
-        """Which directors lag."""
+        """The directors that lag behind the fleet."""
         monitor = self._monitor
         directors = monitor.lagging_directors(self._clock())
-        return LaggingReply(*self._head(), directors, monitor.lacked_by_most, monitor.restricted_count())
+        return LaggingReply(*self._head(), directors, monitor.lacked_by_majority, monitor.restricted_count())
 
     def explain(self, director: str) -> ExplainReply:
         """The state of one director. Raises HttpStatusError for an unknown one."""
@@ -82,14 +82,14 @@
             status = self._monitor.status(director, self._clock())
         except KeyError:
             raise _unknown_director(director) from None
-        return ExplainReply(*self._head(), status, self._monitor.policy, self._monitor.lacked_by_most)
+        return ExplainReply(*self._head(), status, self._monitor.policy, self._monitor.lacked_by_majority)
 
     def expected(self) -> ExpectReply:
-        """What operators expect."""
+        """The digests that operators expect."""
         return ExpectReply(*self._head(), self._expects())
 
     def verify(self) -> VerifyReply:
-        """What does not fit together in the reports."""
+        """The inconsistencies found in the stored reports."""
         return VerifyReply(*self._head(), find_inconsistencies(self._store))
 
     def _head(self) -> ReplyHead:
--- a/gladelane/audit/audit_queries.py
+++ b/gladelane/audit/audit_queries.py
@@ -1,7 +1,7 @@
-"""Answers questions from an audit store. Pure.
+"""Queries over an audit store. No I/O, no clock.
 
-Moments in questions are of the control server's clock. A director's clock is known to differ from it by the
-bounds of its offset, which each row names.
+Times in queries are of the control server's clock. A director's clock differs from it by an offset of which
+only bounds are known; each row contains these bounds.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True)
-class _Range:
+class _TimeRange:
     """A time range of a director's clock, in ms; both ends are included."""
 
     from_ms: float
@@ -31,7 +31,7 @@
 
 
 def directors(store: AuditStore) -> list[str]:
-    """All directors that reported, by name."""
+    """The names of all directors that have reported, sorted."""
     return sorted(store.starts)
 
 
@@ -41,7 +41,7 @@
 
 
 def latest_rows(store: AuditStore) -> list[AuditRow]:
-    """The latest state of each director's newest start, and of older starts that still run beside it."""
+    """The latest state of each director's newest start, and of older starts that still run in parallel."""
     found = []
     for director, starts in sorted(store.starts.items()):
         for start in starts:
@@ -57,8 +57,8 @@
         zone=run.zone,
         from_ms=0.0,
         to_ms=run.taken_ms,
-        known=(Knowledge.ACTED if run.is_running else Knowledge.AWAY).value,
-        number=run.upto,
+        known=(Knowledge.ACTED if run.is_running else Knowledge.NOT_RUNNING).value,
+        number=run.last_contiguous,
         view=view_id(run.view),
         why=str(run.stage or ""),
         offset=run.offset,
@@ -74,26 +74,26 @@
     starts = store.starts[director]
     successor = store.runs[RunId(director, starts[starts.index(start) + 1])]
     run = store.runs[RunId(director, start)]
-    return run.current and run.is_running and run.taken_ms > successor.began_ms > 0.0
+    return run.current and run.is_running and run.taken_ms > successor.started_ms > 0.0
 
 
-def directors_running_twice(store: AuditStore, tolerated_ms: float) -> list[str]:
-    """Directors of which an older process still reported `tolerated_ms` after a newer one had begun, so that
-    they are not one director in an upgrade."""
+def directors_running_twice(store: AuditStore, overlap_tolerance_ms: float) -> list[str]:
+    """Directors of which an older process still reported more than `overlap_tolerance_ms` after a newer one
+    had started. Such an overlap is too long for an upgrade, so two processes share one name."""
     found = []
     for director, starts in store.starts.items():
         runs = [store.runs[RunId(director, start)] for start in starts]
-        if any(_outlives(older, newer, tolerated_ms) for older, newer in pairwise(runs)):
+        if any(_outlives(older, newer, overlap_tolerance_ms) for older, newer in pairwise(runs)):
             found.append(director)
     return sorted(found)
 
 
-def _outlives(older: RunHistory, newer: RunHistory, tolerated_ms: float) -> bool:
-    return newer.began_ms > 0.0 and older.taken_ms > newer.began_ms + tolerated_ms and older.current
+def _outlives(older: RunHistory, newer: RunHistory, tolerance_ms: float) -> bool:
+    return newer.started_ms > 0.0 and older.taken_ms > newer.started_ms + tolerance_ms and older.current
 
 
 def rows_at(store: AuditStore, moment_ms: float) -> list[AuditRow]:
-    """What each director acted on at a moment: all rows that may cover it."""
+    """What each director acted on at `moment_ms`: all rows that may cover this time."""
     found: list[AuditRow] = []
     for director in directors(store):
         found += rows_between(store, director, moment_ms, moment_ms)
@@ -108,29 +108,32 @@
         run_id = RunId(director, start)
         run = store.runs[run_id]
         low_ms, high_ms = run.offset or (0.0, 0.0)
-        widest = _Range(from_ms - high_ms, to_ms - low_ms)
+        possible_range = _TimeRange(from_ms - high_ms, to_ms - low_ms)
         is_last = index + 1 == len(starts)
         successor = None if is_last else store.runs[RunId(director, starts[index + 1])]
-        rows += _known_rows(store, run_id, run, widest)
-        rows += _rows_after_end(run_id, run, successor, widest)
+        rows += _known_rows(store, run_id, run, possible_range)
+        rows += _rows_after_end(run_id, run, successor, possible_range)
     return sorted(rows, key=lambda row: (row.from_ms, row.start))
 
 
-def _known_rows(store: AuditStore, run_id: RunId, run: RunHistory, wanted: _Range) -> Iterator[AuditRow]:
-    """Of intervals, of ranges that were lost, and of the open interval."""
-    first = bisect_left(run.tos_ms, wanted.from_ms)  # the first that ends no earlier
-    for index in range(first, bisect_right(run.froms_ms, wanted.to_ms)):
+def _known_rows(
+    store: AuditStore, run_id: RunId, run: RunHistory, requested: _TimeRange
+) -> Iterator[AuditRow]:
+    """The rows of closed intervals, of lost ranges and of the open interval."""
+    # the first interval that ends within or after the range
+    first = bisect_left(run.to_moments_ms, requested.from_ms)
+    for index in range(first, bisect_right(run.from_moments_ms, requested.to_ms)):
         interval = run.interval(index)
         if interval.end == "open" and run.open is not None and run.open.number == interval.number:
-            interval = max(interval, run.open, key=lambda one: one.to_ms)  # two checkpoints of the same
+            interval = max(interval, run.open, key=lambda candidate: candidate.to_ms)  # of two checkpoints
         yield _interval_row(store, run_id, run, interval)
-    for gap in run.lost:
-        if wanted.overlaps(gap.from_ms, gap.to_ms) and not run.has(gap.first):
-            yield _lost_row(run_id, run, gap)
-    current = run.open
-    if current is not None and not run.has(current.number):
-        if wanted.overlaps(current.from_ms, current.to_ms):
-            yield _interval_row(store, run_id, run, current)
+    for lost_range in run.lost:
+        if requested.overlaps(lost_range.from_ms, lost_range.to_ms) and not run.has(lost_range.first):
+            yield _lost_row(run_id, run, lost_range)
+    checkpoint = run.open
+    if checkpoint is not None and not run.has(checkpoint.number):
+        if requested.overlaps(checkpoint.from_ms, checkpoint.to_ms):
+            yield _interval_row(store, run_id, run, checkpoint)
 
 
 def _interval_row(store: AuditStore, run_id: RunId, run: RunHistory, interval: ActivityInterval) -> AuditRow:
@@ -151,31 +154,31 @@
     )
 
 
-def _lost_row(run_id: RunId, run: RunHistory, gap: LostIntervals) -> AuditRow:
+def _lost_row(run_id: RunId, run: RunHistory, lost_range: LostIntervals) -> AuditRow:
     return AuditRow(
         director=run_id.director,
         start=run_id.start,
         zone=run.zone,
-        from_ms=gap.from_ms,
-        to_ms=gap.to_ms,
+        from_ms=lost_range.from_ms,
+        to_ms=lost_range.to_ms,
         known=Knowledge.UNKNOWN.value,
-        number=gap.first,
-        why=f"{gap.last - gap.first + 1} spans are gone",
+        number=lost_range.first,
+        why=f"{lost_range.last - lost_range.first + 1} spans are gone",
         offset=run.offset,
     )
 
 
 def _rows_after_end(
-    run_id: RunId, run: RunHistory, successor: RunHistory | None, wanted: _Range
+    run_id: RunId, run: RunHistory, successor: RunHistory | None, requested: _TimeRange
 ) -> Iterator[AuditRow]:
-    """Of the time from the last thing that is known of a start to the next start."""
+    """The row for the time from the end of what is known of a start to the beginning of the next start."""
     last_ms = run.last_known_ms
-    successor_began_ms = successor.began_ms if successor is not None else 0.0
-    until_ms = successor_began_ms or max(wanted.to_ms, last_ms)
-    if until_ms <= last_ms or not wanted.overlaps(last_ms, until_ms):
+    successor_started_ms = successor.started_ms if successor is not None else 0.0
+    until_ms = successor_started_ms or max(requested.to_ms, last_ms)
+    if until_ms <= last_ms or not requested.overlaps(last_ms, until_ms):
         return
-    if "stopped" in run.ends.values():
-        known, reason = Knowledge.AWAY, ""
+    if "stopped" in run.end_markers.values():
+        known, reason = Knowledge.NOT_RUNNING, ""
     elif successor is not None or not run.current:
         known, reason = Knowledge.UNKNOWN, "killed, or its last words were lost"
     else:
--- a/gladelane/audit/audit_store.py
+++ b/gladelane/audit/audit_store.py
@@ -1,8 +1,9 @@
-"""The audit store: all reports of all directors, in memory. Pure.
+"""The audit store: all reports of all directors, in memory. No I/O, no clock.
 
-Intervals are stored by director, start and number. An interval that arrives twice is stored once; a number
-with two contents is a conflict, of which both seals are kept. Views are stored once each, by their ids. Two
-stores that exchange what they have end up equal, in whatever order messages arrive. `audit_queries` answers
+Intervals are stored by director, start and number. An interval that arrives twice is stored once. Two
+intervals with the same number and different content are a conflict, of which both seals are kept. Each view
+is stored once, by its id. Two stores that exchange their reports end up equal, in whatever order the messages
+arrive. `audit_queries` answers
 questions from a store and `verification` checks it.
 """
 
@@ -23,40 +24,42 @@
 MAX_ZONE_LENGTH = 64
 MAX_RUNS = 65_536
 MAX_CONFLICTS = 1_000
-MAX_NUMBER = 2**53  # that JSON numbers hold exactly
+MAX_NUMBER = 2**53  # the largest integer that JSON numbers represent exactly
 DAY_MS = 86_400_000.0
-FORMAT = 1
+SNAPSHOT_FORMAT = 1
 
 
 class StoredRun(msgspec.Struct, array_like=True):
-    """One start in a snapshot: a report without intervals, and its intervals as they are encoded."""
+    """One start in a snapshot: a report without intervals, and its encoded intervals."""
 
     report: Report
     intervals: list[bytes]
 
 
 class AuditSnapshot(msgspec.Struct, array_like=True):
-    """The stored form of a store; fields are stored by their position."""
+    """The stored form of an `AuditStore`. Fields are stored by their position."""
 
     format: int
     runs: list[StoredRun]
     views: dict[str, View]
     conflicts: list[Conflict]
-    unnamed: list[RunId]
+    runs_with_wrong_view_id: list[RunId]
 
 
 _snapshot_decoder: msgspec.msgpack.Decoder[AuditSnapshot] = msgspec.msgpack.Decoder(AuditSnapshot)
 
 
 class AuditStore:
-    """All that was reported. `runs` and `starts` (ascending, by director) are for reading only."""
+    """All reports. `runs` and `starts` (the ascending start numbers of each director) are read-only for
+    callers."""
 
     def __init__(self, retention_ms: float = 30 * DAY_MS) -> None:
         """`retention_ms` is how long intervals are stored after their end."""
         self.retention_ms = retention_ms
         self.views: dict[str, View] = {}
         self.conflicts: list[Conflict] = []
-        self.unnamed: list[RunId] = []  # starts that reported a view under an id that is not its own
+        #: starts that reported a view under an id that does not match its content
+        self.runs_with_wrong_view_id: list[RunId] = []
         self.interval_count = 0
         self.runs: dict[RunId, RunHistory] = {}
         self.starts: dict[str, list[int]] = {}
@@ -75,14 +78,14 @@
         if report.run_id not in self.runs and len(self.runs) >= MAX_RUNS:
             raise BadReportError(f"more than {MAX_RUNS} starts")
 
-    def has_news(self, report: Report) -> bool:
-        """Whether a report holds anything that has to be stored."""
+    def has_new_content(self, report: Report) -> bool:
+        """Whether a report contains anything that must be written to disk."""
         run = self.runs.get(report.run_id)
         if run is None:
             return True
         if not report.current and run.current:
             return True
-        if any(one not in run.lost for one in report.lost):
+        if any(lost_range not in run.lost for lost_range in report.lost):
             return True
         return any(not run.has(interval.number) for interval in report.intervals)
 
@@ -117,8 +120,8 @@
         for name, view in report.views.items():
             if view_id(view) == name:
                 self.views.setdefault(name, view)
-            elif report.run_id not in self.unnamed:
-                self.unnamed.append(report.run_id)
+            elif report.run_id not in self.runs_with_wrong_view_id:
+                self.runs_with_wrong_view_id.append(report.run_id)
 
     def _add_conflict(self, report: Report, one: ActivityInterval, other: ActivityInterval) -> None:
         seals = sorted((one.seal, other.seal))
@@ -127,27 +130,28 @@
             self.conflicts.append(conflict)
 
     def stored_upto(self, run_id: RunId, first: int = 1) -> int:
-        """The last number up to which all intervals of a start are here. `first` is the first interval that
-        its sender still has."""
+        """The last number up to which all intervals of a start are stored. `first` is the first interval that
+        the sender still has."""
         run = self.runs.get(run_id)
         return 0 if run is None else run.contiguous_from(first)
 
     def positions(self) -> dict[RunId, int]:
-        """Up to which number each start is stored."""
-        return {run_id: run.upto for run_id, run in self.runs.items()}
+        """The last number up to which all intervals are stored, by start."""
+        return {run_id: run.last_contiguous for run_id, run in self.runs.items()}
 
-    def missing_reports(self, positions: Mapping[RunId, int], most: int) -> Iterator[Report]:
-        """What a store at these positions lacks, in reports of `most` intervals at most."""
+    def missing_reports(self, positions: Mapping[RunId, int], max_intervals: int) -> Iterator[Report]:
+        """Reports with what another store at `positions` lacks, each with at most `max_intervals`
+        intervals."""
         for run_id in self.runs:
-            yield from self.missing_of(run_id, positions.get(run_id, 0), most)
+            yield from self.missing_reports_of(run_id, positions.get(run_id, 0), max_intervals)
 
-    def missing_of(self, run_id: RunId, upto: int, most: int) -> Iterator[Report]:
-        """What a store lacks that has one start up to `upto`. Yields at least one report, which has the
-        latest checkpoint."""
+    def missing_reports_of(self, run_id: RunId, last_stored: int, max_intervals: int) -> Iterator[Report]:
+        """Reports with what another store lacks that has one start up to `last_stored`. Yields at least one
+        report, which contains the latest checkpoint."""
         run = self.runs[run_id]
-        index = bisect_right(run.numbers, upto)
+        index = bisect_right(run.numbers, last_stored)
         while True:
-            part = run.intervals(index, most)
+            part = run.intervals(index, max_intervals)
             yield self._report(run_id, run, part)
             index += len(part)
             if index >= len(run.numbers):
@@ -174,14 +178,14 @@
         )
 
     def forget_expired(self, now_ms: float) -> int:
-        """Drops intervals that ended before the retention, and starts that were last heard of before it.
-        Returns how many intervals."""
+        """Drops intervals that ended longer than the retention time ago, and starts that were last reported
+        longer ago. Returns the number of dropped intervals."""
         expired_ms, before = now_ms - self.retention_ms, self.interval_count
         for run_id, run in list(self.runs.items()):
             if max(run.last_known_ms, run.taken_ms) < expired_ms:
                 self._drop_run(run_id)
-            elif len(run.tos_ms) and run.tos_ms[0] < expired_ms:
-                self.interval_count -= run.drop_before(bisect_left(run.tos_ms, expired_ms))
+            elif len(run.to_moments_ms) and run.to_moments_ms[0] < expired_ms:
+                self.interval_count -= run.drop_before(bisect_left(run.to_moments_ms, expired_ms))
         if self.interval_count < before:
             self._drop_unused_views()
         return before - self.interval_count
@@ -203,18 +207,23 @@
         self.views = {name: view for name, view in self.views.items() if name in used}
 
     def snapshot(self) -> bytes:
-        """The whole store, encoded. Intervals are copied as they are, since all of them are written at
-        once."""
-        runs = [StoredRun(self._report(run_id, run, []), run.encoded) for run_id, run in self.runs.items()]
-        return msgspec.msgpack.encode(AuditSnapshot(FORMAT, runs, self.views, self.conflicts, self.unnamed))
+        """The whole store, encoded. Since a snapshot holds all intervals, they are copied in their encoded
+        form."""
+        runs = [
+            StoredRun(self._report(run_id, run, []), run.encoded_intervals)
+            for run_id, run in self.runs.items()
+        ]
+        return msgspec.msgpack.encode(
+            AuditSnapshot(SNAPSHOT_FORMAT, runs, self.views, self.conflicts, self.runs_with_wrong_view_id)
+        )
 
     def restore(self, payload: bytes) -> None:
         """Reads a snapshot into an empty store. Raises msgspec's errors and BadReportError."""
         snapshot = _snapshot_decoder.decode(payload)
-        if snapshot.format != FORMAT:
-            raise BadReportError(f"snapshot of format {snapshot.format}", f"{FORMAT}")
+        if snapshot.format != SNAPSHOT_FORMAT:
+            raise BadReportError(f"snapshot of format {snapshot.format}", f"{SNAPSHOT_FORMAT}")
         self.views, self.conflicts = snapshot.views, snapshot.conflicts
-        self.unnamed = snapshot.unnamed
+        self.runs_with_wrong_view_id = snapshot.runs_with_wrong_view_id
         for stored in snapshot.runs:
             self.add(stored.report)
             run = self.runs[stored.report.run_id]
--- a/gladelane/audit/digests.py
+++ b/gladelane/audit/digests.py
@@ -1,4 +1,4 @@
-"""Digests of settings and of the program, by which reports name their versions."""
+"""Digests of the settings and of the program, which identify their versions in reports."""
 
 from __future__ import annotations
 
@@ -20,6 +20,6 @@
 
 
 def settings_digest(settings: Settings) -> str:
-    """The digest of all settings except the director's own number."""
+    """The digest of all settings except `me`, the director's own number."""
     plain = {name: value for name, value in settings_fields(settings).items() if name != "me"}
     return blake2b(repr(sorted(plain.items())).encode(), digest_size=DIGEST_BYTES).hexdigest()
--- a/gladelane/audit/escalation.py
+++ b/gladelane/audit/escalation.py
@@ -1,4 +1,4 @@
-"""Which stage of escalation a director reaches by how long it has lagged. Pure."""
+"""The escalation policy: which stage a lagging director reaches after which time. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 class EscalationPolicy(msgspec.Struct, frozen=True):
     """For how long a director must lag before each stage begins, in ms.
 
-    `lag_ms` is tolerated. A director that lacks nothing for `readmit_after_ms` is readmitted. At most `share`
-    of the fleet is restricted or worse at once. A director without a report for `silent_ms` has quarantined
-    itself, since its lease has expired. The names of the JSON fields are fixed.
+    A lag up to `lag_ms` is tolerated. A director that lacks nothing for `readmit_after_ms` is readmitted. At
+    most `share` of the fleet is restricted or worse at once. A director without a report for `silent_ms`
+    counts as quarantined, since its lease has expired. The names of the JSON fields are fixed.
     """
 
     lag_ms: float = 500.0
@@ -32,15 +32,15 @@
                 reached = stage
         return reached
 
-    def next_step(self, lagging_ms: float) -> str:
-        """The next stage and when it begins, as answers to commands say it; empty after the last stage."""
+    def describe_next_stage(self, lagging_ms: float) -> str:
+        """The next stage and when it begins, as text for answers to commands; empty after the last stage."""
         for stage, threshold_ms in self._thresholds()[1:]:
             if lagging_ms <= threshold_ms:
-                return f"{stage.word} in {(threshold_ms - lagging_ms) / 1000.0:.1f} s"
+                return f"{stage.label} in {(threshold_ms - lagging_ms) / 1000.0:.1f} s"
         return ""
 
     def _thresholds(self) -> tuple[tuple[Stage, float], ...]:
-        """In ascending order."""
+        """The stages and the lag after which each begins, in ascending order."""
         return (
             (Stage.NOTIFIED, self.lag_ms),
             (Stage.RESYNCING, self.resync_after_ms),
--- a/gladelane/audit/fleet_versions.py
+++ b/gladelane/audit/fleet_versions.py
@@ -1,8 +1,8 @@
-"""Which versions were announced to the fleet, and when, by one control server's clock. Pure.
+"""The versions that were announced to the fleet, and when, by one control server's clock. No I/O, no clock.
 
-A revision of the endpoint list counts from when the first director reported it, a purge or a new low
-watermark from when this control server stored it, and an operator's decision from the moment that it names,
-but not from before it arrived here.
+A revision of the endpoint list counts as announced when the first director reports it, a purge or a new low
+watermark when this control server stores it, and an operator's decision at the time that it names, but not
+before it arrives here.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from .view_lease import MissingParts
 from .wire import ExpectedDigests
 
-MAX_REVISIONS = 4_096  # of which the moments are remembered, for one list source
-MAX_STREAM_MOMENTS = 100_000  # of one stream's purges
+MAX_REVISIONS = 4_096  # remembered revisions of one list source
+MAX_STREAM_MOMENTS = 100_000  # remembered times of one stream's purges
 
 
 class _RevisionHistory:
-    """The revisions of one list source, ascending, and when each was first heard of."""
+    """The revisions of one list source, ascending, and when each was first reported."""
 
     def __init__(self) -> None:
         self.revisions: list[int] = []
@@ -43,7 +43,7 @@
 
 
 class _StreamHistory:
-    """When each purge of one stream was stored, from number `first` on."""
+    """When each purge of one stream was stored, starting with number `first`."""
 
     def __init__(self, first: int) -> None:
         self.first = first
@@ -58,24 +58,24 @@
 
 
 class FleetVersions:
-    """The versions that every director should have, with the moment since when. All times are ms of the
-    caller's clock."""
+    """The versions that every director should have, each with the time of its announcement. All times are ms
+    of the caller's clock."""
 
     def __init__(self, now_ms: float) -> None:
         self.purges: dict[Stream, int] = {}
         self.low_watermark_ms, self._low_watermark_since_ms = 0.0, now_ms
         self.expects: dict[str, ExpectedDigests] = {}  # by part
         self._expected_since_ms: dict[str, float] = {}
-        self._began_ms = now_ms
+        self._started_ms = now_ms
         self._lists: dict[str, _RevisionHistory] = {}
         self._streams: dict[Stream, _StreamHistory] = {}
 
     def announce_list(self, list_source: str, rev: int, now_ms: float) -> None:
-        """A director reported that it has this revision."""
+        """Records that a director reported this revision."""
         self._lists.setdefault(list_source, _RevisionHistory()).add(rev, now_ms)
 
     def announce_purges(self, vector: Vector, now_ms: float) -> None:
-        """This control server has stored all purges of `vector`."""
+        """Records that this control server has stored all purges of `vector`."""
         for stream, last in vector.items():
             known = self.purges.get(stream, 0)
             if last <= known:
@@ -85,13 +85,13 @@
             self.purges[stream] = last
 
     def announce_low_watermark(self, low_watermark_ms: float, now_ms: float) -> None:
-        """This control server has stored a low watermark."""
+        """Records that this control server has stored a low watermark."""
         if low_watermark_ms != self.low_watermark_ms:
             self.low_watermark_ms, self._low_watermark_since_ms = low_watermark_ms, now_ms
 
     def expect(self, expected: ExpectedDigests, now_ms: float) -> bool:
-        """Takes an operator's decision. Returns False where a later one is known. It counts from its arrival
-        at the earliest, since its own moment is of another machine's clock."""
+        """Records an operator's decision. Returns False if a later decision on the same part is known. It
+        takes effect on arrival at the earliest, since its own time is of another machine's clock."""
         known = self.expects.get(expected.part)
         if known is not None:
             if (known.since_ms, known.digests) >= (expected.since_ms, expected.digests):
@@ -100,13 +100,13 @@
         self._expected_since_ms[expected.part] = now_ms
         return True
 
-    def lacking_since(self, view: View) -> dict[str, float]:
-        """The parts that a view lacks, each with the moment at which it was announced."""
+    def missing_since(self, view: View) -> dict[str, float]:
+        """The parts that a view lacks, each with the time at which it was announced."""
         found: dict[str, float] = {}
         history = self._lists.get(view.list_source)
         if history is not None and (since_ms := history.first_after(view.rev)) is not None:
             found["list"] = since_ms
-        since_ms = self._purges_lacking_since(view)
+        since_ms = self._purges_missing_since(view)
         if since_ms < math.inf:
             found["purges"] = since_ms
         if view.low_watermark_ms < self.low_watermark_ms:
@@ -116,12 +116,12 @@
                 found[part] = max(expected.since_ms, self._expected_since_ms[part])
         return found
 
-    def _purges_lacking_since(self, view: View) -> float:
-        """Infinity where no purge is lacking."""
+    def _purges_missing_since(self, view: View) -> float:
+        """When the first purge was stored that the view lacks; infinity if it lacks none."""
         try:
             vector = parse_positions(view.purges)
         except InvalidPositionError:
-            return self._began_ms
+            return self._started_ms
         since_ms = math.inf
         for stream, last in self.purges.items():
             next_number = vector.get(stream, 0) + 1
@@ -129,12 +129,12 @@
                 continue
             history = self._streams[stream]
             is_remembered = next_number >= history.first
-            moment_ms = history.stored_ms[next_number - history.first] if is_remembered else self._began_ms
+            moment_ms = history.stored_ms[next_number - history.first] if is_remembered else self._started_ms
             since_ms = min(since_ms, moment_ms)
         return since_ms
 
     def required_for(self, view: View, parts: Iterable[str]) -> MissingParts:
-        """What a view must have in order to lack none of these parts."""
+        """The minimum that a view must have so that it lacks none of `parts`."""
         parts = set(parts)
         digests = {part: expected.digests for part, expected in self.expects.items() if part in parts}
         history = self._lists.get(view.list_source)
--- a/gladelane/audit/options.py
+++ b/gladelane/audit/options.py
@@ -1,4 +1,4 @@
-"""What an operator's file says of the audit."""
+"""The audit section of an operator's file."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class AuditOptions(msgspec.Struct, frozen=True):
-    """The audit section of an operator's file, checked.
+    """The validated audit options of a director.
 
-    `dir` is a lasting folder of this director alone; if it is empty, the unreported work of a killed process
-    is unknown. `report_ms` is the time between reports. `list_source` is the operators' name of the discovery
-    server, the same at all directors that follow the same one. `list_lease_ms` is how long the endpoint list
-    is valid without a word from the discovery server; 0 means without limit. `alone` is what a director does
-    while no control server answers. With `enforce` false the audit only reports. `log_bytes` bounds the
-    activity log in memory. `digest` is that of the operator's file, without the places in it.
+    `dir` is a persistent folder that only this director uses; without one, the unreported work of a killed
+    process is unknown. `report_ms` is the time between reports. `list_source` is the operators' name of the
+    discovery server, the same at all directors that follow the same one. `list_lease_ms` is how long the
+    endpoint list is valid without a reply from the discovery server; 0 means without limit. `alone` is what a
+    director does while no control server answers. With `enforce` false the audit only reports. `log_bytes`
+    bounds the activity log in memory. `digest` is that of the operator's file, without the places in it.
     """
 
     dir: str = ""
--- a/gladelane/audit/records.py
+++ b/gladelane/audit/records.py
@@ -1,4 +1,4 @@
-"""What the audit answers: rows on what directors did, and what does not fit together. No I/O."""
+"""The records of audit results: rows on what directors did, conflicts and inconsistencies. No I/O."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 class BadReportError(ValueError):
-    """A report, or a snapshot of reports, with impossible content. `found` is the content, `expected` what
-    would be valid."""
+    """A report or snapshot has invalid content. `found` is the invalid content, `expected` describes valid
+    content."""
 
     def __init__(self, found: str, expected: str = "") -> None:
         super().__init__(f"{found}; expected {expected}" if expected else found)
@@ -20,8 +20,8 @@
 
 
 class Conflict(msgspec.Struct, array_like=True):
-    """Two intervals of one number with different content, by their seals. Fields are stored by their
-    position."""
+    """Two intervals with the same number and different content, identified by their seals `seal` and `other`.
+    Fields are stored by their position."""
 
     director: str
     start: int
@@ -31,11 +31,11 @@
 
 
 class Knowledge(Enum):
-    """What the audit knows of a time range. The values appear in answers."""
+    """What the audit knows about a time range. The values appear in answers."""
 
     ACTED = "acted"
     UNKNOWN = "unknown"
-    AWAY = "not running"
+    NOT_RUNNING = "not running"
 
 
 class AuditRow(msgspec.Struct):
--- a/gladelane/audit/replies.py
+++ b/gladelane/audit/replies.py
@@ -1,6 +1,6 @@
-"""Answers to questions about the audit, as commands read them. No I/O.
+"""The control server's answers to audit queries, as commands read them. No I/O.
 
-Every answer names the control server that gives it and what that server may not know. The names of the JSON
+Every answer names its control server and lists what that server may not know. The names of the JSON
 fields are fixed.
 """
 
@@ -38,7 +38,7 @@
 
 
 class AuditReply(Reply):
-    """What directors did. `cut`: there are more rows than one answer holds."""
+    """What directors did. `cut` is true if there were more rows than one answer can hold."""
 
     rows: list[AuditRow]
     cut: bool
@@ -46,7 +46,7 @@
 
 
 class VersionsReply(Reply):
-    """What each director acts on now, and what operators expect."""
+    """The view that each director acts on now, and the digests that operators expect."""
 
     rows: list[AuditRow]
     views: Views
@@ -54,8 +54,8 @@
 
 
 class LaggingReply(Reply):
-    """Which directors lag. `source` holds the parts that most directors lack, and how many do;
-    `restricted` counts the directors that are restricted or worse."""
+    """The directors that lag. `source` holds the parts that most directors lack, with the number of these
+    directors; `restricted` counts the directors that are restricted or worse."""
 
     directors: list[DirectorStatus] = msgspec.field(name="stragglers")
     source: dict[str, int]
@@ -63,7 +63,7 @@
 
 
 class ExplainReply(Reply):
-    """The state of one director, and the policy by which it is judged."""
+    """The state of one director, and the escalation policy that applies to it."""
 
     explained: DirectorStatus
     policy: EscalationPolicy = msgspec.field(name="ladder")
@@ -71,12 +71,12 @@
 
 
 class ExpectReply(Reply):
-    """What operators expect."""
+    """The digests that operators expect."""
 
     expects: list[ExpectedDigests]
 
 
 class VerifyReply(Reply):
-    """What does not fit together in the reports."""
+    """The inconsistencies found in the stored reports."""
 
     wrong: list[Inconsistency]
--- a/gladelane/audit/report_intake.py
+++ b/gladelane/audit/report_intake.py
@@ -1,5 +1,5 @@
-"""Takes reports and operators' decisions at a control server: stores what is new before it answers, and has
-the lag monitor judge the director."""
+"""Accepts reports and operators' decisions on a control server. New content is stored before the reply is
+sent, and the reply contains the lag monitor's verdict on the director."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 log = logging.getLogger(__name__)
 
-MAX_WAITING = 4_000  # messages that are not stored yet
-MAX_BATCH = 500  # of them stored at once
+MAX_WAITING = 4_000  # records that wait to be stored
+MAX_BATCH = 500  # records that are stored together
 MAX_DIGEST_LENGTH = 64
 
 
 class NotStoredError(HttpStatusError):
-    """The content of a request could not be stored, so none of it is in force."""
+    """The content of a request could not be stored, so none of it takes effect."""
 
     def __init__(self, error: Exception) -> None:
         super().__init__(507, f"not stored: {error}")
@@ -37,7 +37,7 @@
 
     record: ReportRecord
     done: asyncio.Future[None]
-    source: str  # the control server that replicated it; empty: a director or an operator
+    source: str  # the control server that replicated it; empty if it came from a director or an operator
 
 
 class ServerIdentity(NamedTuple):
@@ -48,7 +48,7 @@
 
 
 class ReportIntake:
-    """The intake of one control server."""
+    """Accepts the messages to one control server."""
 
     def __init__(
         self,
@@ -65,25 +65,26 @@
         self._report_log, self._replication = report_log, replication
         self._clock, self._lease_ms = clock, lease_ms
         self._committer = GroupCommit(self._commit, self._commit_failed, MAX_WAITING, MAX_BATCH)
-        self._clocks_ahead_ms: dict[str, float] = {}  # of other servers, as their last messages showed
+        #: how far other servers' clocks are ahead, from their latest messages
+        self._clocks_ahead_ms: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Stores what was taken, until cancelled."""
+        """Stores accepted records until cancelled."""
         await self._committer.run()
 
-    async def take_report(self, report: Report) -> ReportReply:
-        """Takes a director's report. Raises HttpStatusError."""
+    async def handle_report(self, report: Report) -> ReportReply:
+        """Stores a director's report and returns the reply. Raises HttpStatusError."""
         now_ms = self._clock()
         report.taken_ms, report.by = now_ms, self._identity.name
         self._check(report)
         if report.current:
             self._monitor.observe(report.director, report.zone, report.view, now_ms, report.start)
-        has_stored = True
+        is_stored = True
         try:
             await self._store_new([report], [], "")
-        except NotStoredError:  # lease and verdict depend on the view alone
-            has_stored = False
-        reply = self._reply_to(report, has_stored)
+        except NotStoredError:  # lease and verdict depend only on the view, so they are granted nevertheless
+            is_stored = False
+        reply = self._reply_to(report, is_stored)
         if report.current and report.open is None:
             self._monitor.remove(report.director)
         elif report.current:
@@ -91,9 +92,9 @@
             _log_escalation(report, reply.verdict)
         return reply
 
-    def _reply_to(self, report: Report, has_stored: bool) -> ReportReply:
+    def _reply_to(self, report: Report, is_stored: bool) -> ReportReply:
         stored = self._store.stored_upto(report.run_id, report.first)
-        stored_elsewhere = self._replication.most_stored(report.run_id, stored)
+        stored_elsewhere = self._replication.max_stored_by_peers(report.run_id, stored)
         return ReportReply(
             server=self._identity.name,
             epoch=self._identity.epoch,
@@ -101,7 +102,7 @@
             stored=stored,
             copied=min(stored, stored_elsewhere),
             lease_ms=self._lease_ms,
-            stores=has_stored,
+            stores=is_stored,
         )
 
     def _check(self, report: Report) -> None:
@@ -110,8 +111,8 @@
         except BadReportError as error:
             raise HttpStatusError(400, str(error)) from None
 
-    async def take_replicated(self, message: ReplicatedReports) -> StoredPositions:
-        """Takes reports that another control server sent. Raises HttpStatusError."""
+    async def handle_replicated(self, message: ReplicatedReports) -> StoredPositions:
+        """Stores reports that another control server sent. Raises HttpStatusError."""
         if message.sent_ms:
             self._clocks_ahead_ms[message.server] = message.sent_ms - self._clock()
         for report in message.reports:
@@ -124,14 +125,15 @@
         return StoredPositions(self._identity.name, self._identity.epoch, marks)
 
     def _observe_replicated(self, report: Report) -> None:
-        """Converts the moment of the report from the clock of the server that took it to this one's."""
+        """Observes the view of a replicated report. The time of the report is converted from the clock of the
+        server that accepted it to the clock of this server."""
         stage = Stage(min(max(report.stage, 0), Stage.QUARANTINED))
         taken_ms = report.taken_ms - self._clocks_ahead_ms.get(report.by, 0.0)
-        heard_ms = min(taken_ms, self._clock())
-        self._monitor.observe(report.director, report.zone, report.view, heard_ms, report.start, stage)
+        reported_ms = min(taken_ms, self._clock())
+        self._monitor.observe(report.director, report.zone, report.view, reported_ms, report.start, stage)
 
-    async def take_expected(self, expected: ExpectedDigests, caller: str) -> None:
-        """Takes an operator's decision. Raises HttpStatusError."""
+    async def handle_expected(self, expected: ExpectedDigests, caller: str) -> None:
+        """Stores an operator's decision. Raises HttpStatusError."""
         is_too_long = any(len(text) > MAX_DIGEST_LENGTH for text in expected.digests)
         if expected.part not in DIGEST_PARTS or is_too_long:
             parts = ", ".join(DIGEST_PARTS)
@@ -140,9 +142,9 @@
         await self._store_new([], [expected], "")
 
     async def _store_new(self, reports: list[Report], expects: list[ExpectedDigests], source: str) -> None:
-        """Returns once what is new is stored. Raises HttpStatusError, and NotStoredError where the disk
+        """Returns once all new content is stored. Raises HttpStatusError, and NotStoredError if the disk
         fails."""
-        new_reports = [report for report in reports if self._store.has_news(report)]
+        new_reports = [report for report in reports if self._store.has_new_content(report)]
         known = self._monitor.versions.expects
         new_expects = [expected for expected in expects if known.get(expected.part) != expected]
         if new_reports or new_expects:
@@ -154,12 +156,12 @@
                 raise HttpStatusError(503, "too many reports wait to be stored") from None
             await asyncio.shield(done)
         for report in reports:
-            if report not in new_reports:  # it only has a later checkpoint
+            if report not in new_reports:  # it only contains a later checkpoint, which is not written to disk
                 self._apply(report, source)
 
     def _apply(self, report: Report, source: str) -> None:
         self._store.add(report)
-        self._replication.note_stored(report, source)
+        self._replication.record_stored(report, source)
 
     def _commit_failed(self, batch: list[_PendingRecord], error: Exception) -> None:
         self._report_log.discard(error)
@@ -180,14 +182,14 @@
 
 
 def _log_escalation(report: Report, verdict: Verdict) -> None:
-    """Logs a change of the stage past `NOTIFIED`."""
-    was = Stage(min(report.stage, Stage.QUARANTINED))
-    if verdict.stage is was or max(verdict.stage, was) <= Stage.NOTIFIED:
+    """Logs a change of the stage if the old or the new one is beyond `NOTIFIED`."""
+    previous = Stage(min(report.stage, Stage.QUARANTINED))
+    if verdict.stage is previous or max(verdict.stage, previous) <= Stage.NOTIFIED:
         return
     log.warning(
-        "straggler director=%s stage=%s was=%s: %s",
+        "lagging director=%s stage=%s was=%s: %s",
         report.director,
-        verdict.stage.word,
-        was.word,
+        verdict.stage.label,
+        previous.label,
         verdict.reason,
     )
--- a/gladelane/audit/report_log.py
+++ b/gladelane/audit/report_log.py
@@ -1,4 +1,4 @@
-"""The control server's log of reports and operators' decisions, on disk. Decides nothing."""
+"""The control server's log of reports and operators' decisions, on disk. Makes no decisions."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class ReportRecord(msgspec.Struct, array_like=True):
-    """One record of the log; fields are stored by their position."""
+    """One record of the log. Fields are stored by their position."""
 
     reports: list[Report] = []
     expects: list[ExpectedDigests] = []
 
 
 class ReportSnapshot(msgspec.Struct, array_like=True):
-    """A snapshot of the log: the audit store as it encodes itself, and operators' decisions."""
+    """A snapshot of the log: the encoded audit store, and operators' decisions."""
 
     store: bytes
     expects: list[ExpectedDigests]
@@ -67,7 +67,8 @@
                 self._store.add(report)
 
     async def write(self, records: list[ReportRecord]) -> None:
-        """Returns once the records are synced. Raises OSError; then `discard` must follow."""
+        """Returns once the records are synced to disk. Raises OSError; the caller must then call
+        `discard`."""
         for record in records:
             self._log.append(msgspec.msgpack.encode(record))
         await asyncio.to_thread(self._log.commit)
@@ -79,11 +80,11 @@
         if isinstance(error, OSError):
             self.outage.report_failure(error)
         else:
-            log.error("audit: could not store", exc_info=error)
+            log.error("audit: storing reports failed", exc_info=error)
         self._log.discard_uncommitted()
 
     async def shorten(self, expects: list[ExpectedDigests]) -> None:
-        """Replaces the log by a snapshot of the store once there are many records."""
+        """Replaces the log by a snapshot of the store if the log has grown long enough."""
         if self._compaction.is_due:
             snapshot = ReportSnapshot(self._store.snapshot(), expects)
             await self._compaction.write(msgspec.msgpack.encode(snapshot))
--- a/gladelane/audit/report_replication.py
+++ b/gladelane/audit/report_replication.py
@@ -1,5 +1,5 @@
-"""Replicates reports to the other control servers: a few times a second each is sent what it lacks. Decides
-nothing."""
+"""Replicates reports to the other control servers: a few times a second, each is sent what it lacks. Makes no
+decisions."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 INTERVAL_S = 0.2  # between two messages to one server
 MAX_BACKOFF_S = 1.0  # between attempts while a server does not answer
-SILENT_MS = 5_000.0  # without an answer for so long a server counts as silent
+SILENT_MS = 5_000.0  # a server without an answer for this long counts as silent
 
 
 class ReportPeer:
@@ -37,11 +37,11 @@
 
     def __init__(self, host: str, port: int, tls: ssl.SSLContext | None) -> None:
         self.host, self.port, self.tls = host, port, tls
-        self.name, self.epoch = "", 0  # as its latest answer said
+        self.name, self.epoch = "", 0  # from its latest answer
         self.stored: dict[RunId, int] = {}
-        self.changed: dict[RunId, None] = {}  # in the order of the changes
-        self.heard_ms = 0.0
-        self.is_known = False  # it has said how far it has stored all starts since its own start
+        self.changed_runs: dict[RunId, None] = {}  # a set in the order of the changes
+        self.answered_ms = 0.0
+        self.are_positions_known = False  # `stored` is what the peer reported since its latest start
 
 
 class ReportReplication:
@@ -57,31 +57,32 @@
         clock: Callable[[], float],
         on_peer_named: Callable[[], None],
     ) -> None:
-        """`name` and `epoch` are those of this server. `token` returns the token for calls, `clock` Unix ms.
+        """`name` and `epoch` identify this server. `token` returns the token for calls, `clock` Unix ms.
         `on_peer_named` is called when a peer's name becomes known or changes."""
         self.peers: list[ReportPeer] = []
         self._name, self._epoch, self._store, self._versions = name, epoch, store, versions
         self._token, self._clock, self._on_peer_named = token, clock, on_peer_named
 
-    def runs(self) -> list[Coroutine[Any, Any, None]]:
+    def replication_loops(self) -> list[Coroutine[Any, Any, None]]:
         """One coroutine for each peer, to be run as tasks."""
         return [self._run(peer) for peer in self.peers]
 
     def silent_peers(self) -> list[ReportPeer]:
-        """The peers that have not answered for SILENT_MS."""
+        """The peers that have not answered for longer than SILENT_MS."""
         now = self._clock()
-        return [peer for peer in self.peers if now - peer.heard_ms > SILENT_MS]
+        return [peer for peer in self.peers if now - peer.answered_ms > SILENT_MS]
 
-    def most_stored(self, run_id: RunId, default: int) -> int:
-        """Up to which interval the furthest peer has a start; `default` where there is no peer."""
+    def max_stored_by_peers(self, run_id: RunId, default: int) -> int:
+        """The highest number up to which any peer has stored a start; `default` if there is no peer."""
         return max((peer.stored.get(run_id, 0) for peer in self.peers), default=default)
 
-    def note_stored(self, report: Report, source: str) -> None:
-        """A report was stored here. `source` is the peer that replicated it; empty: a director sent it."""
+    def record_stored(self, report: Report, source: str) -> None:
+        """Records that a report was stored here. `source` is the peer that replicated it; empty if a director
+        sent it."""
         run_id = report.run_id
         for peer in self.peers:
             if peer.name != source or not source:
-                peer.changed[run_id] = None
+                peer.changed_runs[run_id] = None
                 continue
             known = peer.stored.get(run_id, 0)
             if report.intervals and report.intervals[0].number <= known + 1:
@@ -97,49 +98,51 @@
         try:
             await self._replicate(peer)
         except CALL_ERRORS as error:
-            if peer.is_known:
+            if peer.are_positions_known:
                 reason = error_label(error)
-                log.warning("audit: feed did not take feed=%s:%d: %s %s", peer.host, peer.port, reason, error)
-            peer.is_known = False
+                log.warning(
+                    "audit: replication refused feed=%s:%d: %s %s", peer.host, peer.port, reason, error
+                )
+            peer.are_positions_known = False
             return False
         except Exception:
-            log.exception("audit: handing on failed")
+            log.exception("audit: replication failed")
             return False
         return True
 
     async def _replicate(self, peer: ReportPeer) -> None:
-        """Sends one message with what the peer lacks. After each start of the peer it is asked first how far
-        it has stored everything."""
-        if not peer.is_known:
+        """Sends one message with what the peer lacks. If the peer has restarted, its positions are requested
+        first."""
+        if not peer.are_positions_known:
             answer = await fetch(peer.host, peer.port, "GET", "/fleet/marks", self._token(), tls=peer.tls)
             self._update(peer, positions_decoder.decode(answer))
-            peer.changed = dict.fromkeys(self._store.positions())
-            peer.is_known = True
-        run_ids = list(peer.changed)
+            peer.changed_runs = dict.fromkeys(self._store.positions())
+            peer.are_positions_known = True
+        run_ids = list(peer.changed_runs)
         reports = self._missing_at(peer, run_ids)
         expects = list(self._versions.expects.values())
         message = ReplicatedReports(self._name, self._epoch, reports, expects, self._clock())
         try:
             positions = await self._send(peer, message)
         except BaseException:
-            peer.changed.update(dict.fromkeys(run_ids))
+            peer.changed_runs.update(dict.fromkeys(run_ids))
             raise
-        if positions.epoch != peer.epoch:  # it has started since, and may have lost what it had
-            peer.is_known = False
+        if positions.epoch != peer.epoch:  # the peer has restarted and may have lost its data
+            peer.are_positions_known = False
         self._update(peer, positions)
 
     def _missing_at(self, peer: ReportPeer, run_ids: list[RunId]) -> list[Report]:
-        """What one message can hold of that. A start of which everything is included is no longer marked as
-        changed."""
+        """Reports with what the peer lacks of `run_ids`, as far as one message can hold them. A start of
+        which everything is included is no longer marked as changed."""
         reports: list[Report] = []
         capacity = MAX_REPLICATED_INTERVALS
         for run_id in run_ids:
             if capacity <= 0:
                 break
-            missing = self._store.missing_of(run_id, peer.stored.get(run_id, 0), capacity)
+            missing = self._store.missing_reports_of(run_id, peer.stored.get(run_id, 0), capacity)
             report = next(missing, None)
             if report is None or len(report.intervals) < capacity:
-                del peer.changed[run_id]
+                del peer.changed_runs[run_id]
             if report is not None:
                 reports.append(report)
                 capacity -= len(report.intervals) + 1
@@ -156,8 +159,8 @@
         if positions.is_complete:
             peer.stored = {}
         for mark in positions.marks:
-            peer.stored[RunId(mark.director, mark.start)] = mark.upto
-        peer.epoch, peer.heard_ms = positions.epoch, self._clock()
+            peer.stored[RunId(mark.director, mark.start)] = mark.last_number
+        peer.epoch, peer.answered_ms = positions.epoch, self._clock()
         if peer.name != positions.server:
             peer.name = positions.server
             self._on_peer_named()
--- a/gladelane/audit/reporter.py
+++ b/gladelane/audit/reporter.py
@@ -1,5 +1,5 @@
-"""Reports a director's activity to one control server at a time, and takes the replies: the view lease and
-the verdict. Decisions stand in `activity_log` and `view_lease`."""
+"""Reports a director's activity to one control server at a time, and applies the replies, which contain the
+view lease and the verdict. The decisions are made in `activity_log` and `view_lease`."""
 
 from __future__ import annotations
 
@@ -20,11 +20,12 @@
 
 log = logging.getLogger(__name__)
 
-ASSUMED_LEASE_MS = 3_000.0  # until a control server has said how long a lease is
+ASSUMED_LEASE_MS = 3_000.0  # assumed until the first reply tells the duration of a lease
 
 
 class Reporter:
-    """The reports of one director. `earlier_runs` are what its earlier processes left unreported."""
+    """Sends the reports of one director. `earlier_runs` holds what its earlier processes have not
+    reported."""
 
     def __init__(
         self,
@@ -39,25 +40,25 @@
         self._recorder, self._lease, self._director = recorder, lease, director
         self._purges, self._clock = purges, clock
         self.earlier_runs = earlier_runs
-        self.has_more = False  # something is left to report at once
-        self.granted = asyncio.Event()  # a first lease was granted
+        self.has_more = False  # the next report is due without a delay
+        self.lease_granted = asyncio.Event()  # set once the first lease was granted
         self._servers = list(purges.options.servers)
         name_hash = blake2b(recorder.log.director.encode(), digest_size=4).hexdigest()
         self._server_index = int(name_hash, 16) % len(self._servers)
         self._is_stopping = False
         self._offset: ClockOffset | None = None
-        self._offset_server = ""  # the control server to whose clock the offset belongs
+        self._offset_server = ""  # the control server whose clock `_offset` refers to
         self._lease_ms = ASSUMED_LEASE_MS
 
     def stop(self) -> None:
-        """The next report is the last one: it holds no checkpoint."""
+        """Makes the next report the last one, which has no checkpoint."""
         self.earlier_runs, self._is_stopping = [], True
 
     async def report(self, timeout_s: float) -> bool:
-        """Sends one report to the current control server. Returns False if there was no answer; the next
-        report goes to the next server then."""
+        """Sends one report to the current control server. Returns False if there was no reply; the next
+        report then goes to the next server."""
         host, port = self._servers[self._server_index]
-        asked_ms = steady_ms()  # before any part of the report is read
+        requested_ms = steady_ms()  # before any part of the report is built
         earlier = self._next_earlier_run()
         report = self._next_report() if earlier is None else earlier.next_report(self._zone)
         report.view, report.sent_ms = self._recorder.view, self._clock()
@@ -67,19 +68,19 @@
             answer = await fetch(host, port, "POST", "/reports", token, body, headers, within_s=timeout_s)
             reply = reply_decoder.decode(answer)
         except CALL_ERRORS as error:
-            self._lease.note_unanswered(asked_ms, self._lease_ms)
+            self._lease.record_unanswered(requested_ms, self._lease_ms)
             self._switch_server()
             reason = error_label(error)
-            log.warning("audit: feed did not answer feed=%s:%d: %s %s", host, port, reason, error)
+            log.warning("audit: no reply to a report feed=%s:%d: %s %s", host, port, reason, error)
             return False
         if earlier is not None:
-            self.has_more = True  # the running process is next, without a pause
+            self.has_more = True  # the next report, of the running process, follows without a delay
             if earlier.acknowledge(reply):
                 self.earlier_runs.pop(0)
             return True
         is_full = len(report.intervals) == MAX_REPORT_INTERVALS
         self.has_more = is_full and reply.stored >= report.intervals[-1].number
-        self._take_reply(reply, report, asked_ms)
+        self._apply_reply(reply, report, requested_ms)
         return True
 
     @property
@@ -89,25 +90,26 @@
     def _switch_server(self) -> None:
         self._server_index = (self._server_index + 1) % len(self._servers)
 
-    def _take_reply(self, reply: ReportReply, report: Report, asked_ms: float) -> None:
+    def _apply_reply(self, reply: ReportReply, report: Report, requested_ms: float) -> None:
         now_ms = self._clock()
         self._lease_ms = reply.lease_ms
         self._offset = ClockOffset(reply.now_ms - now_ms, reply.now_ms - report.sent_ms)
         self._offset_server = reply.server
         self._recorder.log.acknowledge(reply.stored, reply.copied)
         if not self._lease.apply_verdict(reply.verdict, report.view):
-            log.warning("audit: verdict not believed feed=%s: %s", reply.server, reply.verdict.reason)
-        self._lease.renew(asked_ms, reply.lease_ms)
+            log.warning("audit: verdict rejected feed=%s: %s", reply.server, reply.verdict.reason)
+        self._lease.renew(requested_ms, reply.lease_ms)
         if self._lease.stage < Stage.QUARANTINED:
-            self.granted.set()
-        # another control server may have more to follow, or a disk that accepts writes
+            self.lease_granted.set()
+        # another control server may be more up to date, or may have a disk that accepts writes
         if reply.verdict.stage is Stage.RESYNCING or not reply.stores:
             self._switch_server()
         self._recorder.drop_unused_views()
 
     def _next_earlier_run(self) -> UnreportedRun | None:
-        """Earlier processes take turns with the running one, whose lease has to be renewed."""
-        if self.earlier_runs and self.granted.is_set() and not self.has_more:
+        """The earlier process that the next report is about, or None for the running process. They alternate,
+        since the running process must renew its lease."""
+        if self.earlier_runs and self.lease_granted.is_set() and not self.has_more:
             return self.earlier_runs[0]
         return None
 
@@ -128,7 +130,7 @@
         if self._is_stopping:
             return report
         report.open = self._recorder.checkpoint()
-        report.views.pop(report.open.view, None)  # it goes along as the report's own view
+        report.views.pop(report.open.view, None)  # sent as the report's own view
         report.offset, report.clock = self._offset, self._offset_server
         report.stage = int(self._lease.stage)
         return report
--- a/gladelane/audit/run_history.py
+++ b/gladelane/audit/run_history.py
@@ -1,6 +1,6 @@
-"""All that was reported of one start of a director. Pure.
+"""Everything that was reported about one start of a director. No I/O, no clock.
 
-Intervals are kept encoded, beside arrays of their numbers and moments that are searched by bisection.
+Intervals are kept encoded. Parallel arrays of their numbers and times are searched by bisection.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 _decoder: msgspec.msgpack.Decoder[ActivityInterval] = msgspec.msgpack.Decoder(ActivityInterval)
 
 
-def is_continued_by(one: ActivityInterval, other: ActivityInterval) -> bool:
-    """Whether `one` is a checkpoint, and `other` a later state of the same interval."""
-    if one.end != "open" or one == other or one.to_ms > other.to_ms:
+def is_checkpoint_of(earlier: ActivityInterval, later: ActivityInterval) -> bool:
+    """Whether `earlier` is a checkpoint, and `later` a later state of the same interval."""
+    if earlier.end != "open" or earlier == later or earlier.to_ms > later.to_ms:
         return False
-    if (one.number, one.from_ms, one.view) != (other.number, other.from_ms, other.view):
+    if (earlier.number, earlier.from_ms, earlier.view) != (later.number, later.from_ms, later.view):
         return False
     return all(
-        cls in other.counts and count.sent <= other.counts[cls].sent for cls, count in one.counts.items()
+        cls in later.counts and count.sent <= later.counts[cls].sent for cls, count in earlier.counts.items()
     )
 
 
@@ -37,11 +37,11 @@
     __slots__ = (
         "zone",
         "numbers",
-        "froms_ms",
-        "tos_ms",
-        "ends",
+        "from_moments_ms",
+        "to_moments_ms",
+        "end_markers",
         "view_ids",
-        "encoded",
+        "encoded_intervals",
         "lost",
         "open",
         "offset",
@@ -52,131 +52,141 @@
         "current",
         "stage",
         "view",
-        "upto",
+        "last_contiguous",
     )
 
     def __init__(self, zone: str) -> None:
         self.zone = zone
         self.numbers = array("Q")
-        self.froms_ms = array("d")
-        self.tos_ms = array("d")
-        self.ends: dict[int, str] = {}  # of intervals that the next one does not follow at once
+        self.from_moments_ms = array("d")
+        self.to_moments_ms = array("d")
+        self.end_markers: dict[int, str] = {}  # `end` by number, of intervals after which a gap follows
         self.view_ids: list[str] = []
-        self.encoded: list[bytes] = []
+        self.encoded_intervals: list[bytes] = []
         self.lost: list[LostIntervals] = []
         self.open: ActivityInterval | None = None
         self.offset: ClockOffset | None = None
         self.clock = self.by = ""
-        self.sent_ms = self.taken_ms = 0.0  # of the latest report
+        self.sent_ms = self.taken_ms = 0.0  # times of the latest report
         self.current = True
         self.stage = 0
         self.view = View()
-        self.upto = 0  # all intervals up to this number are here, or known to be lost
+        self.last_contiguous = 0  # all intervals up to this number are stored, or known to be lost
 
     def interval(self, index: int) -> ActivityInterval:
         """Decodes the interval at an index."""
-        return _decoder.decode(self.encoded[index])
+        return _decoder.decode(self.encoded_intervals[index])
 
     def intervals(self, first: int, count: int) -> list[ActivityInterval]:
-        """Decodes `count` intervals at most from index `first` on."""
+        """Decodes at most `count` intervals, starting at index `first`."""
         return [self.interval(index) for index in range(first, min(first + count, len(self.numbers)))]
 
     def has(self, number: int) -> bool:
-        """Whether the interval of this number is here."""
+        """Whether the interval with this number is stored."""
         index = bisect_left(self.numbers, number)
         return index < len(self.numbers) and self.numbers[index] == number
 
     @property
-    def began_ms(self) -> float:
+    def started_ms(self) -> float:
         """When the first interval began; 0 if nothing is known."""
-        if len(self.froms_ms):
-            return self.froms_ms[0]
+        if len(self.from_moments_ms):
+            return self.from_moments_ms[0]
         return self.open.from_ms if self.open is not None else 0.0
 
     @property
     def last_known_ms(self) -> float:
-        """The end of the last thing that is known."""
-        ended_ms = self.tos_ms[-1] if len(self.tos_ms) else 0.0
+        """The end of the latest interval or checkpoint."""
+        ended_ms = self.to_moments_ms[-1] if len(self.to_moments_ms) else 0.0
         return max(ended_ms, self.open.to_ms if self.open is not None else 0.0)
 
     @property
     def is_running(self) -> bool:
-        """Whether nothing says that the process ended."""
-        return not self.ends
+        """Whether no stored interval shows that the process ended."""
+        return not self.end_markers
 
     def add(self, interval: ActivityInterval) -> ActivityInterval | None:
-        """Adds an interval, or replaces the checkpoint that it continues. Returns a conflicting interval of
-        the same number, if there is one; the first of the two stays."""
+        """Adds an interval, or replaces an earlier checkpoint of it. If an interval with the same number and
+        conflicting content is stored already, that one is kept and returned."""
         numbers = self.numbers
-        is_newest = not numbers or interval.number > numbers[-1]  # nearly always
+        is_newest = not numbers or interval.number > numbers[-1]  # the usual case
         index = len(numbers) if is_newest else bisect_left(numbers, interval.number)
         if index < len(numbers) and numbers[index] == interval.number:
             return self._merge(index, interval)
         numbers.insert(index, interval.number)
-        self.froms_ms.insert(index, interval.from_ms)
-        self.tos_ms.insert(index, interval.to_ms)
+        self.from_moments_ms.insert(index, interval.from_ms)
+        self.to_moments_ms.insert(index, interval.to_ms)
         self.view_ids.insert(index, interval.view)
-        self.encoded.insert(index, _encode(interval))
+        self.encoded_intervals.insert(index, _encode(interval))
         if interval.end:
-            self.ends[interval.number] = interval.end
-        self._advance()
+            self.end_markers[interval.number] = interval.end
+        self._extend_contiguous()
         return None
 
     def _merge(self, index: int, interval: ActivityInterval) -> ActivityInterval | None:
         known = self.interval(index)
-        if is_continued_by(known, interval):
-            self.tos_ms[index], self.encoded[index] = interval.to_ms, _encode(interval)
-            self.ends[interval.number] = interval.end
+        if is_checkpoint_of(known, interval):
+            self.to_moments_ms[index], self.encoded_intervals[index] = interval.to_ms, _encode(interval)
+            self.end_markers[interval.number] = interval.end
             if not interval.end:
-                del self.ends[interval.number]
+                del self.end_markers[interval.number]
             return None
-        return None if known == interval or is_continued_by(interval, known) else known
+        return None if known == interval or is_checkpoint_of(interval, known) else known
 
     def add_lost(self, ranges: Iterable[LostIntervals]) -> None:
-        """Adds ranges of lost intervals. An interval that is here nevertheless is not lost."""
-        new = [one for one in ranges if one not in self.lost]
+        """Adds ranges of lost intervals. A stored interval does not count as lost even if it is in such a
+        range."""
+        new = [lost_range for lost_range in ranges if lost_range not in self.lost]
         self.lost += new
         if new:
-            self._advance()
+            self._extend_contiguous()
 
-    def _advance(self) -> None:
-        """Moves `upto` over all intervals that are here or lost."""
-        index = bisect_left(self.numbers, self.upto + 1)
+    def _extend_contiguous(self) -> None:
+        """Moves `last_contiguous` forward over all intervals that are stored or lost."""
+        index = bisect_left(self.numbers, self.last_contiguous + 1)
         while True:
-            if index < len(self.numbers) and self.numbers[index] == self.upto + 1:
-                self.upto += 1
+            if index < len(self.numbers) and self.numbers[index] == self.last_contiguous + 1:
+                self.last_contiguous += 1
                 index += 1
                 continue
-            gap = next((one for one in self.lost if one.first <= self.upto + 1 <= one.last), None)
-            if gap is None:
+            lost_range = next(
+                (one for one in self.lost if one.first <= self.last_contiguous + 1 <= one.last), None
+            )
+            if lost_range is None:
                 return
-            self.upto = gap.last
-            index = bisect_left(self.numbers, self.upto + 1)
+            self.last_contiguous = lost_range.last
+            index = bisect_left(self.numbers, self.last_contiguous + 1)
 
     def contiguous_from(self, first: int) -> int:
-        """The last number up to which all intervals are here, starting at `first`."""
-        if self.upto >= first - 1:
-            return self.upto
+        """The last number up to which all intervals from `first` on are stored."""
+        if self.last_contiguous >= first - 1:
+            return self.last_contiguous
         index, last = bisect_left(self.numbers, first), first - 1
         while index < len(self.numbers) and self.numbers[index] == last + 1:
             index, last = index + 1, last + 1
         return last
 
     def drop_before(self, index: int) -> int:
-        """Drops all intervals before an index, of which a lost range remains. Returns how many."""
+        """Drops all intervals before an index and records them as one lost range. Returns their number."""
         last = self.interval(index - 1)
         earlier_ms = [one.from_ms for one in self.lost if one.first <= last.number]
-        from_ms = min([self.froms_ms[0], *earlier_ms])
+        from_ms = min([self.from_moments_ms[0], *earlier_ms])
         self.lost = [one for one in self.lost if one.first > last.number]
         self.lost.insert(0, LostIntervals(1, last.number, from_ms, last.to_ms, last.seal))
-        for column in (self.numbers, self.froms_ms, self.tos_ms, self.view_ids, self.encoded):
+        for column in (
+            self.numbers,
+            self.from_moments_ms,
+            self.to_moments_ms,
+            self.view_ids,
+            self.encoded_intervals,
+        ):
             del column[:index]
-        for number in [number for number in self.ends if number <= last.number]:
-            del self.ends[number]
+        for number in [number for number in self.end_markers if number <= last.number]:
+            del self.end_markers[number]
         return index
 
     def update_latest(self, report: Report) -> None:
-        """Takes over what the newest report says. Reports may arrive out of order."""
+        """Updates the latest state from a report, unless a later report is known. Reports may arrive out of
+        order."""
         self._narrow_offset(report)
         if self._is_outdated(report):
             return
@@ -189,8 +199,8 @@
             self.open = report.open
 
     def _narrow_offset(self, report: Report) -> None:
-        """Bounds of one difference both hold. If they contradict each other a clock was adjusted, and the
-        newer bounds count."""
+        """Intersects the known bounds of the clock offset with those of a report. If the intersection is
+        empty, a clock was adjusted, and the newer bounds replace the older ones."""
         if report.offset is None:
             return
         if self.offset is not None and self.clock and self.clock != report.clock:
@@ -201,8 +211,10 @@
         self.clock = report.clock
 
     def _is_outdated(self, report: Report) -> bool:
-        """Whether a later report is known. Clocks of control servers differ and are adjusted, so reports go
-        by the director's own clock; it says nothing in a report that a later process sent."""
+        """Whether a later report is known. Reports are ordered by the director's own clock, since the clocks
+        of control servers differ and are adjusted. A report that a later process sent on behalf of this one
+        has no usable time of the director, so it is ordered by the time at which a control server accepted
+        it."""
         if report.current and self.current and report.sent_ms and self.sent_ms:
             return report.sent_ms < self.sent_ms
         return report.taken_ms < self.taken_ms
--- a/gladelane/audit/server.py
+++ b/gladelane/audit/server.py
@@ -2,12 +2,12 @@
 
     POST /reports, /handed, /fleet/expect
     GET  /fleet/marks                                 how far each start is stored here
-    GET  /fleet/versions, /fleet/stragglers           the state now
+    GET  /fleet/versions, /fleet/stragglers           the current state
     GET  /fleet/audit?at=MS, ?director=N&from=MS&to=MS
     GET  /fleet/explain?director=N, /fleet/verify
 
-`report_intake` takes reports, `answers` answers questions, `report_replication` sends reports to the other
-control servers. Decisions stand in `audit_store` and `lag_monitor`.
+`report_intake` accepts reports, `answers` answers queries, `report_replication` sends reports to the other
+control servers. The decisions are made in `audit_store` and `lag_monitor`.
 """
 
 from __future__ import annotations
@@ -40,13 +40,13 @@
 
 log = logging.getLogger(__name__)
 
-PEER_CHECK_S = 0.2  # how often it is checked whether other control servers answer
-FORGET_S = 60.0  # how often expired data is dropped
+PEER_CHECK_S = 0.2  # between two checks whether other control servers answer
+FORGET_S = 60.0  # between two removals of expired data
 CHECKS_PER_FORGET = int(FORGET_S / PEER_CHECK_S)
 
 
 class AuditServer:
-    """The audit of one control server."""
+    """The audit part of one control server."""
 
     def __init__(
         self,
@@ -81,16 +81,17 @@
         self._rank_servers()
 
     def _rank_servers(self) -> None:
-        """Divides the share of directors that may be restricted among the servers. The first by name have
-        the remainder; a server that does not know all names yet takes the last place."""
+        """Divides the share of directors that may be restricted among the servers, which are ranked by name.
+        A server that does not know all names yet ranks itself last, since the first ones get the
+        remainder."""
         peer_names = [peer.name for peer in self._replication.peers]
         names = sorted([self._identity.name, *peer_names])
-        self.monitor.servers = len(names)
+        self.monitor.server_count = len(names)
         self.monitor.rank = names.index(self._identity.name) if all(peer_names) else len(names) - 1
 
     def start(self) -> None:
-        """Begins to store, to replicate and to watch the peers."""
-        runs = [self.intake.run(), self._watch_peers(), *self._replication.runs()]
+        """Starts the background tasks: storing, replication, and checking the peers."""
+        runs = [self.intake.run(), self._watch_peers(), *self._replication.replication_loops()]
         self._tasks = [asyncio.create_task(run) for run in runs]
         log.info(
             "audit ready name=%s directors=%d spans=%d",
@@ -100,14 +101,14 @@
         )
 
     async def close(self) -> None:
-        """Ends the tasks and releases the folder."""
+        """Stops the tasks and releases the folder."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self.report_log.close()
 
     def reached(self, vector: Vector, low_watermark_ms: float) -> None:
-        """This control server has stored purges up to `vector`, and a low watermark."""
+        """Records that this control server has stored purges up to `vector`, and a low watermark."""
         now_ms = self._clock()
         self.monitor.versions.announce_purges(vector, now_ms)
         self.monitor.versions.announce_low_watermark(low_watermark_ms, now_ms)
@@ -138,21 +139,23 @@
         )
 
     def streams(self) -> Sequence[StreamRoute]:
-        """The audit has none."""
+        """The stream routes; the audit has none."""
         return ()
 
     async def _on_report(self, request: Request, _caller: str) -> bytes:
-        return encode_json(await self.intake.take_report(report_decoder.decode(request.body)))
+        return encode_json(await self.intake.handle_report(report_decoder.decode(request.body)))
 
     async def _on_replicated(self, request: Request, _caller: str) -> bytes:
-        return encode_json(await self.intake.take_replicated(replicated_decoder.decode(request.body)))
+        return encode_json(await self.intake.handle_replicated(replicated_decoder.decode(request.body)))
 
     async def _on_expect(self, request: Request, caller: str) -> bytes:
-        await self.intake.take_expected(expected_decoder.decode(request.body), caller)
+        await self.intake.handle_expected(expected_decoder.decode(request.body), caller)
         return encode_json(self.answers.expected())
 
     async def _on_positions(self, _request: Request, _caller: str) -> bytes:
-        marks = [StoredPosition(*run_id, upto) for run_id, upto in self.store.positions().items()]
+        marks = [
+            StoredPosition(*run_id, last_number) for run_id, last_number in self.store.positions().items()
+        ]
         return encode_json(StoredPositions(*self._identity, marks, is_complete=True))
 
     async def _on_audit(self, request: Request, _caller: str) -> bytes:
--- a/gladelane/audit/service.py
+++ b/gladelane/audit/service.py
@@ -1,8 +1,8 @@
-"""A director's part of the audit: records what it does, reports it, and holds back requests that its view
-lease does not permit.
+"""The audit on a director: records and reports its activity, and rejects requests that its view lease does
+not permit.
 
 `activity_recorder` records, `activity_log_writer` stores, `reporter` reports, and `stage_response` acts on
-the verdicts. Decisions stand in `activity_log` and `view_lease`.
+the verdicts. The decisions are made in `activity_log` and `view_lease`.
 """
 
 from __future__ import annotations
@@ -27,18 +27,18 @@
 
 log = logging.getLogger(__name__)
 
-UPDATE_INTERVAL_S = 0.1  # between two looks at the lease
+UPDATE_INTERVAL_S = 0.1  # between two checks of the lease
 REPORT_TIMEOUT_S = 1.0
-FIRST_LEASE_TIMEOUT_S = 3.0  # for which a start waits for its first lease
+FIRST_LEASE_TIMEOUT_S = 3.0  # for how long startup waits for the first lease
 FINAL_REPORT_TIMEOUT_S = 0.5
-RETRY_AFTER_MS = (400.0, 1_200.0)  # bounds of the advice to rejected clients
+RETRY_AFTER_MS = (400.0, 1_200.0)  # bounds of the retry time that rejected clients are given
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.1, 1.0
-REPORT_JITTER = (0.8, 1.2)  # factors of the time between reports
-STARTS_PER_MS = 1_024  # a random part of a start's number distinguishes two starts of one ms
+REPORT_JITTER = (0.8, 1.2)  # bounds of the random factor on the time between reports
+STARTS_PER_MS = 1_024  # a random low part distinguishes the numbers of two starts in the same ms
 
 
 class AuditService:
-    """The audit of one director (`Director.audit`)."""
+    """The audit of one director, available as `Director.audit`."""
 
     def __init__(
         self,
@@ -51,9 +51,9 @@
         close_clients: Callable[[], None],
         reconnect_discovery: Callable[[], None],
     ) -> None:
-        """`name` is the director's and `clock` returns Unix ms. `close_clients` tells clients to leave,
-        `reconnect_discovery` follows the discovery server anew. Raises OSError where the folder cannot be
-        opened for good."""
+        """`name` is the director's name; `clock` returns Unix ms. `close_clients` tells clients to
+        disconnect, `reconnect_discovery` opens a new connection to the discovery server. Raises OSError for a
+        permanent fault of the folder."""
         self._options = options
         self._strict_classes = purges.options.strict
         self._rng = random.Random()
@@ -82,7 +82,7 @@
         return not self._options.enforce or self.lease.permits(is_strict, steady_ms())
 
     def retry_after_ms(self, cls: str) -> float:
-        """0 if a request of this class is admitted; otherwise in how many ms the client may try again."""
+        """0 if a request of this class is admitted; otherwise the time after which the client may retry."""
         if self._permits(cls):
             return 0.0
         self._rejected += 1
@@ -96,35 +96,37 @@
         return False
 
     def may_answer(self, cls: str) -> bool:
-        """Whether an answer may be sent now."""
+        """Whether a response may be sent to the client now."""
         return cls not in self._strict_classes or self.may_send(cls)
 
     def record_attempt(self, cls: str) -> int:
-        """Counts an attempt that is about to send its first byte. Returns the number that it carries."""
+        """Counts an attempt that is about to send its first byte. Returns the number of the current interval,
+        which the attempt keeps."""
         return self._recorder.log.record_attempt(cls)
 
     def record_answer(self, cls: str, number: int) -> None:
-        """Notes that the attempt with this number was the answer to its request."""
+        """Counts the response to a request, given by an attempt that was sent in interval `number`."""
         self._recorder.log.record_answer(cls, number)
 
     def refresh_view(self) -> None:
-        """Must be called when something that decisions depend on may have changed."""
+        """Must be called whenever anything that routing decisions depend on may have changed."""
         self._recorder.refresh_view()
 
     def reconfigure(self, operator_digest: str) -> None:
-        """Another operator's file is in force."""
+        """Applies the digest of a new operator's file."""
         self._view_source.operator = operator_digest
         self.refresh_view()
 
     async def start(self) -> None:
-        """Begins to report, and waits a while for the first lease, without which nothing is permitted."""
+        """Starts to report, and waits up to FIRST_LEASE_TIMEOUT_S for the first lease, without which no
+        request is permitted."""
         self._tasks = [asyncio.create_task(self._report_forever())]
         try:
             async with asyncio.timeout(FIRST_LEASE_TIMEOUT_S):
-                await self.reporter.granted.wait()
+                await self.reporter.lease_granted.wait()
         except TimeoutError:
             waited_ms, alone = FIRST_LEASE_TIMEOUT_S * 1000.0, self._options.alone
-            log.error("audit: no feed answered in ms=%.0f alone=%s", waited_ms, alone)  # noqa: TRY400  no server in time is no fault of this code
+            log.error("audit: no control server granted a lease in ms=%.0f alone=%s", waited_ms, alone)  # noqa: TRY400  no server in time is no fault of this code
         self._tasks.append(asyncio.create_task(self._update_forever()))
 
     async def _report_forever(self) -> None:
@@ -133,7 +135,7 @@
             try:
                 was_answered = await self.reporter.report(REPORT_TIMEOUT_S)
                 await self.write()
-            except Exception:  # a director that stops reporting would quarantine itself for good
+            except Exception:  # without reports the director would stay quarantined
                 log.exception("audit: report failed")
                 was_answered = False
             wait_s = backoff.after(was_answered)
@@ -142,7 +144,8 @@
             await asyncio.sleep(wait_s)
 
     async def write(self) -> None:
-        """Writes the activity log to its folder, which is opened first where that was not possible yet."""
+        """Writes the activity log to its folder. If the folder could not be opened so far, tries that
+        first."""
         activity_log = self._recorder.log
         pages = [page for page in self.writer.open() if page.start != activity_log.start]
         self.reporter.earlier_runs += unreported_runs(pages, activity_log.director)
@@ -167,7 +170,7 @@
         ]
 
     async def close(self) -> None:
-        """Ends the tasks, reports the last interval and releases the folder."""
+        """Stops the tasks, reports the last interval and releases the folder."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/gladelane/audit/stage_response.py
+++ b/gladelane/audit/stage_response.py
@@ -1,4 +1,4 @@
-"""Carries out what a director's escalation stage asks of it: resynchronisation, and draining."""
+"""Acts on a director's escalation stage: resynchronises the director, or drains it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 log = logging.getLogger(__name__)
 
-DRAIN_AFTER_MS = 1_000.0  # without a lease
+DRAIN_AFTER_MS = 1_000.0  # after the lease has expired
 
 
 class LaggingDrain(Protocol):
@@ -21,11 +21,11 @@
         """Drains the director while it lags behind the fleet."""
 
     def clear_lagging(self) -> bool:
-        """Ends that drain."""
+        """Ends the drain that `mark_lagging` started."""
 
 
 class StageResponse:
-    """The response of one director to its lease and stage."""
+    """Responds to changes of one director's lease and stage."""
 
     def __init__(
         self,
@@ -37,8 +37,8 @@
         clock: Callable[[], float],
         enforce: bool,
     ) -> None:
-        """`close_clients` tells clients to leave, `reconnect_discovery` follows the discovery server anew.
-        `clock` returns Unix ms. Without `enforce` the director is never drained."""
+        """`close_clients` tells clients to disconnect, `reconnect_discovery` reconnects to the discovery
+        server. `clock` returns Unix ms. Without `enforce` the director is never drained."""
         self._lease, self._purges, self._drain = lease, purges, drain
         self._close_clients, self._reconnect_discovery = close_clients, reconnect_discovery
         self._clock, self._enforce = clock, enforce
@@ -47,7 +47,7 @@
         self._is_draining = False
 
     def update(self, now_ms: float) -> None:
-        """Logs and acts on what has changed. `now_ms` is of the lease's clock."""
+        """Logs changes of the lease and the stage and acts on them. `now_ms` is by the clock of the lease."""
         self._log_expiry(now_ms)
         self._respond_to_stage()
         if self._enforce:
@@ -57,17 +57,17 @@
         is_expired = self._lease.is_expired(now_ms)
         if is_expired and self._expired_since_ms is None:
             self._expired_since_ms = now_ms
-            reason = self._lease.reason or "no tenure: no feed or board has answered in time"
-            log.error("audit: shut out: %s", reason)
+            reason = self._lease.reason or "no control server or discovery server has answered in time"
+            log.error("audit: view lease expired: %s", reason)
         elif not is_expired and self._expired_since_ms is not None:
-            log.warning("audit: acts again after_ms=%.0f", now_ms - self._expired_since_ms)
+            log.warning("audit: view lease valid again after_ms=%.0f", now_ms - self._expired_since_ms)
             self._expired_since_ms = None
 
     def _respond_to_stage(self) -> None:
         stage, previous = self._lease.stage, self._stage
         if stage is previous:
             return
-        log.warning("audit: stage=%s was=%s: %s", stage.word, previous.word, self._lease.reason)
+        log.warning("audit: stage=%s was=%s: %s", stage.label, previous.label, self._lease.reason)
         if stage >= Stage.RESYNCING > previous:
             self._purges.resubscribe()
             self._reconnect_discovery()
--- a/gladelane/audit/steady.py
+++ b/gladelane/audit/steady.py
@@ -1,4 +1,4 @@
-"""A clock that does not step, and that runs while the process or the machine sleeps."""
+"""A monotonic clock that also advances while the machine is suspended."""
 
 from __future__ import annotations
 
--- a/gladelane/audit/unreported_run.py
+++ b/gladelane/audit/unreported_run.py
@@ -1,4 +1,5 @@
-"""What an earlier process of this director left in the folder, reported part by part. Pure."""
+"""Reports what an earlier process of this director stored but did not report, part by part. No I/O, no
+clock."""
 
 from __future__ import annotations
 
@@ -8,11 +9,13 @@
 from .activity_log_store import LogPage
 from .wire import MAX_REPORT_INTERVALS, Report, ReportReply
 
-MAX_ATTEMPTS = 60  # to hear that a second control server has stored it
+MAX_ATTEMPTS = (
+    60  # reports in a row without progress, while waiting for a second control server to store all of it
+)
 
 
 class UnreportedRun:
-    """One earlier start, until two control servers have stored it."""
+    """The unreported intervals of one earlier start, kept until two control servers have stored them."""
 
     def __init__(self, page: LogPage, intervals: list[ActivityInterval]) -> None:
         """`intervals` are those of the page, at least one."""
@@ -22,7 +25,7 @@
         self._attempts = 0
 
     def next_report(self, zone: str) -> Report:
-        """The next part; the last interval again if all have been stored once."""
+        """The report with the next part. Once a server has stored all intervals, it repeats the last one."""
         waiting = [interval for interval in self._intervals if interval.number > self._stored]
         return Report(
             director=self.page.director,
@@ -37,8 +40,9 @@
         )
 
     def acknowledge(self, reply: ReportReply) -> bool:
-        """Returns whether nothing is left to report. That is so after MAX_ATTEMPTS as well, since a server
-        that lost the earlier intervals never says that two servers have all of them."""
+        """Applies the reply to a report. Returns True if nothing is left to report, or after MAX_ATTEMPTS
+        without progress, since a server that lost the earlier intervals never confirms that two servers have
+        all of them."""
         self._attempts = 0 if reply.stored > self._stored else self._attempts + 1
         self._stored = max(self._stored, reply.stored)
         last = self._intervals[-1].number
@@ -46,8 +50,8 @@
 
 
 def unreported_runs(pages: Iterable[LogPage], director: str) -> list[UnreportedRun]:
-    """The starts of one director that left any intervals. The last interval of a killed process is its
-    checkpoint."""
+    """The starts of one director whose pages hold unreported intervals. The last interval of a killed process
+    is its checkpoint."""
     found = []
     for page in pages:
         intervals = [*page.intervals, page.open] if page.open is not None else list(page.intervals)
--- a/gladelane/audit/verification.py
+++ b/gladelane/audit/verification.py
@@ -1,29 +1,31 @@
-"""Finds what does not fit together in an audit store: altered, dropped, doubled and misdated intervals.
-Pure."""
+"""Finds inconsistencies in an audit store: altered, dropped, duplicated and misdated intervals. No I/O, no
+clock."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from .activity_log import ActivityInterval, first_seal, is_sealed
+from .activity_log import ActivityInterval, first_seal, is_seal_valid
 from .audit_store import AuditStore
 from .records import Inconsistency
 from .run_history import RunHistory
 from .wire import RunId
 
-FUTURE_TOLERANCE_MS = 2_000.0  # an interval that ends so long after its report was taken is dated wrongly
+FUTURE_TOLERANCE_MS = (
+    2_000.0  # an interval that ends later than this after its report was accepted is misdated
+)
 
 
 @dataclass(frozen=True)
 class _Fault:
     number: int
-    what: str
+    kind: str
 
 
 @dataclass(frozen=True)
 class _Predecessor:
-    """What an interval must follow: the end of the one before it. Number 0: there is none."""
+    """The end of the interval that must precede the next one. Number 0 means that there is none."""
 
     seal: str
     to_ms: float = 0.0
@@ -31,17 +33,22 @@
 
 
 def find_inconsistencies(store: AuditStore) -> list[Inconsistency]:
-    """All that does not fit together in a store."""
-    found = [Inconsistency(director, start, 0, "unnamed") for director, start in store.unnamed]
-    found += [Inconsistency(one.director, one.start, one.number, "doubled") for one in store.conflicts]
+    """All inconsistencies in a store."""
+    found = [
+        Inconsistency(director, start, 0, "unnamed") for director, start in store.runs_with_wrong_view_id
+    ]
+    found += [
+        Inconsistency(conflict.director, conflict.start, conflict.number, "doubled")
+        for conflict in store.conflicts
+    ]
     for (director, start), run in store.runs.items():
         for fault in _faults(RunId(director, start), run):
-            found.append(Inconsistency(director, start, fault.number, fault.what))
+            found.append(Inconsistency(director, start, fault.number, fault.kind))
     return found
 
 
 def _faults(run_id: RunId, run: RunHistory) -> Iterator[_Fault]:
-    """Follows the chain of seals of one start."""
+    """Follows the chain of seals of one start and yields each fault in it."""
     before = _Predecessor(first_seal(run_id.director, run_id.start))
     for index in range(len(run.numbers)):
         interval = run.interval(index)
@@ -52,17 +59,17 @@
 
 
 def _after_gap(run: RunHistory, before: _Predecessor) -> _Predecessor:
-    """Skips a range that is known to be lost."""
-    gap = next((one for one in run.lost if one.first == before.number + 1), None)
-    if gap is None or run.has(gap.first):
+    """The predecessor of the next interval, after a lost range if one follows `before`."""
+    lost_range = next((one for one in run.lost if one.first == before.number + 1), None)
+    if lost_range is None or run.has(lost_range.first):
         return before
-    return _Predecessor(gap.seal, gap.to_ms, gap.last)
+    return _Predecessor(lost_range.seal, lost_range.to_ms, lost_range.last)
 
 
 def _interval_faults(run: RunHistory, before: _Predecessor, interval: ActivityInterval) -> Iterator[_Fault]:
     if interval.number != before.number + 1:
         yield _Fault(before.number + 1, "dropped")
-    elif not is_sealed(before.seal, interval):
+    elif not is_seal_valid(before.seal, interval):
         yield _Fault(interval.number, "altered")
     elif before.number and interval.from_ms != before.to_ms:
         yield _Fault(interval.number, "dated")
@@ -72,7 +79,7 @@
 
 
 def _open_faults(run: RunHistory, before: _Predecessor) -> Iterator[_Fault]:
-    """Of the open interval, which the last closed one must precede."""
+    """Faults between the last closed interval and the open one."""
     if run.open is None:
         return
     if run.open.number > before.number + 1 and run.taken_ms:
--- a/gladelane/audit/view.py
+++ b/gladelane/audit/view.py
@@ -1,9 +1,9 @@
-"""The versions of all configuration that a routing decision depends on, as one value. Pure.
+"""The versions of all configuration that a routing decision depends on, as one value. No I/O, no clock.
 
 A view holds the endpoint list (its source, revision and digest), the servers that operators removed, the
-purges that are known, and digests of settings, operator's file and program. Endpoint lists and purges have an
-order; the other parts are equal or different. Views are compared part by part, so their order is partial: one
-view is ahead of another only if no part of it is behind or divergent.
+purges that are known, and digests of settings, operator's file and program. Endpoint lists and purges are
+ordered; the other parts are only equal or different. Views are compared part by part, so their order is
+partial: one view is ahead of another only if no part of it is behind or divergent.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     SAME = "same"
     AHEAD = "ahead"
     BEHIND = "behind"
-    APART = "apart"  # neither can be reached from the other
+    DIVERGENT = "apart"  # neither is an earlier state of the other
 
 
 class Part(Enum):
@@ -51,7 +51,7 @@
     `list_source` is the operators' name of the discovery server, `rev` the latest revision of its endpoint
     list and `list` a digest of that list. `out` holds the sorted ids of servers that operators removed.
     `purges` is a position vector as `format_vector` writes it. All purges after `low_watermark_ms` (Unix ms)
-    are known; 0 means all that are in force.
+    are known; 0 means that all purges in force are known.
     """
 
     list_source: str = ""
@@ -65,7 +65,7 @@
     program: str = ""
 
     def answer_fields(self) -> dict[str, object]:
-        """The view as an object of answers to commands, whose keys are fixed."""
+        """The view as a JSON object for answers to commands. The keys are fixed."""
         fields: dict[str, object] = msgspec.structs.asdict(self)
         return {ANSWER_KEYS.get(name, name): value for name, value in fields.items()}
 
@@ -96,8 +96,8 @@
 
 
 def relevant_parts(is_cacheable: bool, is_strict: bool) -> frozenset[Part]:
-    """The parts that decisions about a request class depend on. Writes have no cached copies, so purges do
-    not matter to them; only strict classes depend on purges that may have been lost."""
+    """The parts that decisions about a request class depend on. Purges do not matter to classes that are not
+    cacheable; only strict classes depend on purges that may have been lost."""
     if not is_cacheable:
         return UNCACHED_PARTS
     return ALL_PARTS if is_strict else ALL_PARTS - {Part.LOW_WATERMARK}
@@ -105,7 +105,7 @@
 
 def _combine(is_ahead: bool, is_behind: bool) -> Order:
     if is_ahead:
-        return Order.APART if is_behind else Order.AHEAD
+        return Order.DIVERGENT if is_behind else Order.AHEAD
     return Order.BEHIND if is_behind else Order.SAME
 
 
@@ -121,12 +121,12 @@
             is_same = one.low_watermark_ms == other.low_watermark_ms
         case _:
             is_same = getattr(one, part.value) == getattr(other, part.value)
-    return Order.SAME if is_same else Order.APART
+    return Order.SAME if is_same else Order.DIVERGENT
 
 
 def _compare_lists(one: View, other: View) -> Order:
     if one.list_source != other.list_source or (one.rev == other.rev and one.list != other.list):
-        return Order.APART
+        return Order.DIVERGENT
     return _combine(one.rev > other.rev, one.rev < other.rev)
 
 
@@ -140,12 +140,12 @@
 def compare(one: View, other: View, parts: Iterable[Part] = ALL_PARTS) -> Order:
     """Compares two views over some parts. Raises InvalidPositionError."""
     found = {compare_part(part, one, other) for part in parts}
-    if Order.APART in found:
-        return Order.APART
+    if Order.DIVERGENT in found:
+        return Order.DIVERGENT
     return _combine(Order.AHEAD in found, Order.BEHIND in found)
 
 
 def list_digest(servers: Mapping[str, tuple[str, str, float]]) -> str:
-    """The digest of an endpoint list: by server id its address, lifecycle state and process start (Unix
-    ms)."""
+    """The digest of an endpoint list. `servers` maps a server id to address, lifecycle state and process
+    start (Unix ms)."""
     return digest(sorted((name, *entry) for name, entry in servers.items()))
--- a/gladelane/audit/view_lease.py
+++ b/gladelane/audit/view_lease.py
@@ -1,17 +1,18 @@
-"""The view lease: how long a director may act on its view without hearing from a control server. Pure.
+"""The view lease: how long a director may act on its view without a reply from a control server. No I/O, no
+clock.
 
-A control server grants the lease with each answer. The lease counts from before the question was sent, on a
-clock that does not step and runs while the process or the machine sleeps, so it has expired at the director
-whenever the server assumes that it has. A late answer therefore grants a short lease, or none. Only answers
-renew it; questions do not.
+A control server grants the lease with each reply to a report. The lease counts from before the report was
+sent, on a monotonic clock that also advances while the machine is suspended, so it has expired on the
+director whenever the server assumes that it has. A late reply therefore grants a short lease, or none. Only
+replies renew it; reports alone do not.
 
-A process that slept past its lease does nothing until it has asked again. If it asks and gets no answer, it
-may continue with requests that are not strict where the operator allows that (`alone="strict"`), as long as
-it keeps asking. With `list_lease_ms` the endpoint list has a lease of its own, which the discovery server
-renews.
+A process that was suspended past the end of its lease does nothing until it has reported again. If it reports
+and gets no reply, it may continue with requests of classes that are not strict if the operator allows it
+(`alone="strict"`), as long as it keeps reporting. With `list_lease_ms` the endpoint list has a lease of its
+own, which the discovery server renews.
 
-A verdict says which parts the director's view lacks. The director rejects a verdict of which its reported
-view lacks nothing: the server behind it knows less than the director does.
+A verdict lists the parts that the director's view lacks. The director rejects a verdict if the view that it
+reported lacks none of them, since such a server knows less than the director does.
 """
 
 from __future__ import annotations
@@ -24,8 +25,8 @@
 from ..control_plane.positions import InvalidPositionError
 from .view import View, covers, parse_positions
 
-CLOCK_DRIFT = 0.001  # by how much, as a share, two clocks that do not step may differ in rate
-CLOCK_READING_MS = 1.0  # by how much one reading of a clock may be off
+CLOCK_DRIFT = 0.001  # the greatest relative difference in rate between two monotonic clocks
+CLOCK_READING_MS = 1.0  # the greatest error of one clock reading
 DIGEST_PARTS = ("settings", "operator", "program")
 IsolationPolicy = Literal["out", "strict"]
 
@@ -35,18 +36,18 @@
 
     HEALTHY = 0
     NOTIFIED = 1
-    RESYNCING = 2  # follows all control servers from the beginning, and reconnects to the discovery server
+    RESYNCING = 2  # resubscribes to all control servers and reconnects to the discovery server
     RESTRICTED = 3  # does not serve strict classes
-    DRAINED = 4  # fails its readiness check and tells clients to leave
-    QUARANTINED = 5  # sends nothing and answers nothing
+    DRAINED = 4  # fails its readiness check and tells clients to disconnect
+    QUARANTINED = 5  # sends no attempts and no responses
 
     @property
-    def word(self) -> str:
-        """The stage's name in logs, answers and commands, where it is fixed."""
-        return STAGE_WORDS[self]
+    def label(self) -> str:
+        """The stage's fixed name in logs, answers and commands."""
+        return STAGE_LABELS[self]
 
 
-STAGE_WORDS = {
+STAGE_LABELS = {
     Stage.HEALTHY: "well",
     Stage.NOTIFIED: "told",
     Stage.RESYNCING: "again",
@@ -57,8 +58,9 @@
 
 
 class MissingParts(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a view must have so that it lags no more: at least this revision of the list, these purges, this
-    low watermark, and one of these digests of each part. A default means that the part is not lacking."""
+    """What a view must have in order not to lag: at least this revision of the list, these purges and this
+    low watermark, and one of these digests for each other part. A default value means that the part is not
+    lacking."""
 
     list_source: str = msgspec.field(default="", name="board")
     rev: int = 0
@@ -72,7 +74,7 @@
 
 class Verdict(msgspec.Struct, frozen=True, omit_defaults=True):
     """A control server's decision on a director. `reason` is for logs. `returning` means that the director
-    has caught up and will be readmitted after a while."""
+    has caught up and will be readmitted later."""
 
     stage: Stage = Stage.HEALTHY
     reason: str = msgspec.field(default="", name="why")
@@ -112,36 +114,39 @@
 
 
 class ViewLease:
-    """A director's lease. All moments are ms of one clock that does not step."""
+    """A director's lease. All times are ms of one monotonic clock."""
 
     def __init__(self, alone: IsolationPolicy = "out", list_lease_ms: float = 0.0) -> None:
         """`alone` is the policy while no control server answers. `list_lease_ms` is how long the endpoint
-        list is valid without a word from the discovery server; 0 means without limit."""
+        list is valid without a reply from the discovery server; 0 means without limit."""
         self.alone, self.list_lease_ms = alone, list_lease_ms
         self.expires_ms = 0.0
-        self.isolated_until_ms = 0.0  # up to when unanswered questions allow what is not strict
+        self.isolation_expires_ms = (
+            0.0  # until when requests that are not strict are permitted without a lease
+        )
         self.list_expires_ms = 0.0
         self.stage = Stage.HEALTHY
         self.reason = ""
         self.rejected_verdicts = 0
 
-    def renew(self, asked_ms: float, duration_ms: float) -> None:
-        """An answer came to a question that was sent after `asked_ms`."""
+    def renew(self, requested_ms: float, duration_ms: float) -> None:
+        """Extends the lease after a reply to a report that was sent after `requested_ms`."""
         usable_ms = duration_ms * (1.0 - CLOCK_DRIFT) - CLOCK_READING_MS
-        self.expires_ms = max(self.expires_ms, asked_ms + max(usable_ms, 0.0))
+        self.expires_ms = max(self.expires_ms, requested_ms + max(usable_ms, 0.0))
 
-    def note_unanswered(self, asked_ms: float, duration_ms: float) -> None:
-        """A question that was sent after `asked_ms` got no answer."""
+    def record_unanswered(self, requested_ms: float, duration_ms: float) -> None:
+        """Records that a report which was sent after `requested_ms` got no reply."""
         usable_ms = duration_ms * (1.0 - CLOCK_DRIFT) - CLOCK_READING_MS
-        self.isolated_until_ms = max(self.isolated_until_ms, asked_ms + usable_ms)
+        self.isolation_expires_ms = max(self.isolation_expires_ms, requested_ms + usable_ms)
 
-    def renew_list(self, asked_ms: float) -> None:
-        """The discovery server answered a poll that was sent after `asked_ms`."""
-        self.list_expires_ms = max(self.list_expires_ms, asked_ms + self.list_lease_ms)
+    def renew_list(self, requested_ms: float) -> None:
+        """Extends the lease of the endpoint list after a reply to a poll that was sent after
+        `requested_ms`."""
+        self.list_expires_ms = max(self.list_expires_ms, requested_ms + self.list_lease_ms)
 
     def apply_verdict(self, verdict: Verdict, view: View) -> bool:
-        """Applies a server's verdict on a view that was reported to it. Returns False where the verdict is
-        rejected, which leaves the director healthy."""
+        """Applies a server's verdict on the reported `view`. Returns False if the verdict is rejected, which
+        leaves the director healthy."""
         if verdict.returning:
             is_valid = verdict.stage <= self.stage
         else:
@@ -154,14 +159,14 @@
         return is_valid
 
     def permits(self, is_strict: bool, now_ms: float) -> bool:
-        """Whether the director may now send a request, or answer one of a strict class."""
+        """Whether the director may now send an attempt, or the response to a request of a strict class."""
         if self.list_lease_ms and now_ms >= self.list_expires_ms:
             return False
         if now_ms < self.expires_ms:
             return self.stage < Stage.RESTRICTED or (self.stage < Stage.QUARANTINED and not is_strict)
         if self.alone != "strict" or is_strict:
             return False
-        return now_ms < self.isolated_until_ms and self.stage < Stage.QUARANTINED
+        return now_ms < self.isolation_expires_ms and self.stage < Stage.QUARANTINED
 
     def is_expired(self, now_ms: float) -> bool:
         """Whether the director may send nothing at all."""
--- a/gladelane/audit/view_source.py
+++ b/gladelane/audit/view_source.py
@@ -1,4 +1,4 @@
-"""Reads a director's current view from the parts that it consists of."""
+"""Builds a director's current view from the components that hold its parts."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ViewSource:
-    """The current view of one director. Digests are computed again only after a change, since the view is
+    """The current view of one director. Digests are cached until their source changes, since the view is
     read after each event that may change it."""
 
     def __init__(
--- a/gladelane/audit/wire.py
+++ b/gladelane/audit/wire.py
@@ -1,13 +1,12 @@
 """Messages between directors, control servers and commands about the audit. No I/O.
 
-    POST /reports        a `Report`, answered with a `ReportReply` once what is new of it is stored
-    POST /handed         reports that another control server took (`ReplicatedReports`), answered with
+    POST /reports        a `Report`, answered with a `ReportReply` once its new content is stored
+    POST /handed         reports that another control server accepted (`ReplicatedReports`), answered with
                          `StoredPositions` once stored
-    GET  /fleet/...      questions of commands, answered with JSON
+    GET  /fleet/...      queries of commands, answered with JSON
     POST /fleet/expect   an operator's decision on which settings, operator's file or program are to be used
 
-The names of JSON fields are fixed. Where one differs from the name of the attribute it stands in
-`msgspec.field`.
+The names of JSON fields are fixed. Where one differs from the attribute's name, `msgspec.field` sets it.
 """
 
 from __future__ import annotations
@@ -20,12 +19,12 @@
 from .view import View
 from .view_lease import Verdict
 
-MAX_REPORT_INTERVALS = 400  # in one report
-MAX_REPLICATED_INTERVALS = 2_000  # in one message between control servers
+MAX_REPORT_INTERVALS = 400  # intervals in one report
+MAX_REPLICATED_INTERVALS = 2_000  # intervals in one message between control servers
 
 
 class RunId(NamedTuple):
-    """One start of a director. Stored as an array."""
+    """Identifies one start of a director. Stored as an array."""
 
     director: str
     start: int
@@ -39,13 +38,13 @@
 
 
 class Report(msgspec.Struct, omit_defaults=True):
-    """What one start of a director reports.
+    """A report on the activity of one start of a director.
 
     `sent_ms` is Unix ms by the director's clock. `offset` bounds how far the clock of the control server
-    named `clock` is ahead of it, as earlier exchanges showed. `current` is false in a report on behalf of an
-    earlier process. `first` is the first interval that the sender still has: two control servers have had
-    those before it. The control server that takes the report adds `taken_ms`, by its own clock, and its name
-    as `by`.
+    named `clock` is ahead of it, as measured in earlier exchanges. `current` is false in a report on behalf
+    of an earlier process. `first` is the first interval that the sender still has; two control servers have
+    stored those before it. The control server that accepts the report adds `taken_ms`, by its own clock, and
+    its name as `by`.
     """
 
     director: str
@@ -67,7 +66,7 @@
 
     @property
     def run_id(self) -> RunId:
-        """Which start of which director this is a report of."""
+        """The director and the start that the report is about."""
         return RunId(self.director, self.start)
 
 
@@ -100,7 +99,8 @@
 
 
 class ReplicatedReports(msgspec.Struct, omit_defaults=True):
-    """What a control server sends to another one. `sent_ms` is the sender's clock; 0 means not known."""
+    """The replication message from one control server to another. `sent_ms` is by the sender's clock; 0 means
+    unknown."""
 
     server: str = msgspec.field(name="feed")
     epoch: int
@@ -110,15 +110,16 @@
 
 
 class StoredPosition(msgspec.Struct, array_like=True):
-    """A control server has all intervals of one start up to number `upto`."""
+    """States that a control server has all intervals of one start up to `last_number`."""
 
     director: str
     start: int
-    upto: int
+    last_number: int
 
 
 class StoredPositions(msgspec.Struct, omit_defaults=True):
-    """How far a control server has stored each start. `is_complete`: no start that it knows is left out."""
+    """How far a control server has stored each start. `is_complete` means that all starts that it knows are
+    included."""
 
     server: str = msgspec.field(name="feed")
     epoch: int
--- a/gladelane/lab/fleet/altered_stores.py
+++ b/gladelane/lab/fleet/altered_stores.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from ...audit.activity_log import ActivityInterval, sealed
+from ...audit.activity_log import ActivityInterval, with_seal
 from ...audit.audit_store import AuditStore
 from ...audit.verification import find_inconsistencies
 from ...audit.wire import RunId
@@ -35,7 +35,7 @@
         "a span doubled, with other counts": _doubling(number),
         "a span dated later": _replacing(number, lambda one: _shifted(one, SHIFT_MS)),
         "a span dated earlier": _replacing(number, lambda one: _shifted(one, -SHIFT_MS)),
-        "altered and sealed anew": _replacing(number, lambda one: sealed("00", _with_one_more(one))),
+        "altered and sealed anew": _replacing(number, lambda one: with_seal("00", _with_one_more(one))),
     }
     found = {name: _altered(store, victim, change) for name, change in changes.items()}
     return {**found, "a view under another's name": _with_altered_view(store, other_view)}
@@ -97,5 +97,5 @@
 
 
 def _interval_of(store: AuditStore, run_id: RunId, number: int) -> ActivityInterval:
-    report = next(store.missing_of(run_id, number - 1, 1))
+    report = next(store.missing_reports_of(run_id, number - 1, 1))
     return report.intervals[0]
--- a/gladelane/lab/view_leases.py
+++ b/gladelane/lab/view_leases.py
@@ -172,17 +172,17 @@
         versions._lists = copy.deepcopy(versions._lists)
         return other
 
-    def _free_slots(self, now_ms: float) -> int:
-        return 9 if self.plant is Plant.NO_SHARE else super()._free_slots(now_ms)
+    def _free_restriction_slots(self, now_ms: float) -> int:
+        return 9 if self.plant is Plant.NO_SHARE else super()._free_restriction_slots(now_ms)
 
     def _others_in_zone(self, state: DirectorState, now_ms: float) -> int:
         return 9 if self.plant is Plant.NO_LAST else super()._others_in_zone(state, now_ms)
 
-    def _look(self, now_ms: float, force: bool = False) -> None:
+    def _refresh_majority(self, now_ms: float, force: bool = False) -> None:
         del force
-        super()._look(now_ms, True)  # all reports of a step have the same time here
+        super()._refresh_majority(now_ms, True)  # all reports of a step have the same time here
         if self.plant is Plant.NO_SOURCE:
-            self.lacked_by_most = {}
+            self.lacked_by_majority = {}
 
     def _lagging_ms(self, state: DirectorState, now_ms: float) -> dict[str, float]:
         found = super()._lagging_ms(state, now_ms)
@@ -333,7 +333,7 @@
     if scene.moved_up and not _lacks(scene, name):
         return f"{name} lacks nothing and is restricted"
     if stage >= Stage.RESTRICTED and scene.well[name] >= 3:
-        return f"{name} lacks nothing, has said so three times, and is {stage.word}"
+        return f"{name} lacks nothing, has said so three times, and is {stage.label}"
     return None
 
 
--- a/tests/fleet/test_audit.py
+++ b/tests/fleet/test_audit.py
@@ -592,7 +592,7 @@
                 )
                 assert lacks["lacks"] == []
                 assert (
-                    "the process before this one has the trail's folder"
+                    "the activity log folder is in use by the previous process"
                     in (tmp_path / "newer.log").read_text()
                 )
             finally:
--- a/tests/fleet/test_audit_clocks.py
+++ b/tests/fleet/test_audit_clocks.py
@@ -35,11 +35,11 @@
         collector.start()
         told = report(trail_of(1, random.Random(1))[0])
         told.by, told.taken_ms = "peer", NOW_MS + step_ms - 500.0
-        await collector.intake.take_replicated(ReplicatedReports("peer", 1, [told], [], NOW_MS + step_ms))
+        await collector.intake.handle_replicated(ReplicatedReports("peer", 1, [told], [], NOW_MS + step_ms))
         assert collector.monitor.status("d", NOW_MS).heard_ms == pytest.approx(500.0)
         now_ms[0] += 1_000.0
         later = msgspec.structs.replace(told, taken_ms=told.taken_ms + 1_000.0)
-        await collector.intake.take_replicated(
+        await collector.intake.handle_replicated(
             ReplicatedReports("third", 1, [later], [], now_ms[0])
         )  # by the clock of who took it
         assert collector.monitor.status("d", now_ms[0]).heard_ms == pytest.approx(500.0)
--- a/tests/fleet/test_audit_faults.py
+++ b/tests/fleet/test_audit_faults.py
@@ -42,7 +42,7 @@
 
 async def reported(collector: AuditServer, spans: list[ActivityInterval]) -> ReportReply:
     trail, _ = trail_of(1, random.Random(7))
-    return await collector.intake.take_report(report(trail, spans))
+    return await collector.intake.handle_report(report(trail, spans))
 
 
 def opened(disk: SimDisk) -> AuditServer:
@@ -71,8 +71,8 @@
             answer = await reported(collector, spans[2:upto])
             assert answer.stored == 2 and answer.lease_ms > 0.0 and not answer.stores
         for refused in (
-            collector.intake.take_expected(ExpectedDigests("settings", ("s",)), "operator"),
-            collector.intake.take_replicated(
+            collector.intake.handle_expected(ExpectedDigests("settings", ("s",)), "operator"),
+            collector.intake.handle_replicated(
                 ReplicatedReports("peer", 1, [report(trail_of(1, random.Random(7))[0], spans[2:3])])
             ),
         ):
@@ -83,7 +83,7 @@
         assert all(upto >= 2 for upto in acknowledged(disk))
         disk.fault = None
         assert (await reported(collector, spans[2:])).stored == 6 and not collector.answers.versions().lacks
-        await collector.intake.take_expected(ExpectedDigests("settings", ("s",)), "operator")
+        await collector.intake.handle_expected(ExpectedDigests("settings", ("s",)), "operator")
         for left in crashed(disk):
             found = opened(left)
             assert found.store.stored_upto(RUN) == 6 and find_inconsistencies(found.store) == []
@@ -139,13 +139,15 @@
     disk.fault = FAULTS[name]
     assert not store.write(page(spans[1:2]), None) and not store.write(page(spans[1:3]), None)
     assert [
-        span.number for one in trail_store(disk.after_kill(), monkeypatch).left for span in one.intervals
+        span.number
+        for one in trail_store(disk.after_kill(), monkeypatch).recovered_pages
+        for span in one.intervals
     ][0] == 1
     disk.fault = None
     assert store.write(page(spans[1:]), None)
-    (left,) = trail_store(disk.after_kill(), monkeypatch).left
+    (left,) = trail_store(disk.after_kill(), monkeypatch).recovered_pages
     assert left.intervals == spans
-    assert said_once(caplog, "audit: trail")
+    assert said_once(caplog, "audit: activity log")
 
 
 def test_a_page_whose_snapshot_fails_is_stored_once(
@@ -157,10 +159,10 @@
     for number in range(3):
         assert store.write(page(spans[number : number + 1]), [page(spans[: number + 1])])
     disk.fault = None
-    assert trail_store(disk.after_kill(), monkeypatch).left[0].intervals == spans
+    assert trail_store(disk.after_kill(), monkeypatch).recovered_pages[0].intervals == spans
     assert store.write(page([]), [page(spans)])
-    assert trail_store(disk.after_kill(), monkeypatch).left[0].intervals == spans
-    assert said_once(caplog, "audit: snapshot of the trail")
+    assert trail_store(disk.after_kill(), monkeypatch).recovered_pages[0].intervals == spans
+    assert said_once(caplog, "audit: snapshot of the activity log")
 
 
 def test_a_folder_that_could_not_be_read_is_not_in_use_at_the_next_try(
@@ -178,7 +180,7 @@
             with pytest.raises(OSError, match="Input/output") as caught:
                 ActivityLogStore(tmp_path)
             assert not isinstance(caught.value, FolderInUseError)
-    assert len(ActivityLogStore(tmp_path).left) == 1
+    assert len(ActivityLogStore(tmp_path).recovered_pages) == 1
 
 
 class Parts:
@@ -232,7 +234,7 @@
         span.number for span in one.reporter.earlier_runs[0].page.intervals
     ] == [1, 2]
     one.writer.store.close()
-    assert said_once(caplog, "audit: trail's folder")
+    assert said_once(caplog, "audit: activity log folder")
     with monkeypatch.context() as broken:
         broken.setattr(
             activity_log_store_module, "Folder", lambda path: os.open(path / "nowhere", os.O_RDONLY)
--- a/tests/fleet/test_audit_pure.py
+++ b/tests/fleet/test_audit_pure.py
@@ -40,7 +40,7 @@
 def test_views_are_a_partial_order(one: View, other: View, third: View) -> None:
     mirrored = {
         Order.SAME: Order.SAME,
-        Order.APART: Order.APART,
+        Order.DIVERGENT: Order.DIVERGENT,
         Order.AHEAD: Order.BEHIND,
         Order.BEHIND: Order.AHEAD,
     }
@@ -52,9 +52,9 @@
 
 
 @pytest.mark.parametrize(("part", "one", "other", "found"), [
-    (Part.LIST, View("m", 2, "x"), View("m", 1, "y"), Order.AHEAD), (Part.LIST, View("m", 2, "x"), View("m", 2, "y"), Order.APART),
-    (Part.LIST, View("m", 2), View("n", 2), Order.APART), (Part.PURGES, View(purges="f:1=2"), View(purges="f:1=2,g:1=1"), Order.BEHIND),
-    (Part.PURGES, View(purges="f:1=2"), View(purges="f:1=1,g:1=1"), Order.APART), (Part.SETTINGS, View(settings="a"), View(), Order.APART),
+    (Part.LIST, View("m", 2, "x"), View("m", 1, "y"), Order.AHEAD), (Part.LIST, View("m", 2, "x"), View("m", 2, "y"), Order.DIVERGENT),
+    (Part.LIST, View("m", 2), View("n", 2), Order.DIVERGENT), (Part.PURGES, View(purges="f:1=2"), View(purges="f:1=2,g:1=1"), Order.BEHIND),
+    (Part.PURGES, View(purges="f:1=2"), View(purges="f:1=1,g:1=1"), Order.DIVERGENT), (Part.SETTINGS, View(settings="a"), View(), Order.DIVERGENT),
 ])  # fmt: skip
 def test_parts_of_views_compare_as_their_kind_can(part: Part, one: View, other: View, found: Order) -> None:
     assert compare_part(part, one, other) is found
@@ -126,7 +126,12 @@
     trail.close_interval("b", {"film": [0, 0, 0]}, 10.0)
     trail.record_answer("film", number)
     span = trail.close_interval("c", {"film": [1, 0, 0]}, 20.0)
-    assert (span.counts["film"].sent, span.counts["film"].served, span.counts["film"].older, span.value) == (
+    assert (
+        span.counts["film"].sent,
+        span.counts["film"].served,
+        span.counts["film"].sent_earlier,
+        span.value,
+    ) == (
         0,
         1,
         1,
@@ -139,7 +144,7 @@
 
 
 def test_a_full_trail_loses_what_feeds_have_first_and_says_what_else_it_lost() -> None:
-    trail, _ = trail_of(0, random.Random(1), most_bytes=2_000)
+    trail, _ = trail_of(0, random.Random(1), max_bytes=2_000)
     for turn in range(1, 11):
         trail.close_interval(view_name(turn), {}, 1000.0 + turn)
     trail.acknowledge(8, 0)  # one feed has them, two are wanted
@@ -329,7 +334,7 @@
 ) -> None:
     tenure = ViewLease(alone)
     tenure.renew(0.0, 3000.0)
-    tenure.note_unanswered(2500.0, 3000.0)
+    tenure.record_unanswered(2500.0, 3000.0)
     assert tenure.permits(strict, at) is may
 
 
@@ -461,7 +466,7 @@
         and "most of the fleet is silent" in fleet.monitor.status("h", fleet.now).why
     )
     fleet.silent = set()
-    fleet.monitor.servers, fleet.monitor.rank, fleet.monitor.policy = (
+    fleet.monitor.server_count, fleet.monitor.rank, fleet.monitor.policy = (
         2,
         1,
         scaled_policy(4000.0, 0.125, 3000.0),
--- a/tests/golden/test_words.py
+++ b/tests/golden/test_words.py
@@ -12,7 +12,7 @@
 import pytest
 from harness import config, settings
 
-from gladelane.audit.activity_log import ActivityInterval, ClassCounts, first_seal, sealed
+from gladelane.audit.activity_log import ActivityInterval, ClassCounts, first_seal, with_seal
 from gladelane.audit.digests import settings_digest
 from gladelane.audit.view import View, list_digest, view_id
 from gladelane.audit.view_lease import Stage
@@ -129,7 +129,7 @@
 
 def test_the_words_of_stages() -> None:
     """In a control server's answers, by the numbers in its verdicts."""
-    words = {int(stage): stage.word for stage in Stage}
+    words = {int(stage): stage.label for stage in Stage}
     assert words == {0: "well", 1: "told", 2: "again", 3: "kept", 4: "emptied", 5: "out"}
 
 
@@ -181,7 +181,7 @@
 
 def test_the_seals_of_spans() -> None:
     first = first_seal("n0 127.0.0.1:4100", 1764667000000)
-    span = sealed(
+    span = with_seal(
         first, ActivityInterval(3, 10.0, 20.5, "1a2b", {"film": ClassCounts(5, 4, 1, 0, 2)}, 7.5, "stopped")
     )
     assert (first, span.seal) == ("e478dc49e80c090b", "9be9105689f6a12c")
--- a/tests/storage/test_stored_forms.py
+++ b/tests/storage/test_stored_forms.py
@@ -11,7 +11,7 @@
 import pytest
 from conftest import members, settings
 
-from gladelane.audit.activity_log import is_sealed
+from gladelane.audit.activity_log import is_seal_valid
 from gladelane.audit.activity_log_store import ActivityLogStore
 from gladelane.audit.audit_queries import directors
 from gladelane.audit.server import AuditServer
@@ -75,11 +75,11 @@
 
 def test_a_directors_trail(stored: Path) -> None:
     store = ActivityLogStore(stored / "trail")
-    (page,) = store.left
+    (page,) = store.recovered_pages
     assert (page.director, page.start) == (DIRECTOR, START)
     assert [span.number for span in page.intervals] == [1, 2, 3, 4] and page.open is not None
     assert all(
-        is_sealed(one.seal, other) for one, other in zip(page.intervals, page.intervals[1:], strict=False)
+        is_seal_valid(one.seal, other) for one, other in zip(page.intervals, page.intervals[1:], strict=False)
     )
 
 
