--- a/gladelane/audit/report_replication.py
+++ b/gladelane/audit/report_replication.py
@@ -101,12 +101,12 @@
             if peer.are_positions_known:
                 reason = error_label(error)
                 log.warning(
-                    "audit: replication refused feed=%s:%d: %s %s", peer.host, peer.port, reason, error
+                    "audit: replication failed feed=%s:%d: %s %s", peer.host, peer.port, reason, error
                 )
             peer.are_positions_known = False
             return False
         except Exception:
-            log.exception("audit: replication failed")
+            log.exception("audit: unexpected error in replication")
             return False
         return True
 
--- a/gladelane/audit/stage_response.py
+++ b/gladelane/audit/stage_response.py
@@ -58,9 +58,9 @@
         if is_expired and self._expired_since_ms is None:
             self._expired_since_ms = now_ms
             reason = self._lease.reason or "no control server or discovery server has answered in time"
-            log.error("audit: view lease expired: %s", reason)
+            log.error("audit: all requests rejected: %s", reason)
         elif not is_expired and self._expired_since_ms is not None:
-            log.warning("audit: view lease valid again after_ms=%.0f", now_ms - self._expired_since_ms)
+            log.warning("audit: requests admitted again after_ms=%.0f", now_ms - self._expired_since_ms)
             self._expired_since_ms = None
 
     def _respond_to_stage(self) -> None:
--- a/tests/fleet/test_audit.py
+++ b/tests/fleet/test_audit.py
@@ -393,18 +393,18 @@
         rng = random.Random(5)
         async with fleet_of(tmp_path, directors=0, control_servers=2, audit=True) as fleet:
             view = View("m", 1)
-            trails = [ActivityLog(f"d{n}", 1, view_id(view), {}, 1000.0) for n in range(5)]
-            for trail in trails:
+            logs = [ActivityLog(f"d{n}", 1, view_id(view), {}, 1000.0) for n in range(5)]
+            for log in logs:
                 for turn in range(40):
-                    trail.record_attempt("film")
-                    trail.close_interval(view_id(view), {"film": [turn + 1, 0, 0]}, 1001.0 + turn)
-            waiting = [(trail, n) for trail in trails for n in range(0, 40, 4)] * 2
+                    log.record_attempt("film")
+                    log.close_interval(view_id(view), {"film": [turn + 1, 0, 0]}, 1001.0 + turn)
+            waiting = [(log, n) for log in logs for n in range(0, 40, 4)] * 2
             rng.shuffle(waiting)
             answered: list[ReportReply] = []
             while waiting:
-                trail, n = waiting.pop()
+                log, n = waiting.pop()
                 told = Report(
-                    trail.director, 1, "z", 0.0, view, trail.intervals()[n : n + 4], {view_id(view): view}
+                    log.director, 1, "z", 0.0, view, log.intervals()[n : n + 4], {view_id(view): view}
                 )
                 feed = rng.choice(fleet.control_servers)
                 call = asyncio.ensure_future(
@@ -424,9 +424,9 @@
                 try:
                     answered.append(msgspec.json.decode(await call, type=ReportReply))
                 except (OSError, HttpStatusError, TimeoutError):
-                    waiting.insert(0, (trail, n))
+                    waiting.insert(0, (log, n))
             await asyncio.sleep(2.0)  # for what would be there twice
-            complete = [[trail.director, 1, 40] for trail in trails]
+            complete = [[log.director, 1, 40] for log in logs]
 
             async def marks_at(number: int) -> list[list[Any]]:
                 return sorted((await asked(fleet, number, "/fleet/marks")).get("marks", []))
--- a/tests/fleet/test_audit_faults.py
+++ b/tests/fleet/test_audit_faults.py
@@ -1,4 +1,4 @@
-"""The audit's store and a director's trail, while their disks take nothing for a while."""
+"""The control server's report log and a director's activity log while their disks accept no writes for a while."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import pytest
 from conftest import settings
 from disk_faults import FAULTS, UNSYNCED, crashed, fault, said_once
-from test_audit_pure import report, trail_of, view_name, view_of
+from test_audit_pure import make_log, make_report, make_view, make_view_id
 
 from gladelane.admin.maintenance import MaintenanceRegister
 from gladelane.admin.metrics import Metrics
@@ -32,147 +32,147 @@
 from gladelane.purges.active_purges import ActivePurges
 from gladelane.storage.files import Folder, FolderInUseError
 
-RUN = ("d", 1)
+RUN_ID = ("d", 1)
 NOW_MS = 5_000.0
 
 
-def spans_of(count: int) -> list[ActivityInterval]:
-    return trail_of(count, random.Random(7))[0].intervals()
+def make_intervals(count: int) -> list[ActivityInterval]:
+    return make_log(count, random.Random(7))[0].intervals()
 
 
-async def reported(collector: AuditServer, spans: list[ActivityInterval]) -> ReportReply:
-    trail, _ = trail_of(1, random.Random(7))
-    return await collector.intake.handle_report(report(trail, spans))
+async def send_report(server: AuditServer, intervals: list[ActivityInterval]) -> ReportReply:
+    log, _ = make_log(1, random.Random(7))
+    return await server.intake.handle_report(make_report(log, intervals))
 
 
-def opened(disk: SimDisk) -> AuditServer:
+def open_server(disk: SimDisk) -> AuditServer:
     return AuditServer("feed", disk, str, lambda: NOW_MS)
 
 
-def acknowledged(disk: SimDisk) -> list[int]:
-    """Up to where each process that may come after a crash now has the director's spans."""
-    return [opened(left).store.stored_upto(RUN) for left in crashed(disk)]
+def stored_after_crashes(disk: SimDisk) -> list[int]:
+    """The last stored interval of the director, for each state that a crash at this moment may leave on the disk."""
+    return [open_server(disk_after_crash).store.stored_upto(RUN_ID) for disk_after_crash in crashed(disk)]
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_a_feed_whose_disk_fails_goes_on_judging_and_acknowledges_only_what_is_stored(
+def test_server_with_a_failing_disk_grants_leases_but_acknowledges_only_stored_intervals(
     name: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    spans = spans_of(6)
+    intervals = make_intervals(6)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         disk = SimDisk()
-        collector = opened(disk)
-        collector.start()
-        first = await reported(collector, spans[:2])
+        server = open_server(disk)
+        server.start()
+        first = await send_report(server, intervals[:2])
         assert first.stored == 2 and first.stores
         disk.fault = FAULTS[name]
-        for upto in (3, 4, 4):
-            answer = await reported(collector, spans[2:upto])
+        for last_number in (3, 4, 4):
+            answer = await send_report(server, intervals[2:last_number])
             assert answer.stored == 2 and answer.lease_ms > 0.0 and not answer.stores
-        for refused in (
-            collector.intake.handle_expected(ExpectedDigests("settings", ("s",)), "operator"),
-            collector.intake.handle_replicated(
-                ReplicatedReports("peer", 1, [report(trail_of(1, random.Random(7))[0], spans[2:3])])
+        for rejected_call in (
+            server.intake.handle_expected(ExpectedDigests("settings", ("s",)), "operator"),
+            server.intake.handle_replicated(
+                ReplicatedReports("peer", 1, [make_report(make_log(1, random.Random(7))[0], intervals[2:3])])
             ),
         ):
             with pytest.raises(HttpStatusError, match="not stored") as caught:
-                await refused
+                await rejected_call
             assert caught.value.status == 507
-        assert not collector.monitor.versions.expects and collector.answers.versions().lacks
-        assert all(upto >= 2 for upto in acknowledged(disk))
+        assert not server.monitor.versions.expects and server.answers.versions().lacks
+        assert all(last_number >= 2 for last_number in stored_after_crashes(disk))
         disk.fault = None
-        assert (await reported(collector, spans[2:])).stored == 6 and not collector.answers.versions().lacks
-        await collector.intake.handle_expected(ExpectedDigests("settings", ("s",)), "operator")
-        for left in crashed(disk):
-            found = opened(left)
-            assert found.store.stored_upto(RUN) == 6 and find_inconsistencies(found.store) == []
-            assert found.monitor.versions.expects["settings"].digests == ("s",)
-        await collector.close()
-
-    asyncio.run(scene())
+        assert (await send_report(server, intervals[2:])).stored == 6 and not server.answers.versions().lacks
+        await server.intake.handle_expected(ExpectedDigests("settings", ("s",)), "operator")
+        for disk_after_crash in crashed(disk):
+            restarted = open_server(disk_after_crash)
+            assert restarted.store.stored_upto(RUN_ID) == 6 and find_inconsistencies(restarted.store) == []
+            assert restarted.monitor.versions.expects["settings"].digests == ("s",)
+        await server.close()
+
+    asyncio.run(scenario())
     assert said_once(caplog, "audit: reports")
 
 
-def test_a_snapshot_of_the_audit_that_fails_refuses_nothing(
+def test_failed_snapshot_rejects_no_reports(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(report_log_module, "SNAPSHOT_AFTER", 2)
-    spans = spans_of(6)
+    intervals = make_intervals(6)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         disk = SimDisk()
-        collector = opened(disk)
-        collector.start()
+        server = open_server(disk)
+        server.start()
         disk.fault = fault(errno.EIO, Operation.REPLACE)
         for number in range(1, 5):
-            assert (await reported(collector, spans[number - 1 : number])).stored == number
-            assert not collector.answers.versions().lacks
+            assert (await send_report(server, intervals[number - 1 : number])).stored == number
+            assert not server.answers.versions().lacks
         disk.fault = None
-        assert (await reported(collector, spans[4:])).stored == 6
-        while collector.report_log.snapshot_outage.is_ongoing:
+        assert (await send_report(server, intervals[4:])).stored == 6
+        while server.report_log.snapshot_outage.is_ongoing:
             await asyncio.sleep(0.001)
         assert [name for name in disk.names() if name.endswith(".snap")]
-        assert acknowledged(disk) == [6] * 9
-        await collector.close()
+        assert stored_after_crashes(disk) == [6] * 9
+        await server.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
     assert said_once(caplog, "audit: snapshot")
 
 
-def page(spans: list[ActivityInterval]) -> LogPage:
-    return LogPage("d", 1, spans, {view_name(0): view_of(0)})
+def make_page(intervals: list[ActivityInterval]) -> LogPage:
+    return LogPage("d", 1, intervals, {make_view_id(0): make_view(0)})
 
 
-def trail_store(disk: SimDisk, monkeypatch: pytest.MonkeyPatch) -> ActivityLogStore:
+def open_log_store(disk: SimDisk, monkeypatch: pytest.MonkeyPatch) -> ActivityLogStore:
     monkeypatch.setattr(activity_log_store_module, "Folder", lambda path: disk)
     return ActivityLogStore(Path("trail"))
 
 
 @pytest.mark.parametrize("name", UNSYNCED)
-def test_a_trail_that_could_not_be_stored_is_stored_with_the_next_page(
+def test_intervals_that_could_not_be_stored_are_stored_with_the_next_page(
     name: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    spans, disk = spans_of(4), SimDisk()
-    store = trail_store(disk, monkeypatch)
-    assert store.write(page(spans[:1]), None)
+    intervals, disk = make_intervals(4), SimDisk()
+    store = open_log_store(disk, monkeypatch)
+    assert store.write(make_page(intervals[:1]), None)
     disk.fault = FAULTS[name]
-    assert not store.write(page(spans[1:2]), None) and not store.write(page(spans[1:3]), None)
+    assert not store.write(make_page(intervals[1:2]), None) and not store.write(
+        make_page(intervals[1:3]), None
+    )
     assert [
-        span.number
-        for one in trail_store(disk.after_kill(), monkeypatch).recovered_pages
-        for span in one.intervals
+        interval.number
+        for one in open_log_store(disk.after_kill(), monkeypatch).recovered_pages
+        for interval in one.intervals
     ][0] == 1
     disk.fault = None
-    assert store.write(page(spans[1:]), None)
-    (left,) = trail_store(disk.after_kill(), monkeypatch).recovered_pages
-    assert left.intervals == spans
+    assert store.write(make_page(intervals[1:]), None)
+    (page,) = open_log_store(disk.after_kill(), monkeypatch).recovered_pages
+    assert page.intervals == intervals
     assert said_once(caplog, "audit: activity log")
 
 
-def test_a_page_whose_snapshot_fails_is_stored_once(
+def test_page_whose_snapshot_fails_is_stored_once(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    spans, disk = spans_of(3), SimDisk()
-    store = trail_store(disk, monkeypatch)
+    intervals, disk = make_intervals(3), SimDisk()
+    store = open_log_store(disk, monkeypatch)
     disk.fault = fault(errno.EIO, Operation.REPLACE)
     for number in range(3):
-        assert store.write(page(spans[number : number + 1]), [page(spans[: number + 1])])
+        assert store.write(make_page(intervals[number : number + 1]), [make_page(intervals[: number + 1])])
     disk.fault = None
-    assert trail_store(disk.after_kill(), monkeypatch).recovered_pages[0].intervals == spans
-    assert store.write(page([]), [page(spans)])
-    assert trail_store(disk.after_kill(), monkeypatch).recovered_pages[0].intervals == spans
+    assert open_log_store(disk.after_kill(), monkeypatch).recovered_pages[0].intervals == intervals
+    assert store.write(make_page([]), [make_page(intervals)])
+    assert open_log_store(disk.after_kill(), monkeypatch).recovered_pages[0].intervals == intervals
     assert said_once(caplog, "audit: snapshot of the activity log")
 
 
-def test_a_folder_that_could_not_be_read_is_not_in_use_at_the_next_try(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_folder_is_released_after_a_read_error(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     def failing(self: Folder, name: str) -> bytes:
         raise OSError(errno.EIO, "Input/output error")
 
     store = ActivityLogStore(tmp_path)
-    assert store.write(page(spans_of(1)), None)
+    assert store.write(make_page(make_intervals(1)), None)
     store.close()
     with monkeypatch.context() as broken:
         broken.setattr(Folder, "read", failing)
@@ -183,8 +183,8 @@
     assert len(ActivityLogStore(tmp_path).recovered_pages) == 1
 
 
-class Parts:
-    """All that a director's audit asks of the other parts."""
+class FakeDirectorParts:
+    """The interfaces of other components that a director's audit uses."""
 
     def __init__(self) -> None:
         self.settings = settings()
@@ -205,18 +205,18 @@
         return ""
 
 
-def service(folder: Path | None = None) -> AuditService:
-    parts: Any = Parts()
+def make_service(folder: Path | None = None) -> AuditService:
+    parts: Any = FakeDirectorParts()
     options = AuditOptions(dir=str(folder) if folder is not None else "")
     return AuditService(options, "n0", parts, parts, lambda: NOW_MS, parts, lambda: None, lambda: None)
 
 
-def test_a_trail_whose_folder_cannot_be_opened_for_a_while_is_stored_once_it_can(
+def test_folder_that_cannot_be_opened_at_first_is_opened_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     earlier = ActivityLogStore(tmp_path)
-    spans = spans_of(2)
-    assert earlier.write(LogPage("n0", 1, spans, {view_name(0): view_of(0)}), None)
+    intervals = make_intervals(2)
+    assert earlier.write(LogPage("n0", 1, intervals, {make_view_id(0): make_view(0)}), None)
     earlier.close()
 
     def failing(path: Path) -> Folder:
@@ -224,40 +224,40 @@
 
     with monkeypatch.context() as broken:
         broken.setattr(activity_log_store_module, "Folder", failing)
-        one = service(tmp_path)
-        one.writer.reopen_ms = 0.0
-        asyncio.run(one.write())
-    assert one.writer.store is None and not one.reporter.earlier_runs
-    one.writer.reopen_ms = 0.0
-    asyncio.run(one.write())
-    assert one.writer.store is not None and [
-        span.number for span in one.reporter.earlier_runs[0].page.intervals
+        audit = make_service(tmp_path)
+        audit.writer.reopen_ms = 0.0
+        asyncio.run(audit.write())
+    assert audit.writer.store is None and not audit.reporter.earlier_runs
+    audit.writer.reopen_ms = 0.0
+    asyncio.run(audit.write())
+    assert audit.writer.store is not None and [
+        interval.number for interval in audit.reporter.earlier_runs[0].page.intervals
     ] == [1, 2]
-    one.writer.store.close()
+    audit.writer.store.close()
     assert said_once(caplog, "audit: activity log folder")
     with monkeypatch.context() as broken:
         broken.setattr(
             activity_log_store_module, "Folder", lambda path: os.open(path / "nowhere", os.O_RDONLY)
         )
         with pytest.raises(FileNotFoundError):
-            service(tmp_path)
+            make_service(tmp_path)
 
 
 @pytest.mark.parametrize("stores", [True, False])
-def test_a_director_reports_next_to_another_feed_where_this_ones_disk_takes_nothing(
+def test_director_reports_to_another_server_if_the_disk_of_this_one_fails(
     stores: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    one = service()
-    asked: list[int] = []
+    audit = make_service()
+    requested_ports: list[int] = []
 
-    async def answered(host: str, port: int, *given: Any, **more: Any) -> bytes:
-        asked.append(port)
+    async def fake_fetch(host: str, port: int, *given: Any, **more: Any) -> bytes:
+        requested_ports.append(port)
         return encode_json(ReportReply("feed", 1, NOW_MS, 0, 0, 3_000.0, stores=stores))
 
-    async def scene() -> None:
+    async def scenario() -> None:
         for _ in range(2):
-            assert await one.reporter.report(1.0)
+            assert await audit.reporter.report(1.0)
 
-    monkeypatch.setattr(reporter_module, "fetch", answered)
-    asyncio.run(scene())
-    assert (asked[0] == asked[1]) is stores and one.lease.permits(False, steady_ms())
+    monkeypatch.setattr(reporter_module, "fetch", fake_fetch)
+    asyncio.run(scenario())
+    assert (requested_ports[0] == requested_ports[1]) is stores and audit.lease.permits(False, steady_ms())
