--- a/tests/fleet/test_audit_clocks.py
+++ b/tests/fleet/test_audit_clocks.py
@@ -1,4 +1,5 @@
-"""The audit with wall clocks of control servers and directors that differ by an hour or were stepped between two processes."""
+"""The audit with wall clocks of control servers and directors that differ by an hour or were stepped between
+two processes."""
 
 from __future__ import annotations
 
@@ -74,7 +75,8 @@
 
 
 def test_director_with_a_smaller_start_number_counts_once_its_predecessor_is_silent() -> None:
-    """A clock that was set back gives the next process a smaller start number, so that it looks like an older process."""
+    """A clock that was set back gives the next process a smaller start number, so that it looks like an older
+    process."""
     monitor = LagMonitor(EscalationPolicy(silent_ms=3_000.0), 0.0)
     observe_director(monitor, 9, 1, 1_000.0)
     observe_director(monitor, 5, 2, 2_000.0)  # the older of two processes in an upgrade
--- a/tests/fleet/test_audit_faults.py
+++ b/tests/fleet/test_audit_faults.py
@@ -1,4 +1,5 @@
-"""The control server's report log and a director's activity log while their disks accept no writes for a while."""
+"""The control server's report log and a director's activity log while their disks accept no writes for a
+while."""
 
 from __future__ import annotations
 
@@ -50,7 +51,8 @@
 
 
 def stored_after_crashes(disk: SimDisk) -> list[int]:
-    """The last stored interval of the director, for each state that a crash at this moment may leave on the disk."""
+    """The last stored interval of the director, for each state that a crash at this moment may leave on the
+    disk."""
     return [open_server(disk_after_crash).store.stored_upto(RUN_ID) for disk_after_crash in crashed(disk)]
 
 
--- a/tests/fleet/test_audit_pure.py
+++ b/tests/fleet/test_audit_pure.py
@@ -1,5 +1,5 @@
-"""Tables and properties of the audit's decisions without I/O: views, activity logs, the audit store, view leases and escalation; the
-exhaustive searches of `lab.view_leases`, and that they find each planted fault."""
+"""Tables and properties of the audit's decisions without I/O: views, activity logs, the audit store, view
+leases and escalation; the exhaustive searches of `lab.view_leases`, and that they find each planted fault."""
 
 from __future__ import annotations
 
@@ -147,8 +147,8 @@
 
 
 def test_full_log_records_dropped_intervals_that_no_server_had() -> None:
-    """A log at its memory limit drops the oldest intervals. Those that no control server has stored must be recorded as lost,
-    and a server that gets them later must fill the gap."""
+    """A log at its memory limit drops the oldest intervals. Those that no control server has stored must be
+    recorded as lost, and a server that gets them later must fill the gap."""
     log, _ = make_log(0, random.Random(1), max_bytes=2_000)
     for turn in range(1, 11):
         log.close_interval(make_view_id(turn), {}, 1000.0 + turn)
