--- a/gladelane/audit/audit_queries.py
+++ b/gladelane/audit/audit_queries.py
@@ -92,11 +92,11 @@
     return newer.started_ms > 0.0 and older.taken_ms > newer.started_ms + tolerance_ms and older.current
 
 
-def rows_at(store: AuditStore, moment_ms: float) -> list[AuditRow]:
-    """What each director acted on at `moment_ms`: all rows that may cover this time."""
+def rows_at(store: AuditStore, at_ms: float) -> list[AuditRow]:
+    """What each director acted on at `at_ms`: all rows that may cover this time."""
     found: list[AuditRow] = []
     for director in directors(store):
-        found += rows_between(store, director, moment_ms, moment_ms)
+        found += rows_between(store, director, at_ms, at_ms)
     return found
 
 
@@ -121,8 +121,8 @@
 ) -> Iterator[AuditRow]:
     """The rows of closed intervals, of lost ranges and of the open interval."""
     # the first interval that ends within or after the range
-    first = bisect_left(run.to_moments_ms, requested.from_ms)
-    for index in range(first, bisect_right(run.from_moments_ms, requested.to_ms)):
+    first = bisect_left(run.to_times_ms, requested.from_ms)
+    for index in range(first, bisect_right(run.from_times_ms, requested.to_ms)):
         interval = run.interval(index)
         if interval.end == "open" and run.open is not None and run.open.number == interval.number:
             interval = max(interval, run.open, key=lambda candidate: candidate.to_ms)  # of two checkpoints
--- a/gladelane/audit/audit_store.py
+++ b/gladelane/audit/audit_store.py
@@ -99,9 +99,9 @@
         self._add_views(report)
         before = len(run.numbers)
         for interval in report.intervals:
-            other = run.add(interval)
-            if other is not None:
-                self._add_conflict(report, interval, other)
+            conflicting = run.add(interval)
+            if conflicting is not None:
+                self._add_conflict(report, interval, conflicting)
         run.add_lost(report.lost)
         run.update_latest(report)
         added = len(run.numbers) - before
@@ -123,9 +123,9 @@
             elif report.run_id not in self.runs_with_wrong_view_id:
                 self.runs_with_wrong_view_id.append(report.run_id)
 
-    def _add_conflict(self, report: Report, one: ActivityInterval, other: ActivityInterval) -> None:
-        seals = sorted((one.seal, other.seal))
-        conflict = Conflict(report.director, report.start, one.number, *seals)
+    def _add_conflict(self, report: Report, interval: ActivityInterval, known: ActivityInterval) -> None:
+        seals = sorted((interval.seal, known.seal))
+        conflict = Conflict(report.director, report.start, interval.number, *seals)
         if conflict not in self.conflicts and len(self.conflicts) < MAX_CONFLICTS:
             self.conflicts.append(conflict)
 
@@ -184,8 +184,8 @@
         for run_id, run in list(self.runs.items()):
             if max(run.last_known_ms, run.taken_ms) < expired_ms:
                 self._drop_run(run_id)
-            elif len(run.to_moments_ms) and run.to_moments_ms[0] < expired_ms:
-                self.interval_count -= run.drop_before(bisect_left(run.to_moments_ms, expired_ms))
+            elif len(run.to_times_ms) and run.to_times_ms[0] < expired_ms:
+                self.interval_count -= run.drop_before(bisect_left(run.to_times_ms, expired_ms))
         if self.interval_count < before:
             self._drop_unused_views()
         return before - self.interval_count
--- a/gladelane/audit/fleet_versions.py
+++ b/gladelane/audit/fleet_versions.py
@@ -18,7 +18,7 @@
 from .wire import ExpectedDigests
 
 MAX_REVISIONS = 4_096  # remembered revisions of one list source
-MAX_STREAM_MOMENTS = 100_000  # remembered times of one stream's purges
+MAX_STREAM_TIMES = 100_000  # remembered times of one stream's purges
 
 
 class _RevisionHistory:
@@ -51,8 +51,8 @@
 
     def add(self, count: int, now_ms: float) -> None:
         self.stored_ms.extend([now_ms] * count)
-        excess = len(self.stored_ms) - MAX_STREAM_MOMENTS // 2
-        if len(self.stored_ms) > MAX_STREAM_MOMENTS:
+        excess = len(self.stored_ms) - MAX_STREAM_TIMES // 2
+        if len(self.stored_ms) > MAX_STREAM_TIMES:
             self.first += excess
             self.stored_ms = self.stored_ms[excess:]
 
@@ -129,8 +129,10 @@
                 continue
             history = self._streams[stream]
             is_remembered = next_number >= history.first
-            moment_ms = history.stored_ms[next_number - history.first] if is_remembered else self._started_ms
-            since_ms = min(since_ms, moment_ms)
+            announced_ms = (
+                history.stored_ms[next_number - history.first] if is_remembered else self._started_ms
+            )
+            since_ms = min(since_ms, announced_ms)
         return since_ms
 
     def required_for(self, view: View, parts: Iterable[str]) -> MissingParts:
--- a/gladelane/audit/options.py
+++ b/gladelane/audit/options.py
@@ -15,7 +15,8 @@
     discovery server, the same at all directors that follow the same one. `list_lease_ms` is how long the
     endpoint list is valid without a reply from the discovery server; 0 means without limit. `alone` is what a
     director does while no control server answers. With `enforce` false the audit only reports. `log_bytes`
-    bounds the activity log in memory. `digest` is that of the operator's file, without the places in it.
+    bounds the activity log in memory. `digest` is the digest of the operator's file without paths and tokens,
+    which differ between directors.
     """
 
     dir: str = ""
--- a/gladelane/audit/records.py
+++ b/gladelane/audit/records.py
@@ -41,9 +41,9 @@
 class AuditRow(msgspec.Struct):
     """A time range of one start of a director, in ms of the director's clock.
 
-    `known` is a value of `Knowledge`; with "acted" the fields of the interval follow. `why` says why
-    something is unknown. `offset` bounds how far the control server's clock is ahead of the director's. `by`
-    is the control server that took the report. The names of the JSON fields are fixed.
+    `known` is a value of `Knowledge`; with "acted" the fields of the interval follow. `why` is the reason for
+    which something is unknown. `offset` bounds how far the control server's clock is ahead of the director's.
+    `by` is the control server that accepted the report. The names of the JSON fields are fixed.
     """
 
     director: str
--- a/gladelane/audit/run_history.py
+++ b/gladelane/audit/run_history.py
@@ -37,8 +37,8 @@
     __slots__ = (
         "zone",
         "numbers",
-        "from_moments_ms",
-        "to_moments_ms",
+        "from_times_ms",
+        "to_times_ms",
         "end_markers",
         "view_ids",
         "encoded_intervals",
@@ -58,8 +58,8 @@
     def __init__(self, zone: str) -> None:
         self.zone = zone
         self.numbers = array("Q")
-        self.from_moments_ms = array("d")
-        self.to_moments_ms = array("d")
+        self.from_times_ms = array("d")
+        self.to_times_ms = array("d")
         self.end_markers: dict[int, str] = {}  # `end` by number, of intervals after which a gap follows
         self.view_ids: list[str] = []
         self.encoded_intervals: list[bytes] = []
@@ -89,14 +89,14 @@
     @property
     def started_ms(self) -> float:
         """When the first interval began; 0 if nothing is known."""
-        if len(self.from_moments_ms):
-            return self.from_moments_ms[0]
+        if len(self.from_times_ms):
+            return self.from_times_ms[0]
         return self.open.from_ms if self.open is not None else 0.0
 
     @property
     def last_known_ms(self) -> float:
         """The end of the latest interval or checkpoint."""
-        ended_ms = self.to_moments_ms[-1] if len(self.to_moments_ms) else 0.0
+        ended_ms = self.to_times_ms[-1] if len(self.to_times_ms) else 0.0
         return max(ended_ms, self.open.to_ms if self.open is not None else 0.0)
 
     @property
@@ -113,8 +113,8 @@
         if index < len(numbers) and numbers[index] == interval.number:
             return self._merge(index, interval)
         numbers.insert(index, interval.number)
-        self.from_moments_ms.insert(index, interval.from_ms)
-        self.to_moments_ms.insert(index, interval.to_ms)
+        self.from_times_ms.insert(index, interval.from_ms)
+        self.to_times_ms.insert(index, interval.to_ms)
         self.view_ids.insert(index, interval.view)
         self.encoded_intervals.insert(index, _encode(interval))
         if interval.end:
@@ -125,7 +125,7 @@
     def _merge(self, index: int, interval: ActivityInterval) -> ActivityInterval | None:
         known = self.interval(index)
         if is_checkpoint_of(known, interval):
-            self.to_moments_ms[index], self.encoded_intervals[index] = interval.to_ms, _encode(interval)
+            self.to_times_ms[index], self.encoded_intervals[index] = interval.to_ms, _encode(interval)
             self.end_markers[interval.number] = interval.end
             if not interval.end:
                 del self.end_markers[interval.number]
@@ -169,13 +169,13 @@
         """Drops all intervals before an index and records them as one lost range. Returns their number."""
         last = self.interval(index - 1)
         earlier_ms = [one.from_ms for one in self.lost if one.first <= last.number]
-        from_ms = min([self.from_moments_ms[0], *earlier_ms])
+        from_ms = min([self.from_times_ms[0], *earlier_ms])
         self.lost = [one for one in self.lost if one.first > last.number]
         self.lost.insert(0, LostIntervals(1, last.number, from_ms, last.to_ms, last.seal))
         for column in (
             self.numbers,
-            self.from_moments_ms,
-            self.to_moments_ms,
+            self.from_times_ms,
+            self.to_times_ms,
             self.view_ids,
             self.encoded_intervals,
         ):
--- a/gladelane/audit/unreported_run.py
+++ b/gladelane/audit/unreported_run.py
@@ -9,9 +9,8 @@
 from .activity_log_store import LogPage
 from .wire import MAX_REPORT_INTERVALS, Report, ReportReply
 
-MAX_ATTEMPTS = (
-    60  # reports in a row without progress, while waiting for a second control server to store all of it
-)
+# reports in a row without progress, while waiting for a second control server to store all intervals
+MAX_ATTEMPTS = 60
 
 
 class UnreportedRun:
--- a/gladelane/audit/verification.py
+++ b/gladelane/audit/verification.py
@@ -12,9 +12,8 @@
 from .run_history import RunHistory
 from .wire import RunId
 
-FUTURE_TOLERANCE_MS = (
-    2_000.0  # an interval that ends later than this after its report was accepted is misdated
-)
+# an interval that ends later than this after its report was accepted is misdated
+FUTURE_TOLERANCE_MS = 2_000.0
 
 
 @dataclass(frozen=True)
--- a/gladelane/audit/view.py
+++ b/gladelane/audit/view.py
@@ -96,8 +96,9 @@
 
 
 def relevant_parts(is_cacheable: bool, is_strict: bool) -> frozenset[Part]:
-    """The parts that decisions about a request class depend on. Purges do not matter to classes that are not
-    cacheable; only strict classes depend on purges that may have been lost."""
+    """The parts that decisions about a request class depend on. Writes have no cached copies, so purges do
+    not matter to classes that are not cacheable; only strict classes depend on purges that may have been
+    lost."""
     if not is_cacheable:
         return UNCACHED_PARTS
     return ALL_PARTS if is_strict else ALL_PARTS - {Part.LOW_WATERMARK}
--- a/gladelane/audit/view_lease.py
+++ b/gladelane/audit/view_lease.py
@@ -36,7 +36,7 @@
 
     HEALTHY = 0
     NOTIFIED = 1
-    RESYNCING = 2  # resubscribes to all control servers and reconnects to the discovery server
+    RESYNCING = 2  # follows all control servers from the beginning, reconnects to the discovery server
     RESTRICTED = 3  # does not serve strict classes
     DRAINED = 4  # fails its readiness check and tells clients to disconnect
     QUARANTINED = 5  # sends no attempts and no responses
@@ -121,9 +121,8 @@
         list is valid without a reply from the discovery server; 0 means without limit."""
         self.alone, self.list_lease_ms = alone, list_lease_ms
         self.expires_ms = 0.0
-        self.isolation_expires_ms = (
-            0.0  # until when requests that are not strict are permitted without a lease
-        )
+        #: until when requests that are not strict are permitted without a lease
+        self.isolation_expires_ms = 0.0
         self.list_expires_ms = 0.0
         self.stage = Stage.HEALTHY
         self.reason = ""
