--- a/tests/storage/test_stored_forms.py
+++ b/tests/storage/test_stored_forms.py
@@ -11,7 +11,7 @@
 import pytest
 from conftest import members, settings
 
-from gladelane.audit.activity_log import is_sealed
+from gladelane.audit.activity_log import is_seal_valid
 from gladelane.audit.activity_log_store import ActivityLogStore
 from gladelane.audit.audit_queries import directors
 from gladelane.audit.server import AuditServer
@@ -75,11 +75,11 @@
 
 def test_the_stored_activity_log_of_a_director_is_read(stored: Path) -> None:
     store = ActivityLogStore(stored / "trail")
-    (page,) = store.left
+    (page,) = store.recovered_pages
     assert (page.director, page.start) == (DIRECTOR, START_MS)
     assert [interval.number for interval in page.intervals] == [1, 2, 3, 4] and page.open is not None
     assert all(
-        is_sealed(interval.seal, following)
+        is_seal_valid(interval.seal, following)
         for interval, following in zip(page.intervals, page.intervals[1:], strict=False)
     )
 
