--- a/tests/net/raw_client.py
+++ b/tests/net/raw_client.py
@@ -1,4 +1,4 @@
-"""A client whose every byte is written at once, and barriers on the way of its requests."""
+"""A raw client socket whose bytes are written immediately, and helpers that delay the handling of its requests."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from gladelane.server import Server
 
 
-def request(stream: int, **fields: str) -> bytes:
-    plain = {
+def encode_request(stream: int, **fields: str) -> bytes:
+    defaults = {
         "c": "film",
         "i": f"{stream:016x}",
         "d": "2000",
@@ -26,27 +26,27 @@
         "tag": "17",
         "m": "412.5",
     }
-    return encode_frame(16, stream, encode_fields({**plain, **fields}))  # type: ignore[arg-type]
+    return encode_frame(16, stream, encode_fields({**defaults, **fields}))  # type: ignore[arg-type]
 
 
-GONE = struct.pack(">IBI", 5, 18, 1)
+CLIENT_GONE_FRAME = struct.pack(">IBI", 5, 18, 1)
 
 
-class Raw:
-    """A client without a loop of its own: it writes at once, and reads only what it is told to."""
+class RawClient:
+    """A client socket outside the event loop: it writes immediately, and reads only when the test calls for it."""
 
-    def __init__(self, node: Server, takes: int = 0) -> None:
+    def __init__(self, node: Server, receive_buffer_bytes: int = 0) -> None:
         self.sock = socket.socket()
-        if takes:
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, takes)
+        if receive_buffer_bytes:
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer_bytes)
         self.sock.connect(("127.0.0.1", node.port))
         self.sock.setblocking(False)
 
     def send(self, data: bytes) -> None:
         assert self.sock.send(data) == len(data)
 
-    async def rest(self) -> tuple[list[tuple[int, int, bytes]], str]:
-        """All frames to the end, and how it ended."""
+    async def receive_until_end(self) -> tuple[list[tuple[int, int, bytes]], str]:
+        """Reads until the connection ends. Returns all frames, and "reset" or "end of file"."""
         decoder, frames = FrameDecoder(), list[tuple[int, int, bytes]]()
         try:
             while data := await asyncio.wait_for(
@@ -58,37 +58,37 @@
         return frames, "end of file"
 
 
-async def connected(node: Server, raw: Raw) -> ClientConnection:
-    """The director's side of it."""
-    name = raw.sock.getsockname()
+async def wait_for_server_connection(node: Server, client: RawClient) -> ClientConnection:
+    """Waits until the director has accepted the client's connection, and returns the director's side of it."""
+    client_address = client.sock.getsockname()
     found: list[ClientConnection] = []
 
-    def there() -> bool:
-        found[:] = [c for c in node.front.connections if c.sock.getpeername() == name]
+    def is_accepted() -> bool:
+        found[:] = [c for c in node.front.connections if c.sock.getpeername() == client_address]
         return bool(found)
 
-    await until(there)
+    await until(is_accepted)
     return found[0]
 
 
-def waits_for_a_dial(
-    node: Server, happens: Callable[[Attempt], Coroutine[Any, Any, None]]
+def hold_dials_until(
+    node: Server, wait: Callable[[Attempt], Coroutine[Any, Any, None]]
 ) -> list[asyncio.Task[None]]:
-    """Holds each dial until `happens` has: the attempt waits meanwhile."""
+    """Delays each dial of a cache until `wait`, which is called with the attempt, has returned."""
     tasks: list[asyncio.Task[None]] = []
     send = node.upstream.send
 
-    def sends(attempt: Attempt) -> None:
+    def send_and_delay_dials(attempt: Attempt) -> None:
         send(attempt)
         for conn in node.upstream._pool.get(attempt.store, []):
             dial = conn._dial
 
-            async def held(dial: Any = dial) -> Any:
+            async def delayed_dial(dial: Any = dial) -> Any:
                 await tasks[-1]
                 return await dial()
 
-            conn._dial = held  # type: ignore[method-assign]
-        tasks.append(asyncio.create_task(happens(attempt)))
+            conn._dial = delayed_dial  # type: ignore[method-assign]
+        tasks.append(asyncio.create_task(wait(attempt)))
 
-    node.upstream.send = sends  # type: ignore[method-assign]
+    node.upstream.send = send_and_delay_dials  # type: ignore[method-assign]
     return tasks
--- a/tests/net/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 import pytest
+from core_wait_time import get_core_wait_s
 from harness import Cache, config, hit, mute, running, trial, until
-from machine import waited_for_core_s
 
 from gladelane.clock import Clock
 from gladelane.discovery.events import Instance, ListChange, WatchEvent
@@ -44,12 +44,12 @@
     def __init__(self, director: Processes | None) -> None:
         others = director.all if director is not None else ()
         pids = ("self", *(process.pid for process in others))
-        self._before_s = {pid: waited_for_core_s(pid) for pid in pids}
+        self._before_s = {pid: get_core_wait_s(pid) for pid in pids}
 
     def ms(self) -> float:
         """Nothing of a process that has ended."""
         return 1000.0 * sum(
-            max(waited_for_core_s(pid) - before_s, 0.0) for pid, before_s in self._before_s.items()
+            max(get_core_wait_s(pid) - before_s, 0.0) for pid, before_s in self._before_s.items()
         )
 
 
--- a/tests/net/test_deadlines.py
+++ b/tests/net/test_deadlines.py
@@ -13,10 +13,16 @@
 
 import pytest
 import uvloop
+from core_wait_time import get_core_wait_s
 from harness import Cache, Command, config, hit, mute, running, trial, until
-from machine import waited_for_core_s
-from raw_cache import Peer, heard, only
-from raw_client import GONE, Raw, connected, request, waits_for_a_dial
+from raw_cache import RawCache, get_single_connection, receive_until
+from raw_client import (
+    CLIENT_GONE_FRAME,
+    RawClient,
+    encode_request,
+    hold_dials_until,
+    wait_for_server_connection,
+)
 
 import gladelane.net.client_connection as client_module
 import gladelane.net.client_listener as front_module
@@ -49,15 +55,15 @@
             client.ask(1)
             await until(lambda: cache.seen)
             node.front.cap = 1
-            raw = Raw(node)
-            raw.send(request(2, d=str(WAIT_MS)))
+            raw = RawClient(node)
+            raw.send(encode_request(2, d=str(WAIT_MS)))
             await asyncio.sleep(HELD_UP_MS / 1000.0)
             client.send(Type.GONE, 1)
             node.front.cap = 9
             await until(lambda: len(cache.seen) == 2)
             assert is_honest(cache.seen[1])
-            late = Raw(node)  # nobody waits any more: nothing is taken off
-            conn = await connected(node, late)
+            late = RawClient(node)  # nobody waits any more: nothing is taken off
+            conn = await wait_for_server_connection(node, late)
             assert conn._queued_ms == 0.0
             late.sock.close()
             raw.sock.close()
@@ -71,8 +77,8 @@
     async def scene() -> None:
         cache = Cache(hit)
         async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
-            raw = Raw(node)
-            conn = await connected(node, raw)
+            raw = RawClient(node)
+            conn = await wait_for_server_connection(node, raw)
             handle = conn._handle_all
 
             def handled(frames: list[Any]) -> None:
@@ -81,7 +87,7 @@
 
             conn._handle_all = handled  # type: ignore[method-assign]
             ping = encode_frame(Type.ASK_READY, 0, encode_fields({}))
-            raw.send(ping * 20 + request(1, d=str(WAIT_MS)))
+            raw.send(ping * 20 + encode_request(1, d=str(WAIT_MS)))
             await until(lambda: cache.seen)
             assert is_honest(cache.seen[0])
             raw.sock.close()
@@ -99,9 +105,9 @@
         patch.setattr(front_module, "SHED_MS", 1e9)  # else so late a request is refused at sight
         async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
             del node.timers.lag, node.timers.margin  # type: ignore[misc]
-            raw = Raw(node)
-            await connected(node, raw)
-            raw.send(request(1, d=str(WAIT_MS)))
+            raw = RawClient(node)
+            await wait_for_server_connection(node, raw)
+            raw.send(encode_request(1, d=str(WAIT_MS)))
             time.sleep(HELD_UP_MS / 1000.0)
             await until(lambda: cache.seen)
             assert is_honest(cache.seen[0])
@@ -112,13 +118,13 @@
 async def test_the_time_of_a_dial_counts() -> None:
     cache = Cache(hit)
     async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
-        raw = Raw(node)
+        raw = RawClient(node)
 
         async def waits(attempt: Attempt) -> None:
             await asyncio.sleep(HELD_UP_MS / 1000.0)
 
-        waits_for_a_dial(node, waits)
-        raw.send(request(1, d=str(WAIT_MS)))
+        hold_dials_until(node, waits)
+        raw.send(encode_request(1, d=str(WAIT_MS)))
         await until(lambda: cache.seen)
         assert is_honest(cache.seen[0])
         raw.sock.close()
@@ -141,8 +147,8 @@
                 send(attempt)
 
             node.upstream.send = sends  # type: ignore[method-assign]
-            raw = Raw(node)
-            raw.send(request(1, d=str(WAIT_MS)))
+            raw = RawClient(node)
+            raw.send(encode_request(1, d=str(WAIT_MS)))
             await until(lambda: any(cache.seen for cache in caches))
             (first,) = (cache for cache in caches if cache.seen)
             if not hedge:
@@ -162,14 +168,14 @@
 @trial
 async def test_a_request_that_a_cache_does_not_take_lies_in_no_buffer_until_its_time_is_wrong() -> None:
     # it lay in the system's buffer with the time it had when it was written, and left when the cache read on
-    peer = Peer(takes=4096)
+    peer = RawCache(receive_buffer_bytes=4096)
     with pytest.MonkeyPatch.context() as patch:
         async with running(config({"c0": peer.address, "r0": REFUSED_ADDRESS})) as (node, client):
             client.ask(9, body=b"x" * BODY, d="20000")
-            slow = await peer.accepted()
-            conn = only(node, "c0")
+            slow = await peer.accept_connection()
+            conn = get_single_connection(node, "c0")
             await until(lambda: conn.sock is not None and unsent_bytes(conn.sock))
-            raw, look = Raw(node), outgoing_module.unsent_bytes
+            raw, look = RawClient(node), outgoing_module.unsent_bytes
 
             def looks(sock: Any) -> int:
                 """As if the cache had taken all until the second was written, and no more from then on."""
@@ -177,7 +183,7 @@
                 return look(sock) if latest is not None and latest.exchange.ask.id == f"{1:016x}" else 0
 
             patch.setattr(outgoing_module, "unsent_bytes", looks)
-            raw.send(request(1, d=str(WAIT_MS)))
+            raw.send(encode_request(1, d=str(WAIT_MS)))
             await until(lambda: len(conn.open) == 2)
             await asyncio.sleep(HELD_UP_MS / 1000.0)
             came = b""
@@ -185,8 +191,8 @@
                 while data := await asyncio.wait_for(asyncio.get_running_loop().sock_recv(slow, 65_536), 0.3):
                     came += data
             assert came.count(b"fetch") == 1 and b"%016x" % 1 not in came
-            fresh = await peer.accepted()
-            assert b"fetch" in await heard(fresh, b"\r\n")  # it is tried on another connection
+            fresh = await peer.accept_connection()
+            assert b"fetch" in await receive_until(fresh, b"\r\n")  # it is tried on another connection
             raw.sock.close()
             fresh.close()
             slow.close()
@@ -204,13 +210,13 @@
             if not dials:
                 client.ask(9, d="300")
                 await until(lambda: cache.seen)
-            raw = Raw(node)
-            await connected(node, raw)
+            raw = RawClient(node)
+            await wait_for_server_connection(node, raw)
             loop = asyncio.get_running_loop()
-            began = loop.time() - waited_for_core_s()
-            raw.send(request(1, d=wait_ms))
+            began = loop.time() - get_core_wait_s()
+            raw.send(encode_request(1, d=wait_ms))
             frame = await asyncio.wait_for(loop.sock_recv(raw.sock, 65_536), ANSWERED_S)
-            took_s = loop.time() - waited_for_core_s() - began
+            took_s = loop.time() - get_core_wait_s() - began
             assert took_s <= float(wait_ms) / 1000.0 + LATEST_S
             assert frame[4] == Type.ANSWER and frame[9] in (AnswerCode.REFUSED, AnswerCode.FAILED)
             await until(lambda: not any(e.ask.id == f"{1:016x}" for e in node.director.live.values()))
@@ -227,10 +233,10 @@
 @trial
 async def test_the_system_tells_how_long_ago_bytes_came() -> None:
     async with running(config({"r0": REFUSED_ADDRESS})) as (node, _):
-        raw = Raw(node)
-        conn = await connected(node, raw)
+        raw = RawClient(node)
+        conn = await wait_for_server_connection(node, raw)
         conn.writer.transport.pause_reading()  # type: ignore[attr-defined]
-        raw.send(GONE)
+        raw.send(CLIENT_GONE_FRAME)
         await asyncio.sleep(0.1)
         assert 90.0 <= last_data_ms(conn.sock) <= 5000.0
         raw.sock.close()
--- a/tests/net/test_final_answers.py
+++ b/tests/net/test_final_answers.py
@@ -12,10 +12,10 @@
 
 import pytest
 import uvloop
+from core_wait_time import get_core_wait_s
 from harness import Cache, Client, Command, config, hit, running, until
-from machine import waited_for_core_s
-from raw_cache import Peer
-from raw_client import Raw, request
+from raw_cache import RawCache
+from raw_client import RawClient, encode_request
 
 from gladelane.net.client_protocol import Type, encode_fields, encode_frame
 from gladelane.server import Server
@@ -26,10 +26,10 @@
 PING = encode_frame(Type.ASK_READY, 0, encode_fields({}))
 FLOODS = {
     "pings": PING * 3000,
-    "requests that cannot be used": b"".join(request(n, c="nothing") for n in range(1, 300)),
-    "one stream again and again": request(1, d="1") * 300,
-    "more requests than may be open": b"".join(request(n) for n in range(1, 200)),
-    "half a frame": request(1)[:30],
+    "requests that cannot be used": b"".join(encode_request(n, c="nothing") for n in range(1, 300)),
+    "one stream again and again": encode_request(1, d="1") * 300,
+    "more requests than may be open": b"".join(encode_request(n) for n in range(1, 200)),
+    "half a frame": encode_request(1)[:30],
     "no framing": b"\xff" * 60_000,
     "cancels of nothing": struct.pack(">IBI", 5, Type.GONE, 77) * 3000,
 }
@@ -50,7 +50,7 @@
     """An honest client: some requests of both classes at once, and nothing comes twice."""
     loop = asyncio.get_running_loop()
     client = await Client.to(node.port)
-    began = loop.time() - waited_for_core_s()
+    began = loop.time() - get_core_wait_s()
     for stream in range(1, REQUESTS + 1):
         id_ = f"{number * 100 + stream:016x}"
         keyed = {"c": "sheet", "k": id_} if stream % 2 else {}
@@ -58,7 +58,7 @@
     for _ in range(REQUESTS):
         type_, stream, *_ = await client.next(LATEST_S + 5.0)
         assert type_ == Type.ANSWER
-        answered.append((f"{number} {stream}", loop.time() - waited_for_core_s() - began))
+        answered.append((f"{number} {stream}", loop.time() - get_core_wait_s() - began))
     assert await client.silent(0.3)
     client.writer.close()
 
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("ends", ["reset", "close", "half an answer", "garbage", "takes nothing"])
 def test_each_request_has_one_answer_in_time_while_connections_to_servers_break(ends: str) -> None:
-    async def breaks(peer: Peer) -> None:
+    async def breaks(peer: RawCache) -> None:
         loop, held = asyncio.get_running_loop(), list[socket.socket]()
         while True:
             sock = await loop.sock_accept(peer.listener)
@@ -105,7 +105,7 @@
             sock[0].close()
 
     async def scene() -> None:
-        peers = {name: Peer(takes=4096) for name in ("c0", "c1", "p0", "r0")}
+        peers = {name: RawCache(receive_buffer_bytes=4096) for name in ("c0", "c1", "p0", "r0")}
         tasks = [asyncio.create_task(breaks(peer)) for peer in peers.values()]
         async with running(config({name: peer.address for name, peer in peers.items()})) as (node, _):
             await each_is_answered_once_in_time(node)
@@ -121,7 +121,10 @@
         """Sends on and on, takes nothing, and comes back when it is cut off."""
         loop = asyncio.get_running_loop()
         while not over.is_set():
-            with Raw(node, takes=4096).sock as sock, contextlib.suppress(OSError, TimeoutError):
+            with (
+                RawClient(node, receive_buffer_bytes=4096).sock as sock,
+                contextlib.suppress(OSError, TimeoutError),
+            ):
                 while not over.is_set():
                     async with asyncio.timeout(0.2):
                         await loop.sock_sendall(sock, FLOODS[name])
--- a/tests/net/test_leaves.py
+++ b/tests/net/test_leaves.py
@@ -16,8 +16,21 @@
 import pytest
 import uvloop
 from harness import Cache, Command, config, hit, mute, running, trial, until
-from raw_cache import OK, Peer, ask, asked, heard, only
-from raw_client import GONE, Raw, connected, request, waits_for_a_dial
+from raw_cache import (
+    SERVED_RESPONSE,
+    RawCache,
+    asked,
+    build_client_request,
+    get_single_connection,
+    receive_until,
+)
+from raw_client import (
+    CLIENT_GONE_FRAME,
+    RawClient,
+    encode_request,
+    hold_dials_until,
+    wait_for_server_connection,
+)
 
 import gladelane.net.client_connection as client_module
 import gladelane.net.outgoing as outgoing_module
@@ -30,18 +43,18 @@
 
 BODY = 200_000  # more than a narrow cache and the system between take at once
 REFUSED = "127.0.0.1:1"
-HALF = request(9)[:30]
+HALF = encode_request(9)[:30]
 OVERLOAD = b"%016x overload - 0\r\n\r\n"
 
 
-def leave(raw: Raw, how: str) -> None:
+def leave(raw: RawClient, how: str) -> None:
     if "behind" in how:
-        raw.send(HALF if how == "close behind half a frame" else request(7, c="nothing") * 3)
+        raw.send(HALF if how == "close behind half a frame" else encode_request(7, c="nothing") * 3)
     if how == "type 18 in pieces":
-        raw.send(GONE[:3])
-        raw.send(GONE[3:])
+        raw.send(CLIENT_GONE_FRAME[:3])
+        raw.send(CLIENT_GONE_FRAME[3:])
     elif "type 18" in how:
-        raw.send(GONE)
+        raw.send(CLIENT_GONE_FRAME)
     else:
         if how == "reset":
             raw.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -91,15 +104,15 @@
     async def scene() -> None:
         cache = Cache(mute)
         async with running(config({"c0": await cache.start(), "r0": REFUSED}, cancel=cancel)) as (node, _):
-            raw = Raw(node)
-            conn = await connected(node, raw)
+            raw = RawClient(node)
+            conn = await wait_for_server_connection(node, raw)
 
             async def leaves(attempt: Attempt) -> None:
                 unread(conn)
                 leave(raw, how)
 
-            waits_for_a_dial(node, leaves)
-            raw.send(request(1))
+            hold_dials_until(node, leaves)
+            raw.send(encode_request(1))
             await until(lambda: cache.conns)
             await none_begins(node, [cache], 0)
             raw.sock.close()
@@ -115,9 +128,9 @@
         caches = [Cache(mute) for _ in range(2)]
         listed = {f"c{n}": await cache.start() for n, cache in enumerate(caches)}
         async with running(config({**listed, "r0": REFUSED}, cancel=cancel)) as (node, _):
-            raw = Raw(node)
-            conn = await connected(node, raw)
-            raw.send(request(1))
+            raw = RawClient(node)
+            conn = await wait_for_server_connection(node, raw)
+            raw.send(encode_request(1))
             await until(lambda: any(cache.seen for cache in caches))
             unread(conn)
             leave(raw, how)
@@ -139,9 +152,9 @@
     async def scene() -> None:
         origin = Cache(refuses)
         async with running(config({"c0": REFUSED, "r0": await origin.start()})) as (node, _):
-            raw = Raw(node)
-            conn = await connected(node, raw)
-            raw.send(request(1, c="sheet", k="aa"))
+            raw = RawClient(node)
+            conn = await wait_for_server_connection(node, raw)
+            raw.send(encode_request(1, c="sheet", k="aa"))
             await until(lambda: origin.seen)
             unread(conn)
             leave(raw, how)
@@ -159,9 +172,9 @@
         listed = {f"c{n}": await cache.start() for n, cache in enumerate(caches)}
         async with running(config({**listed, "r0": REFUSED}, cancel=cancel)) as (node, _):
             node.director.router.budgets.hedges = 5.0
-            raw = Raw(node)
-            conn = await connected(node, raw)
-            raw.send(request(1))
+            raw = RawClient(node)
+            conn = await wait_for_server_connection(node, raw)
+            raw.send(encode_request(1))
             await until(lambda: any(cache.seen for cache in caches))
             unread(conn)
             leave(raw, "type 18")
@@ -180,13 +193,15 @@
         async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
             client.ask(3)
             assert (await client.next())[:3] == (17, 3, 0)  # from here on no request waits for a dial
-            raw = Raw(node)
-            raw.send(request(1) + request(2) + GONE)  # all of it lies there before it is accepted
+            raw = RawClient(node)
+            raw.send(
+                encode_request(1) + encode_request(2) + CLIENT_GONE_FRAME
+            )  # all of it lies there before it is accepted
             await until(lambda: len(cache.seen) > 1 and not node.director.live)
             assert [command[0] for command in cache.seen] == [f"{n:016x}" for n in (3, 2)]
             raw.sock.close()
 
-    monkeypatch.setattr(client_module, "READ_BYTES", len(request(1)) + 20)
+    monkeypatch.setattr(client_module, "READ_BYTES", len(encode_request(1)) + 20)
     scene()
 
 
@@ -200,8 +215,8 @@
         (b"", CANCELS, {3, 5}),
         (CANCELS[:4], CANCELS[4:], {3, 5}),
         (b"", CANCELS[:-1], {3}),
-        (request(1)[:50], request(1)[50:] + CANCELS, {3, 5}),
-        (request(1)[:50], CANCELS, set()),  # they lie within the frame that is under way
+        (encode_request(1)[:50], encode_request(1)[50:] + CANCELS, {3, 5}),
+        (encode_request(1)[:50], CANCELS, set()),  # they lie within the frame that is under way
         (b"", b"\0\0\0\1" + CANCELS, set()),  # no frame can be so short: nothing after it can be trusted
     ],
 )
@@ -215,15 +230,15 @@
 @trial
 async def test_a_request_behind_bytes_that_a_cache_does_not_take_waits_and_goes_elsewhere() -> None:
     # it lay in the system's buffer, where nothing could take it back
-    peer = Peer(takes=4096)
+    peer = RawCache(receive_buffer_bytes=4096)
     async with running(config({"c0": peer.address, "r0": REFUSED})) as (node, client):
         client.ask(1, body=b"x" * BODY)
-        slow = await peer.accepted()
-        conn = only(node, "c0")
+        slow = await peer.accept_connection()
+        conn = get_single_connection(node, "c0")
         await until(lambda: conn.sock is not None and unsent_bytes(conn.sock))
         client.ask(2)
-        fresh = await peer.accepted()
-        line = await heard(fresh, b"\r\n")
+        fresh = await peer.accept_connection()
+        line = await receive_until(fresh, b"\r\n")
         assert (
             f"{2:016x}".encode() in line
             and not conn.attempts.queue.waiting
@@ -240,21 +255,21 @@
 ) -> None:
     @trial
     async def scene() -> None:
-        peer = Peer(takes=4096)
+        peer = RawCache(receive_buffer_bytes=4096)
         async with running(config({"c0": peer.address, "r0": REFUSED}, cancel=cancel)) as (node, client):
             client.ask(9, body=b"x" * BODY)
-            slow = await peer.accepted()
-            conn = only(node, "c0")
+            slow = await peer.accept_connection()
+            conn = get_single_connection(node, "c0")
             await until(lambda: conn.sock is not None and unsent_bytes(conn.sock))
-            raw = Raw(node)
-            raw.send(request(1))
+            raw = RawClient(node)
+            raw.send(encode_request(1))
             await until(lambda: len(node.director.live) == 2)
             assert len(conn.open) == 2
             leave(raw, how)
             await until(lambda: len(node.director.live) == 1)
-            whole = await heard(slow, b"x\r\n")
+            whole = await receive_until(slow, b"x\r\n")
             client.ask(3)  # nothing that was held back comes between
-            assert (whole + await heard(slow, b"\r\n")).count(b"fetch") == 2
+            assert (whole + await receive_until(slow, b"\r\n")).count(b"fetch") == 2
             raw.sock.close()
             slow.close()
 
@@ -269,13 +284,13 @@
     # the connection was closed, and the system sent on what it held
     @trial
     async def scene() -> None:
-        peer = Peer(takes=4096)
+        peer = RawCache(receive_buffer_bytes=4096)
         async with running(config({"c0": peer.address, "r0": REFUSED}, cancel=cancel)) as (node, client):
             client.ask(9, body=b"x" * BODY, d="20000")  # nothing but the leave ends an attempt
-            slow = await peer.accepted()
-            conn = only(node, "c0")
+            slow = await peer.accept_connection()
+            conn = get_single_connection(node, "c0")
             await until(lambda: conn.sock is not None and unsent_bytes(conn.sock))
-            raw, look = Raw(node), outgoing_module.unsent_bytes
+            raw, look = RawClient(node), outgoing_module.unsent_bytes
 
             def looks(sock: socket.socket) -> int:
                 """As if the cache had taken all until the second was written, and no more from then on."""
@@ -283,7 +298,7 @@
                 return look(sock) if latest is not None and latest.exchange.ask.id == f"{1:016x}" else 0
 
             monkeypatch.setattr(outgoing_module, "unsent_bytes", looks)
-            raw.send(request(1, d="20000"))
+            raw.send(encode_request(1, d="20000"))
             await until(lambda: len(conn.open) == 2)
             assert all(attempt.written_ms for attempt in conn.open.values())
             leave(raw, "type 18")
@@ -305,14 +320,14 @@
     # its line had left and its body had not: it became whole, and could begin, when the cache read on
     @trial
     async def scene() -> None:
-        peer = Peer(takes=4096)
+        peer = RawCache(receive_buffer_bytes=4096)
         async with running(config({"c0": peer.address, "r0": REFUSED}, cancel=cancel)) as (node, _):
-            raw = Raw(node)
-            whole = request(1, d="20000") + b"x" * BODY
+            raw = RawClient(node)
+            whole = encode_request(1, d="20000") + b"x" * BODY
             raw.sock.setblocking(True)
             sending = asyncio.create_task(asyncio.to_thread(raw.sock.sendall, with_length(whole)))
-            slow = await peer.accepted()
-            conn = only(node, "c0")
+            slow = await peer.accept_connection()
+            conn = get_single_connection(node, "c0")
             await until(lambda: conn.sock is not None and unsent_bytes(conn.sock))
             await sending
             leave(raw, how)
@@ -333,15 +348,15 @@
 ) -> None:
     # the look is worth nothing if the loop writes at the end of its turn only, which may take long
     async def scene() -> None:
-        peer = Peer()
+        peer = RawCache()
         async with running(config({"c0": peer.address, "r0": REFUSED})) as (node, client):
             sock = await asked(peer, client)
             for number in (2, 3):
-                node.director.admit(ask(number), lambda final: None)
+                node.director.admit(build_client_request(number), lambda final: None)
             time.sleep(0.02)  # in the same turn; loopback delivers at once
             assert sock.recv(65_536).count(b"fetch") == 2
             for number in (1, 2, 3):
-                sock.send(OK % (b"%016x" % number, 2, b"ok"))
+                sock.send(SERVED_RESPONSE % (b"%016x" % number, 2, b"ok"))
             await until(lambda: not node.director.live)
             sock.close()
 
@@ -352,12 +367,12 @@
 async def test_half_a_cancel_is_none() -> None:
     origin = Cache(refuses)
     async with running(config({"c0": REFUSED, "r0": await origin.start()})) as (node, _):
-        raw = Raw(node)
-        conn = await connected(node, raw)
-        raw.send(request(1, c="sheet", k="aa"))
+        raw = RawClient(node)
+        conn = await wait_for_server_connection(node, raw)
+        raw.send(encode_request(1, c="sheet", k="aa"))
         await until(lambda: origin.seen)
         unread(conn)
-        raw.send(GONE[:-1])
+        raw.send(CLIENT_GONE_FRAME[:-1])
         await until(lambda: len(origin.seen) > 1)  # it is tried again
         raw.sock.close()
 
@@ -366,9 +381,9 @@
 async def test_a_request_in_pieces_is_sent_on_once_it_is_whole_and_not_before() -> None:
     cache = Cache(hit)
     async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
-        raw = Raw(node)
-        conn = await connected(node, raw)
-        whole = request(1)
+        raw = RawClient(node)
+        conn = await wait_for_server_connection(node, raw)
+        whole = encode_request(1)
         for at in range(0, len(whole) - 1, 7):
             raw.send(whole[at : min(at + 7, len(whole) - 1)])
             await until(lambda: not conn.unread())
--- a/tests/net/test_open_exchanges.py
+++ b/tests/net/test_open_exchanges.py
@@ -1,4 +1,4 @@
-"""The requests in flight, as `net.open_exchanges` keeps them: without sockets."""
+"""The table of requests in flight, `net.open_exchanges`, without sockets."""
 
 from __future__ import annotations
 
@@ -11,50 +11,50 @@
 DEADLINE_MS = 2000.0
 
 
-def exchange(number: int, id_: str, object_: str = "00000000000000aa") -> Exchange:
-    ask = ClientRequest(id_, "film", 1000.0, object_, 0, 1)
+def make_exchange(number: int, id_: str, object_: str = "00000000000000aa") -> Exchange:
+    client_request = ClientRequest(id_, "film", 1000.0, object_, 0, 1)
     request = Request(number, "film", 171, DEADLINE_MS, 0.0, 1, 0)
     spec: Any = None
-    return Exchange(ask, request, lambda _: None, spec, 3)
+    return Exchange(client_request, request, lambda _: None, spec, 3)
 
 
 def test_an_exchange_stays_until_it_is_done_and_has_no_open_attempt() -> None:
-    exchanges, one = OpenExchanges(), exchange(1, "a")
-    exchanges.add(one)
+    exchanges, exchange = OpenExchanges(), make_exchange(1, "a")
+    exchanges.add(exchange)
     attempt: Any = object()
-    one.open[0] = attempt
-    assert exchanges.has_pending() and exchanges.pending() == [one]
-    one.finish(None)
-    exchanges.remove_if_settled(one)
+    exchange.open[0] = attempt
+    assert exchanges.has_pending() and exchanges.pending() == [exchange]
+    exchange.finish(None)
+    exchanges.remove_if_settled(exchange)
     assert not exchanges.has_pending() and list(exchanges.by_number) == [1]
-    one.open.clear()
-    exchanges.remove_if_settled(one)
+    exchange.open.clear()
+    exchanges.remove_if_settled(exchange)
     assert not exchanges.by_number
 
 
-def test_an_id_is_disputed_while_it_is_open_for_another_part() -> None:
-    exchanges, one = OpenExchanges(), exchange(1, "a")
-    exchanges.add(one)
-    other = exchange(2, "a", "00000000000000bb").ask
-    assert exchanges.disputes(other) and not exchanges.disputes(one.ask)
-    assert not exchanges.disputes(exchange(3, "c").ask)
-    one.finish(None)
+def test_an_id_is_disputed_while_it_is_open_for_another_object() -> None:
+    exchanges, exchange = OpenExchanges(), make_exchange(1, "a")
+    exchanges.add(exchange)
+    other = make_exchange(2, "a", "00000000000000bb").ask
+    assert exchanges.disputes(other) and not exchanges.disputes(exchange.ask)
+    assert not exchanges.disputes(make_exchange(3, "c").ask)
+    exchange.finish(None)
     assert not exchanges.disputes(other)
 
 
 def test_the_removal_of_an_earlier_exchange_leaves_the_later_one_under_its_id() -> None:
-    exchanges, first, second = OpenExchanges(), exchange(1, "a"), exchange(2, "a")
-    for one in (first, second):
-        exchanges.add(one)
+    exchanges, first, second = OpenExchanges(), make_exchange(1, "a"), make_exchange(2, "a")
+    for exchange in (first, second):
+        exchanges.add(exchange)
     first.finish(None)
     exchanges.remove_if_settled(first)
-    assert exchanges.disputes(exchange(3, "a", "00000000000000bb").ask)
+    assert exchanges.disputes(make_exchange(3, "a", "00000000000000bb").ask)
 
 
 def test_a_request_is_overdue_at_the_second_check_past_its_deadline() -> None:
-    exchanges, late, answered = OpenExchanges(), exchange(1, "a"), exchange(2, "b")
-    for one in (late, answered):
-        exchanges.add(one)
+    exchanges, late, answered = OpenExchanges(), make_exchange(1, "a"), make_exchange(2, "b")
+    for exchange in (late, answered):
+        exchanges.add(exchange)
     assert exchanges.take_overdue(DEADLINE_MS + OVERDUE_MS) == []
     assert exchanges.take_overdue(DEADLINE_MS + OVERDUE_MS + 1.0) == []
     answered.finish(FinalAnswer(0))  # type: ignore[arg-type]
--- a/tests/net/test_beyond_short.py
+++ b/tests/net/test_short_deadlines.py
@@ -1,4 +1,4 @@
-"""Requests with very little time left, which caches may drop without a word; in virtual time, real sockets."""
+"""Requests with very little time left, which caches may drop without an answer; in virtual time over real sockets."""
 
 from __future__ import annotations
 
@@ -12,37 +12,37 @@
 
 REFUSED = "127.0.0.1:1"
 SHORT_MS = 60
-#: after its time, within which an answer is merely late; later the request is lost
+#: An answer up to this long after the deadline is late; after that the request is lost.
 LATE_S = 0.5
 
 
-def drops_short(command: Command) -> tuple[str, bytes] | None:
+def drop_short_requests(command: Command) -> tuple[str, bytes] | None:
     return hit(command) if int(command[1]["max"]) > SHORT_MS else None
 
 
 @pytest.mark.parametrize("cls", ["film", "sheet"])
-def test_requests_with_1_to_60_ms_left_get_one_answer_each_in_time(cls: str) -> None:
+def test_requests_with_1_to_60_ms_left_get_one_answer_each_before_it_counts_as_lost(cls: str) -> None:
     @virtual
-    async def scene(clock: VirtualClock) -> None:
-        cache = Cache(drops_short)
+    async def scenario(clock: VirtualClock) -> None:
+        cache = Cache(drop_short_requests)
         address = await cache.start()
         async with running(config({"c0": address, "r0": address})) as (node, client):
-            for left_ms in range(1, SHORT_MS + 1):
-                asked_s = clock.elapsed_s
-                client.ask(left_ms, c=cls, k=f"{left_ms:032x}", d=str(left_ms))
+            for remaining_ms in range(1, SHORT_MS + 1):
+                requested_s = clock.elapsed_s
+                client.ask(remaining_ms, c=cls, k=f"{remaining_ms:032x}", d=str(remaining_ms))
                 type_, stream, code, *_ = await client.next()
-                assert (type_, stream) == (Type.ANSWER, left_ms) and code in (1, 2)
-                assert clock.elapsed_s - asked_s < left_ms / 1000.0 + LATE_S
+                assert (type_, stream) == (Type.ANSWER, remaining_ms) and code in (1, 2)
+                assert clock.elapsed_s - requested_s < remaining_ms / 1000.0 + LATE_S
             assert await client.silent() and not node.director.live
 
-    scene()
+    scenario()
 
 
 @virtual
-async def test_short_requests_that_a_cache_drops_cost_it_neither_its_connection_nor_others_their_answer(
+async def test_short_requests_that_a_cache_drops_neither_close_its_connection_nor_eject_it(
     clock: VirtualClock,
 ) -> None:
-    cache = Cache(drops_short)
+    cache = Cache(drop_short_requests)
     async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
         client.ask(1)
         assert (await client.next())[2] == 0
@@ -57,7 +57,7 @@
 
 
 @virtual
-async def test_a_cache_that_has_gone_silent_is_left_also_when_most_requests_are_short(
+async def test_a_cache_that_stops_answering_is_ejected_also_if_most_requests_are_short(
     clock: VirtualClock,
 ) -> None:
     cache = Cache(lambda command: hit(command) if len(cache.seen) < 2 else None)
@@ -65,11 +65,11 @@
         client.ask(1)
         assert (await client.next())[2] == 0
         clients = [await Client.to(node.port) for _ in range(3)]
-        for stream, one in enumerate(clients, 2):
-            one.ask(stream, d="400")
-        for one in clients:
-            assert (await one.next())[2] == 1
+        for stream, other in enumerate(clients, 2):
+            other.ask(stream, d="400")
+        for other in clients:
+            assert (await other.next())[2] == 1
         assert node.director.router.stores["c0"].is_ejected(node.clock.now())
-        for one in clients:
-            one.writer.close()
+        for other in clients:
+            other.writer.close()
         await asyncio.sleep(0)
--- a/tests/net/test_unanswered.py
+++ b/tests/net/test_unanswered.py
@@ -16,7 +16,13 @@
 import pytest
 import uvloop
 from harness import Cache, Command, config, hit, mute, running, trial, until
-from raw_client import GONE, Raw, connected, request, waits_for_a_dial
+from raw_client import (
+    CLIENT_GONE_FRAME,
+    RawClient,
+    encode_request,
+    hold_dials_until,
+    wait_for_server_connection,
+)
 
 import gladelane.net.cache_protocol as lines_module
 import gladelane.net.client_connection as client_module
@@ -41,7 +47,7 @@
     return sorted((stream, code) for stream, code in found if stream)
 
 
-def shut_write_side(raw: Raw) -> None:
+def shut_write_side(raw: RawClient) -> None:
     raw.sock.shutdown(socket.SHUT_WR)
 
 
@@ -52,11 +58,11 @@
 async def test_a_client_that_shuts_its_write_side_is_told_that_its_running_request_failed() -> None:
     cache = Cache(mute)
     async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
-        raw = Raw(node)
-        raw.send(request(1))
+        raw = RawClient(node)
+        raw.send(encode_request(1))
         await until(lambda: cache.seen)
         shut_write_side(raw)
-        frames, end = await raw.rest()
+        frames, end = await raw.receive_until_end()
         assert (answers(frames), end) == ([(1, AnswerCode.FAILED)], "end of file")
         assert len(cache.seen) == 1 and not node.director.live
         raw.sock.close()
@@ -69,15 +75,15 @@
         cache = Cache(hit)
         listed = {"c0": await cache.start(), "r0": REFUSED_ADDRESS}
         async with running(config(listed, cancel=cancel)) as (node, _):
-            raw = Raw(node)
+            raw = RawClient(node)
 
             async def shuts(attempt: Attempt) -> None:
                 shut_write_side(raw)
                 await until(lambda: attempt.exchange.done)
 
-            waits_for_a_dial(node, shuts)
-            raw.send(request(1))
-            frames, end = await raw.rest()
+            hold_dials_until(node, shuts)
+            raw.send(encode_request(1))
+            frames, end = await raw.receive_until_end()
             assert (answers(frames), end) == ([(1, AnswerCode.REFUSED)], "end of file")
             assert not cache.seen
             raw.sock.close()
@@ -89,14 +95,16 @@
 async def test_requests_that_are_read_together_with_the_shutdown_of_the_write_side_are_refused() -> None:
     cache = Cache(hit)
     async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (_, node_client):
-        raw = Raw.__new__(Raw)
+        raw = RawClient.__new__(RawClient)
         raw.sock = socket.socket()
         port = node_client.writer.get_extra_info("peername")[1]
         raw.sock.connect(("127.0.0.1", port))
         raw.sock.setblocking(False)
-        raw.send(request(1) + request(2) + request(1) + GONE + request(3))
+        raw.send(
+            encode_request(1) + encode_request(2) + encode_request(1) + CLIENT_GONE_FRAME + encode_request(3)
+        )
         shut_write_side(raw)  # before the director has accepted it
-        frames, end = await raw.rest()
+        frames, end = await raw.receive_until_end()
         # 1 was given up; a stream that is used again has no second answer
         assert (answers(frames), end) == ([(2, AnswerCode.REFUSED), (3, AnswerCode.REFUSED)], "end of file")
         assert not cache.seen
@@ -111,8 +119,8 @@
     # a look at its descriptor raised, and ended the process over what others were owed
     async def scene() -> None:
         async with running(config({"r0": REFUSED_ADDRESS})) as (node, _):
-            raw = Raw(node)
-            conn = await connected(node, raw)
+            raw = RawClient(node)
+            conn = await wait_for_server_connection(node, raw)
             conn.sock = socket.socket()
             conn.sock.close()
             assert not conn.unread() and node.front.quiet()
@@ -127,19 +135,19 @@
     async def scene() -> None:
         cache = Cache(hit)
         async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
-            raw, whole = Raw(node), request(1)
-            conn = await connected(node, raw)
+            raw, whole = RawClient(node), encode_request(1)
+            conn = await wait_for_server_connection(node, raw)
             if lies == "behind half a frame":
                 raw.send(whole[:20])
                 await until(lambda: conn.partial_ms)
-                raw.send(whole[20:] + request(2))
+                raw.send(whole[20:] + encode_request(2))
             else:
-                raw.send(whole + request(2))
+                raw.send(whole + encode_request(2))
             closing = asyncio.create_task(node.front.close())
             if lies == "in the reader":  # it is read once the close has begun
                 time.sleep(0.01)  # loopback delivers at once
                 conn.reader.feed_data(conn.sock.recv(65_536))
-            frames, end = await raw.rest()
+            frames, end = await raw.receive_until_end()
             raw.sock.close()
             await closing
             assert (answers(frames), end) == (
@@ -155,8 +163,8 @@
 async def test_many_frames_that_were_read_in_one_go_are_answered_before_the_process_ends() -> None:
     # all behind the first 64 frames were dropped, since the close came between two batches
     async with running(config({"r0": REFUSED_ADDRESS})) as (node, _):
-        raw, streams = Raw(node), range(1, 201)
-        conn = await connected(node, raw)
+        raw, streams = RawClient(node), range(1, 201)
+        conn = await wait_for_server_connection(node, raw)
         handle, closing = conn._handle_all, list[asyncio.Task[None]]()
 
         def handled(frames: list[Any]) -> None:
@@ -165,8 +173,8 @@
             handle(frames)
 
         conn._handle_all = handled  # type: ignore[method-assign]
-        raw.send(b"".join(request(stream, o="0" * 15 + "z") for stream in streams))  # each is unusable
-        frames, end = await raw.rest()
+        raw.send(b"".join(encode_request(stream, o="0" * 15 + "z") for stream in streams))  # each is unusable
+        frames, end = await raw.receive_until_end()
         raw.sock.close()
         await closing[0]
         assert ([stream for stream, _ in answers(frames)], end) == (list(streams), "end of file")
@@ -180,11 +188,11 @@
         patch.setattr(shutdown, "STEER_S", 0.0)
         async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
             node.front.cap = 1  # it waits in the system's queue
-            raw = Raw(node)
-            raw.send(request(1))
+            raw = RawClient(node)
+            raw.send(encode_request(1))
             await node.drain()
             closing = asyncio.create_task(node.front.close())
-            frames, end = await raw.rest()
+            frames, end = await raw.receive_until_end()
             raw.sock.close()
             await closing
             assert (answers(frames), end) == ([(1, AnswerCode.SERVED)], "end of file")
@@ -199,9 +207,9 @@
     async def scene() -> None:
         cache = Cache(hit)
         async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
-            raw = Raw(node)  # the first that comes on a new connection
-            raw.send(request(1) + request(2) + garbage)
-            frames, end = await raw.rest()
+            raw = RawClient(node)  # the first that comes on a new connection
+            raw.send(encode_request(1) + encode_request(2) + garbage)
+            frames, end = await raw.receive_until_end()
             assert (answers(frames), end) == ([(1, AnswerCode.SERVED), (2, AnswerCode.SERVED)], "end of file")
             raw.sock.close()
 
@@ -211,10 +219,10 @@
 # --- room for newcomers
 
 
-async def slow(node: Server) -> tuple[Raw, ClientConnection]:
+async def slow(node: Server) -> tuple[RawClient, ClientConnection]:
     """A client that takes nothing, on a connection on which the system holds little: answers wait here."""
-    raw = Raw(node, takes=4096)
-    conn = await connected(node, raw)
+    raw = RawClient(node, receive_buffer_bytes=4096)
+    conn = await wait_for_server_connection(node, raw)
     conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     return raw, conn
 
@@ -226,14 +234,14 @@
         patch.setattr(front_module, "SPARE_MS", -1.0)
         async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
             raw, conn = await slow(node)
-            raw.send(request(1) + struct.pack(">I", 3))
+            raw.send(encode_request(1) + struct.pack(">I", 3))
             await until(lambda: conn.shut_ms and conn.unsent())
             conn.shut_ms -= 60.0  # longer ago than a crossing takes
             node.front.cap, node.front.lingering = 0, 0
             await until(lambda: not client.reader._buffer)  # type: ignore[attr-defined]
             assert not node.front._spare_one()  # the resting client goes, and the cap is not met all the same
             node.front.cap, node.front.lingering = 100, 1
-            frames, end = await raw.rest()
+            frames, end = await raw.receive_until_end()
             assert (answers(frames), end) == ([(1, AnswerCode.SERVED)], "end of file")
             assert [len(payload) for _, stream, payload in frames if stream] == [BIG + 2]
             raw.sock.close()
@@ -253,15 +261,15 @@
         patch.setattr(client_module, "OVER_MOST", 40)
         async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
             raw, conn = await slow(node)
-            raw.send(request(1, d="20000"))
+            raw.send(encode_request(1, d="20000"))
             await until(lambda: cache.seen)
-            raw.send(request(2, chunk="7"))
+            raw.send(encode_request(2, chunk="7"))
             await until(lambda: conn.unsent() > 50_000)
             for stream in range(3, 60):
-                raw.send(request(stream))
+                raw.send(encode_request(stream))
             await until(lambda: conn.discards_input)
             cache.conns[0].write(b"0000000000000001 served digest=aa,dated=1,remark=h 2\r\nok\r\n")
-            frames, end = await raw.rest()
+            frames, end = await raw.receive_until_end()
             assert (
                 answers(frames)[:2] == [(1, AnswerCode.SERVED), (2, AnswerCode.SERVED)]
                 and end == "end of file"
--- a/tests/net/virtual_time.py
+++ b/tests/net/virtual_time.py
@@ -1,8 +1,8 @@
 """An event loop over real sockets whose clocks jump to the next timer while no socket is ready.
 
-Ten quiet minutes take seconds: both clocks of the process, `time.time` and `time.monotonic`, run on from where
-the test began and move only by what the loop would have waited for. Everything that talks has to live in this
-loop; on loopback what one side has written is readable at the other at once.
+Ten idle minutes take seconds of real time: `time.time` and `time.monotonic` start at fixed values and advance only by
+the time for which the loop would have waited. All peers have to run in this loop, since the clocks would jump past
+their answers otherwise. On loopback, what one side writes is readable at the other side immediately.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 UNIX_START_S = 1_800_000_000.0
 MONOTONIC_START_S = 50_000.0
-#: of real time that a packet on loopback is given to arrive before the clocks jump. A softirq that is late on a
-#: busy machine would otherwise look like a network that loses bytes for as long as the jump
+#: Real time that the loop waits for packets on loopback before the clocks jump. Without it, a softirq that is late on
+#: a busy machine would look like a network that delivers nothing for the length of the jump.
 ARRIVAL_S = 0.0003
 
 
 class VirtualClock:
-    """What `time.time` and `time.monotonic` say."""
+    """The values of `time.time` and `time.monotonic`."""
 
     def __init__(self) -> None:
         self.elapsed_s = 0.0
-        #: nothing is under way: no real time is spent on waiting for packets
-        self.is_quiet = False
+        #: no packets are in transit: the loop spends no real time on waiting for them
+        self.is_network_idle = False
 
     def unix_s(self) -> float:
         return UNIX_START_S + self.elapsed_s
@@ -49,7 +49,7 @@
 
 
 class _JumpingSelector(selectors.DefaultSelector):
-    """Instead of waiting it moves the clock on."""
+    """A selector that advances the clock instead of waiting."""
 
     def __init__(self, clock: VirtualClock) -> None:
         super().__init__()
@@ -61,7 +61,7 @@
         ready = super().select(0)
         if ready or timeout <= 0:
             return ready
-        if not self._clock.is_quiet:
+        if not self._clock.is_network_idle:
             ready = super().select(ARRIVAL_S)
             if ready:
                 return ready
@@ -70,7 +70,7 @@
 
 
 def virtual(test: Callable[[VirtualClock], Coroutine[Any, Any, None]]) -> Callable[[], None]:
-    """A test that runs in such a loop and is given its clock."""
+    """Decorates a test so that it runs in such a loop; the test receives the loop's clock."""
 
     def run() -> None:
         clock = VirtualClock()
