--- a/tests/net/raw_client.py
+++ b/tests/net/raw_client.py
@@ -74,7 +74,8 @@
 def hold_dials_until(
     node: Server, wait: Callable[[Attempt], Coroutine[Any, Any, None]]
 ) -> list[asyncio.Task[None]]:
-    """Delays each dial of a cache until `wait`, which is called with the attempt, has returned."""
+    """Delays the dials that an attempt causes until `wait`, called with that attempt, has returned. Returns the tasks
+    that run `wait`."""
     tasks: list[asyncio.Task[None]] = []
     send = node.upstream.send
 
--- a/tests/net/test_cache_connection_races.py
+++ b/tests/net/test_cache_connection_races.py
@@ -26,7 +26,8 @@
 
 @trial
 async def test_a_request_is_not_written_to_a_connection_whose_close_by_the_cache_is_still_unread() -> None:
-    # the request counted as possibly executed, so one with a key could only be answered by a failure
+    # Earlier the request was written and counted as possibly executed, so one with a key could only be answered by a
+    # failure.
     cache = RawCache()
     async with running(config({"c0": cache.address, "r0": REFUSED})) as (node, client):
         client.ask(1)
@@ -47,7 +48,7 @@
 
 @trial
 async def test_an_answer_that_has_arrived_is_read_before_its_connection_is_closed() -> None:
-    # the sweep cancelled the reading task, which lost the bytes in the reader and in the receive buffer
+    # Earlier the sweep cancelled the reading task, which lost the bytes in its reader and in the receive buffer.
     cache = RawCache()
     async with running(config({"c0": cache.address, "r0": REFUSED})) as (node, client):
         sock = await asked(cache, client)
@@ -65,7 +66,7 @@
 def test_a_connection_whose_answer_trickles_endlessly_is_closed_in_time(
     incomplete: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    # each byte counted as progress, and all other requests on the connection waited behind it until their deadline
+    # Earlier each byte counted as progress, and all other requests on the connection waited until their deadline.
     @trial
     async def scenario() -> None:
         cache = RawCache()
@@ -110,7 +111,7 @@
 
 @pytest.mark.parametrize("is_late", [False, True])
 def test_a_keyed_repeat_is_not_written_if_its_dial_succeeds_after_the_window(is_late: bool) -> None:
-    # the window was checked only when the router decided, and a dial may take longer than the window
+    # Earlier the window was checked only when the router decided, and a dial may take longer than the window.
     @trial
     async def scenario() -> None:
         origin = Cache(hit)
@@ -133,7 +134,7 @@
 
 @trial
 async def test_a_further_attempt_of_the_same_request_is_not_written_after_the_window() -> None:
-    # if the client sent no key, only the exchange knows of the first attempt
+    # If the client sent no key, only the exchange knows of the first attempt.
     async with running(config({"c0": REFUSED, "r0": REFUSED})) as (node, _):
         node.director.admit(build_client_request(1, cls="sheet", key="bb"), lambda final: None)
         exchange = next(iter(node.director.live.values()))
@@ -147,7 +148,7 @@
 
 @trial
 async def test_a_second_copy_that_waits_for_a_dial_is_not_sent_after_the_first_is_answered() -> None:
-    # with cancels disabled nothing withdrew the second copy
+    # Earlier nothing withdrew the second copy if the settings forbid cancels.
     cache = Cache(mute)
     async with running(config({"c0": await cache.start(), "r0": REFUSED}, cancel=False)) as (node, client):
         client.ask(1)
@@ -228,7 +229,7 @@
 
 @trial
 async def test_a_connection_is_closed_after_too_many_unexpected_answers() -> None:
-    # each one was parsed and ignored, without any limit
+    # Earlier each one was parsed and ignored, without any limit.
     cache = RawCache()
     async with running(config({"c0": cache.address, "r0": REFUSED})) as (node, client):
         sock = await asked(cache, client)
@@ -248,7 +249,7 @@
 
 @trial
 async def test_an_unresponsive_connection_is_detected_also_with_only_two_open_attempts() -> None:
-    # detection needed three waiting attempts, so it never happened with a limit of two streams per connection
+    # Earlier the detection needed three waiting attempts, which a connection limited to two streams never has.
     cache = Cache(lambda command: None if len(cache.conns) == 1 else hit(command))
     async with running(config({"c0": await cache.start(), "r0": REFUSED}, max_streams=2, cancel=False)) as (
         node,
@@ -258,8 +259,7 @@
         client.ask(2, d="5000")
         await until(lambda: len(cache.seen) == 2)
         conn, now = get_single_connection(node, "c0"), node.clock.now()
-        conn.sweep(
-            now + 700.0, now + 600.0
-        )  # past the latency targets, and a later request was answered elsewhere
+        # past the latency targets, and a later request was answered elsewhere
+        conn.sweep(now + 700.0, now + 600.0)
         await until(lambda: conn.finished)
         assert conn.end is AttemptOutcome.SILENT
--- a/tests/net/test_client_connection_races.py
+++ b/tests/net/test_client_connection_races.py
@@ -48,10 +48,8 @@
 
 
 @trial
-async def test_a_request_that_arrives_during_the_close_of_an_idle_connection_is_read_and_not_forwarded() -> (
-    None
-):
-    # after the last check for unread bytes both directions were shut down, so a request in between caused a reset
+async def test_a_request_during_the_close_of_an_idle_connection_is_read_and_not_forwarded() -> None:
+    # Earlier both directions were shut down after the last check for unread bytes: a request in between caused a reset.
     cache = Cache(hit)
     async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
         raw = RawClient(node)
@@ -75,7 +73,7 @@
 
 @trial
 async def test_answers_in_transit_are_not_lost_when_a_connection_with_unread_bytes_is_closed() -> None:
-    # a plain close of a socket with unread bytes resets the connection, which discards the answers in the send buffer
+    # A plain close of a socket with unread bytes resets the connection, which discards the answers in the send buffer.
     cache = Cache(serve_large_body)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(listener_module, "CLOSE_S", 5.0)
@@ -213,8 +211,8 @@
 def test_a_request_that_is_read_together_with_the_departure_of_its_client_is_not_forwarded(
     method: str,
 ) -> None:
-    # a client above the connection limit waits in the listen queue, where it sends a request and leaves: the director
-    # later reads both at once
+    # A client above the connection limit waits in the listen queue, where it sends a request and leaves. The director
+    # later reads both at once.
     @trial
     async def scenario() -> None:
         cache = Cache(lambda command: hit(command) if command[1]["nth"] == "7" else None)
@@ -278,9 +276,7 @@
 
 
 @trial
-async def test_a_client_that_reads_nothing_and_keeps_sending_requests_is_disconnected_without_harm_to_others() -> (
-    None
-):
+async def test_a_client_that_reads_nothing_and_keeps_sending_requests_is_disconnected() -> None:
     cache = Cache(serve_large_body)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(connection_module, "UNSENT_BYTES", 50_000)
@@ -300,7 +296,7 @@
 
 @trial
 async def test_a_flood_of_frames_does_not_block_the_event_loop() -> None:
-    # 64 KB of the smallest frames were handled in one loop iteration, with 7,000 answers and log lines
+    # Earlier 64 KB of the smallest frames were handled in one loop iteration, with 7,000 answers and log lines.
     async with running(config({"r0": REFUSED})) as (node, client):
         raw, frames_per_iteration = RawClient(node), [0]
         conn = await wait_for_server_connection(node, raw)
@@ -323,7 +319,7 @@
 
 @trial
 async def test_a_keyed_request_whose_client_leaves_before_a_retry_is_not_sent_again() -> None:
-    # the origin is overloaded, so the router waits for a retry timer
+    # The origin is overloaded, so the router waits for a retry timer.
     origin = Cache(lambda _: ("overload -", b""))
     async with running(config({"c0": REFUSED, "r0": await origin.start()})) as (node, client):
         client.ask(1, c="sheet", k="5c")
@@ -331,9 +327,8 @@
         client.send(18, 1)
         await until(lambda: not node.director.live)
         attempts = len(origin.seen)
-        client.ask(
-            2, c="sheet", k="5d", d="400"
-        )  # its own retries come later than those of request 1 would have
+        # the retries of request 2 come later than those of request 1 would have
+        client.ask(2, c="sheet", k="5d", d="400")
         assert (await client.next())[:3] == (17, 2, 1)
         assert [command[0] for command in origin.seen].count(f"{1:016x}") == attempts
 
@@ -355,7 +350,7 @@
 
 @trial
 async def test_memory_for_a_client_that_reads_nothing_is_limited_for_frames_of_any_type() -> None:
-    # only requests were counted, while the answers to all other frames accumulated unread
+    # Earlier only requests were counted, while the answers to all other frames accumulated unread.
     cache = Cache(serve_large_body)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(connection_module, "UNSENT_BYTES", 50_000)
@@ -372,7 +367,7 @@
 
 @trial
 async def test_a_client_that_was_refused_because_the_loop_was_late_is_not_closed_as_unused() -> None:
-    # its connection was closed 2 s after it was opened, and it was the first to be closed at the connection limit
+    # Earlier its connection was closed 2 s after it was opened, and was the first to be closed at the connection limit.
     async with running(config({"c0": await Cache(hit).start(), "r0": REFUSED})) as (node, client):
         (conn,) = node.front.connections
         node.timers.lag = lambda: 2 * listener_module.SHED_MS  # type: ignore[method-assign]
--- a/tests/net/test_combined_faults.py
+++ b/tests/net/test_combined_faults.py
@@ -14,7 +14,7 @@
 import pytest
 from harness import Client, config, running, until
 from test_discovery_outages import Discovery, DiscoveryState
-from test_idle_cache_connections import ConnectionDroppingCache, ConnectionFault, three_classes
+from test_idle_cache_connections import ConnectionDroppingCache, ConnectionFault, config_with_three_classes
 from virtual_time import VirtualClock, virtual
 
 from gladelane.net.client_protocol import Type
@@ -24,7 +24,7 @@
 REFUSED = "127.0.0.1:1"
 DURATION_S = 10.0
 CLIENTS, CACHES = 8, 4
-SHORT_MS = 60
+SHORT_MS = 60  # caches drop most requests with no more time left than this
 WINDOW_MS = 2000.0  # of the keyed class of the harness
 RESEND_S = 0.05  # a request whose connection ends within this time is sent once more
 LATE_S = 0.5  # an answer up to this long after the deadline is allowed
@@ -75,6 +75,7 @@
     resent: int = 0
 
     def check_executions(self) -> None:
+        """Records each request that caches executed more often, or over a longer time, than its class allows."""
         for id_, runs in self.executions.items():
             first_s, cls = min(runs)
             if cls == "order" and len(runs) > 1:
@@ -108,7 +109,7 @@
         wait_ms = self.rng.choice((15, 40, 60, 400, 1500, 2500))
         for _ in range(2):
             sent_s = time.monotonic()
-            code = await self._try(id_, cls, wait_ms)
+            code = await self._send(id_, cls, wait_ms)
             elapsed_s = time.monotonic() - sent_s
             if code is None:
                 self.client = None
@@ -123,7 +124,7 @@
             return
         self.observed.violations.append(f"{id_} was lost twice")
 
-    async def _try(self, id_: str, cls: str, wait_ms: int) -> int | None:
+    async def _send(self, id_: str, cls: str, wait_ms: int) -> int | None:
         """The result code, or None if the connection ended instead."""
         try:
             if self.client is None:
@@ -220,6 +221,6 @@
 
 
 def make_config(stores: dict[str, str], discovery: str, max_attempts: int) -> bytes:
-    raw = json.loads(three_classes(REFUSED, max_attempts=max_attempts))
+    raw = json.loads(config_with_three_classes(REFUSED, max_attempts=max_attempts))
     raw.update(board=discovery, known=json.loads(config(stores))["known"])
     return json.dumps(raw).encode()
--- a/tests/net/test_configuration_reloads.py
+++ b/tests/net/test_configuration_reloads.py
@@ -28,9 +28,9 @@
 
 @st.composite
 def draw_settings(draw: Any) -> Settings:
-    plain = plain_settings()
+    defaults = plain_settings()
     film = replace(
-        plain.classes["film"],
+        defaults.classes["film"],
         effect=draw(st.sampled_from(list(Effect))),
         window_ms=draw(st.sampled_from([1000.0, 2000.0])),
         fresh_ms=draw(st.sampled_from([0.0, 5.0, 9.0])),
@@ -38,7 +38,7 @@
     flags = {name: draw(st.booleans()) for name in PERMISSIONS}
     max_attempts = draw(st.integers(1, 6))
     return replace(
-        with_film(plain, film), max_attempts=max_attempts, max_retry_after_ms=100.0 * max_attempts, **flags
+        with_film(defaults, film), max_attempts=max_attempts, max_retry_after_ms=100.0 * max_attempts, **flags
     )
 
 
@@ -66,7 +66,8 @@
 
 @pytest.mark.parametrize("gap_s", [0.0, 0.002, 0.3, 1.0])
 def test_clients_that_still_use_the_first_of_three_configurations_are_served(gap_s: float) -> None:
-    # the third configuration was applied as if all clients knew that the class is keyed: requests without a key failed
+    # Earlier the third configuration was applied as if all clients already used the second one, in which the class is
+    # keyed: requests without a key failed.
     @virtual
     async def scenario(clock: VirtualClock) -> None:
         cache = Cache(hit)
--- a/tests/net/test_discovery_outages.py
+++ b/tests/net/test_discovery_outages.py
@@ -184,8 +184,8 @@
 
 @trial
 async def test_a_burst_of_events_does_not_block_the_event_loop() -> None:
-    # 500 changes of a list of 200 caches were applied in one loop iteration of 150 ms, and of 3,200 caches in one of
-    # 1.4 s. A director whose loop is more than 150 ms late refuses every request.
+    # Earlier 500 changes of a list of 200 caches were applied in one loop iteration of 150 ms, and of 3,200 caches in one
+    # of 1.4 s. A director whose loop is more than 150 ms late refuses every request.
     discovery = Discovery()
     async with running(config({"r0": REFUSED}, await discovery.start())) as (node, _):
         events_per_iteration = [0]
@@ -213,7 +213,7 @@
 
 @trial
 async def test_a_burst_counts_as_received_only_once_all_of_it_is_applied() -> None:
-    # a director that took the watch for current in the middle of a burst would act on an incomplete list
+    # A director that took its list for current in the middle of a burst would act on an incomplete list.
     discovery = Discovery()
     for number in range(100):
         last = discovery.publish(flush={"collection": number, "ms": 1})
@@ -275,7 +275,7 @@
 
 @pytest.mark.parametrize("delay", list(Delay))
 def test_events_of_a_slow_discovery_are_all_applied(delay: Delay) -> None:
-    # headers that took 1.2 s, or an event that took 2.5 s, ended every watch, and no event was ever applied
+    # Earlier headers that took 1.2 s, or an event that took 2.5 s, ended every watch, and no event was ever applied.
     @virtual
     async def scenario(clock: VirtualClock) -> None:
         discovery = SlowDiscovery(delay)
@@ -291,7 +291,7 @@
 
 @virtual
 async def test_a_long_list_that_arrives_slowly_is_applied_from_the_first_request(clock: VirtualClock) -> None:
-    # pieces of under 1 KB did not count as progress, so the watch ended and the list started over with each request
+    # Earlier pieces of under 1 KB did not count as progress: the watch ended, and the list started over each time.
     discovery = SlowDiscovery(Delay.BYTES)
     stores = {f"c{number}": f"127.1.{number // 250}.{1 + number % 250}:4100" for number in range(400)}
     pool = json.loads(config({**stores, "r0": REFUSED}))["known"]["notices"][0]["pool"]
--- a/tests/net/test_discovery_watch_races.py
+++ b/tests/net/test_discovery_watch_races.py
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("incomplete", ["headers", "comment", "event"])
 def test_a_watch_that_sends_bytes_but_never_a_complete_event_is_closed_in_time(incomplete: str) -> None:
-    # each byte counted as progress: the watch hung forever, and no drain or purge arrived
+    # Earlier each byte counted as progress: the watch full_listener forever, and no drain or purge arrived.
     start, piece = {
         "headers": (HEADERS[:20], b"x"),
         "comment": (HEADERS + b":", b"x"),
@@ -101,8 +101,8 @@
 
 
 def test_the_sum_of_all_watch_timeouts_stays_below_the_maximum_event_delay() -> None:
-    # within the 7 s of the protocol fit a watch that falls silent, a dial that never succeeds, and a request that is
-    # never answered, before a request that is answered
+    # In the worst case a watch falls silent, a dial times out and a request is not answered before the next request is.
+    # All of this has to fit in the 7 s of the protocol.
     c = discovery_client_module
     backoffs_s = c.BACKOFF_S + 2 * c.BACKOFF_S + c.BACKOFF_MOST_S
     assert c.SILENT_S + c.DIAL_S + c.DIAL_S + c.ANSWER_S + backoffs_s < 7.0
@@ -115,7 +115,7 @@
 
 @trial
 async def test_an_address_change_while_an_event_is_partly_read_loses_and_mixes_no_events() -> None:
-    # the old watch ends in the same loop iteration as the change, and the new one starts from the last applied revision
+    # The old watch ends in the same loop iteration as the change, and the new one starts from the last applied revision.
     may_continue = asyncio.Event()
 
     async def send_partly(writer: asyncio.StreamWriter) -> None:
@@ -139,24 +139,24 @@
 
 @trial
 async def test_an_address_change_during_a_dial_leaves_one_watch() -> None:
-    # the listen queue of the first address is full, so the dial hangs
+    # The listen queue of the first address is full, so the dial hangs.
     import socket
 
-    hung = socket.create_server(("127.0.0.1", 0), backlog=0)
+    full_listener = socket.create_server(("127.0.0.1", 0), backlog=0)
     fillers = []
     for _ in range(4):
         filler = socket.socket()
         filler.setblocking(False)
-        filler.connect_ex(hung.getsockname())
+        filler.connect_ex(full_listener.getsockname())
         fillers.append(filler)
     discovery = FakeDiscovery(send_event_2)
     async with running(config({"r0": REFUSED})) as (node, _):
-        await follow_discovery_at(node, hung.getsockname())
+        await follow_discovery_at(node, full_listener.getsockname())
         await asyncio.sleep(0)
         await follow_discovery_at(node, await discovery.start())
         await until(lambda: node.director.rev == 2)
         assert discovery.requested_revisions == [1]
-    for sock in (*fillers, hung):
+    for sock in (*fillers, full_listener):
         sock.close()
 
 
@@ -173,7 +173,7 @@
 
 @trial
 async def test_a_complete_list_that_arrives_in_pieces_is_applied_at_once_and_removes_missing_stores() -> None:
-    # no part of a list may be applied before the rest has arrived, and a shorter list must remove stores
+    # No part of a list may be applied before the rest has arrived, and a shorter list must remove stores.
     may_continue = asyncio.Event()
 
     async def respond(writer: asyncio.StreamWriter) -> None:
@@ -197,7 +197,7 @@
 
 
 def test_a_watch_that_falls_silent_within_a_list_is_closed_and_the_partial_list_is_dropped() -> None:
-    # the next request starts from the last applied revision, and its bytes must not be appended to the partial list
+    # The next request starts from the last applied revision, and its bytes must not be appended to the partial list.
 
     @trial
     async def scenario() -> None:
@@ -224,7 +224,8 @@
 def test_an_event_of_endless_lines_is_limited_like_a_single_line(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # the length of a line was limited and the number of lines was not: memory grew until the platform killed the process
+    # Earlier the length of a line was limited and the number of lines was not: memory grew until the platform killed the
+    # process.
     monkeypatch.setattr(sse_module, "MAX_EVENT_BYTES", 1000)
     stream = EventStream()
     assert list(stream.feed(b"data: x\n" * 100)) == []
--- a/tests/net/test_failures_after_idle_time.py
+++ b/tests/net/test_failures_after_idle_time.py
@@ -19,9 +19,9 @@
 IDLE_S = 660.0
 
 
-async def stay_idle(clock: VirtualClock, seconds: float = IDLE_S) -> None:
+async def stay_idle(clock: VirtualClock, duration_s: float = IDLE_S) -> None:
     clock.is_network_idle = True
-    await asyncio.sleep(seconds)
+    await asyncio.sleep(duration_s)
     clock.is_network_idle = False
 
 
@@ -29,7 +29,7 @@
 async def test_failures_right_after_eleven_idle_minutes_are_handled_as_at_any_time(
     clock: VirtualClock,
 ) -> None:
-    # one test checks everything that idle time could break, since the idle time takes most of the run
+    # One test checks everything that idle time could break, since the idle time takes most of its running time.
     caches = [Cache(hit) for _ in range(3)]
     addresses = [await cache.start() for cache in caches]
     discovery = Discovery()
@@ -102,9 +102,9 @@
 
 @pytest.mark.parametrize("weights", ["nominal", "none"])
 def test_a_fleet_whose_caches_all_restart_cold_after_idle_time_is_served(weights: str) -> None:
-    # If the list has no weights, directors learn the usual load of a warm server. It decayed to zero during the idle
-    # time, so cold servers were sent nothing until they were warm: 0.00 of the requested weight was served in each of
-    # 13 seconds. Now 0.33 to 0.86 is.
+    # If the list has no weights, directors learn the usual load of a warm server. Earlier it decayed to zero during the
+    # idle time, and cold servers were sent nothing until they were warm: 0.00 of the requested weight was served in each
+    # of 13 seconds, instead of 0.33 to 0.86.
     raw: dict[str, Any] = {**PLAIN, "zone": "z0", "zones": ["hub", "z0", "z1"], "hub_of": [0, 0, 0], "weights": weights,
                            "seats_by_zone": [0, 1, 1], "proxies": 2}  # fmt: skip
     fleet = PausableFleet(Plan(Settings.read(raw), locations=2, rate=100.0), 3)
--- a/tests/net/test_idle_cache_connections.py
+++ b/tests/net/test_idle_cache_connections.py
@@ -63,7 +63,7 @@
         writer.close()
 
 
-def three_classes(address: str, **limits: Any) -> bytes:
+def config_with_three_classes(address: str, **limits: Any) -> bytes:
     """A configuration with the two classes of the harness and `order`, whose requests must never run twice."""
     raw = json.loads(config({"c0": address, "r0": address}, **limits))
     raw["settings"]["classes"] = [
@@ -87,9 +87,9 @@
 }
 
 
-async def stay_idle(clock: VirtualClock, seconds: float = IDLE_S) -> None:
+async def stay_idle(clock: VirtualClock, duration_s: float = IDLE_S) -> None:
     clock.is_network_idle = True
-    await asyncio.sleep(seconds)
+    await asyncio.sleep(duration_s)
     clock.is_network_idle = False
 
 
@@ -103,7 +103,7 @@
     @virtual
     async def scenario(clock: VirtualClock) -> None:
         cache = ConnectionDroppingCache()
-        async with running(three_classes(await cache.start())) as (node, client):
+        async with running(config_with_three_classes(await cache.start())) as (node, client):
             client.ask(1, c=cls, k="aa")
             assert (await client.next())[:3] == (17, 1, SERVED)
             await stay_idle(clock)
@@ -126,7 +126,7 @@
     @virtual
     async def scenario(clock: VirtualClock) -> None:
         cache = ConnectionDroppingCache()
-        async with running(three_classes(await cache.start())) as (node, client):
+        async with running(config_with_three_classes(await cache.start())) as (node, client):
             for stream in range(1, 21):
                 client.ask(stream, c=cls, k=f"{stream:032x}", o=f"{stream:016x}")
             for _ in range(20):
@@ -152,15 +152,15 @@
 async def test_a_second_copy_that_is_refused_immediately_does_not_end_the_first_attempt(
     clock: VirtualClock,
 ) -> None:
-    first = Cache(mute)
-    async with running(config({"c0": await first.start(), "r0": REFUSED})) as (node, client):
+    cache = Cache(mute)
+    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
         client.ask(1)
-        await until(lambda: first.seen)
-        attempt = first.seen[0][0]
-        first.server.close()  # the second copy needs a new connection, which is refused
+        await until(lambda: cache.seen)
+        request_id = cache.seen[0][0]
+        cache.server.close()  # the second copy needs a new connection, which is refused
         await asyncio.sleep(1.0)
-        assert len(first.seen) == 1 and len(node.director.live) == 1
-        first.conns[0].write(f"{attempt} served digest=aa,dated=1,remark=h 2\r\nok\r\n".encode())
+        assert len(cache.seen) == 1 and len(node.director.live) == 1
+        cache.conns[0].write(f"{request_id} served digest=aa,dated=1,remark=h 2\r\nok\r\n".encode())
         assert (await client.next())[:3] == (17, 1, SERVED)
         assert await client.silent() and not node.director.live
 
@@ -174,7 +174,10 @@
     async def scenario(clock: VirtualClock) -> None:
         cache = ConnectionDroppingCache() if failure == "reset" else Cache(respond_overloaded)
         address = await cache.start()
-        async with running(three_classes(REFUSED if failure == "refused" else address)) as (node, client):
+        async with running(config_with_three_classes(REFUSED if failure == "refused" else address)) as (
+            node,
+            client,
+        ):
             if isinstance(cache, ConnectionDroppingCache):
                 cache.fault, cache.dropped = ConnectionFault.RESET_AT_WRITE, EveryConnection()
             requested_s = clock.elapsed_s
@@ -207,12 +210,13 @@
 
 @pytest.mark.parametrize("second_copies", [False, True])
 def test_silently_dropped_connections_cost_few_requests(second_copies: bool) -> None:
-    # a connection was given up only after two timeouts, so many of 50 requests in 5 s waited in vain until their deadline
+    # Earlier a connection was given up only after two timeouts: many of 50 requests in 5 s waited in vain until their
+    # deadline.
     @virtual
     async def scenario(clock: VirtualClock) -> None:
         caches = [ConnectionDroppingCache() for _ in range(6)]
-        places = {f"c{number}": await cache.start() for number, cache in enumerate(caches)}
-        raw = config({**places, "r0": REFUSED}, may_duplicate=second_copies)
+        addresses = {f"c{number}": await cache.start() for number, cache in enumerate(caches)}
+        raw = config({**addresses, "r0": REFUSED}, may_duplicate=second_copies)
         async with running(raw) as (node, _):
             first = [request_once(node.port, number, "film") for number in range(40)]
             assert set(await asyncio.gather(*first)) == {SERVED}
@@ -232,12 +236,15 @@
 
 @pytest.mark.parametrize("cls", ["film", "order"])
 def test_a_slow_answer_on_a_connection_that_was_idle_is_awaited(cls: str) -> None:
-    # a request that must not be sent again is never given up because its connection is silent; any other one is given up
-    # only if later requests are answered
+    # A request that must not be sent again is never given up because its connection is silent. Any other request is
+    # given up only if later ones are answered.
     @virtual
     async def scenario(clock: VirtualClock) -> None:
         cache = Cache(lambda command: None if command[1]["nth"] == "9" else hit(command))
-        async with running(three_classes(await cache.start(), may_duplicate=False)) as (node, client):
+        async with running(config_with_three_classes(await cache.start(), may_duplicate=False)) as (
+            node,
+            client,
+        ):
             client.ask(1, c=cls)
             assert (await client.next())[2] == SERVED
             await stay_idle(clock)
@@ -262,7 +269,7 @@
 
 @virtual
 async def test_a_dropped_connection_does_not_mark_its_address_as_stalled(clock: VirtualClock) -> None:
-    # a store with several addresses would have stopped using this one
+    # Otherwise a store with several addresses would stop using this one.
     cache = ConnectionDroppingCache()
     async with running(config({"c0": await cache.start(), "r0": REFUSED}, may_duplicate=False)) as (node, _):
         assert await request_once(node.port, 1, "film") == SERVED
--- a/tests/net/test_process_signals.py
+++ b/tests/net/test_process_signals.py
@@ -26,7 +26,7 @@
 REFUSED = "127.0.0.1:1"
 DEADLINE_S = 1.0
 #: By the protocol SIGKILL comes at least this long after SIGTERM.
-KILL_S = DEADLINE_S + 0.7
+KILL_DELAY_S = DEADLINE_S + 0.7
 MAX_START_S = 20.0
 
 
@@ -59,7 +59,8 @@
         new_file.rename(self.folder / "config.json")
 
     def signal(self, *numbers: signal.Signals) -> None:
-        """Sends signals by a pidfd: `asyncio.subprocess.Process.send_signal` reaps the process, which loses its exit code."""
+        """Sends the signals by a pidfd, because `asyncio.subprocess.Process.send_signal` reaps the process, and its exit
+        code is lost."""
         for number in numbers:
             with contextlib.suppress(ProcessLookupError):
                 signal.pidfd_send_signal(self.pidfd, number)
@@ -130,7 +131,7 @@
             answered = {client: await receive_answered_streams(client) for client in clients}
             assert all(sorted(answered[client]) == list(range(1, streams[client] + 1)) for client in clients)
             assert await director.wait_until_exit() == 0
-            assert loop.time() - started_s < KILL_S
+            assert loop.time() - started_s < KILL_DELAY_S
             assert "Traceback" not in director.log
 
     asyncio.run(scenario())
@@ -168,7 +169,8 @@
 def test_sighup_with_a_new_configuration_during_the_start_applies_it_and_does_not_end_the_process(
     after_s: float, tmp_path: Path
 ) -> None:
-    # before the first line of the program the signal ended the process, so the command of the deploy file ignores it
+    # SIGHUP ended the process until the program had run its first line. The command of the deploy file therefore ignores
+    # SIGHUP at first.
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 
     async def scenario() -> None:
@@ -179,9 +181,8 @@
             config_with_short_deadlines({"r0": REFUSED}, addresses[0]), tmp_path, command
         ) as director:
             program = Path(f"/proc/{director.process.pid}/cmdline")
-            await until(
-                lambda: b"-c" not in program.read_bytes().split(b"\0")
-            )  # the shell has executed Python
+            # wait until the shell has replaced itself by Python
+            await until(lambda: b"-c" not in program.read_bytes().split(b"\0"))
             await asyncio.sleep(after_s)
             director.configure(
                 json.dumps(
@@ -202,7 +203,7 @@
 
 
 def test_repeated_signals_do_not_disturb_a_shutdown(tmp_path: Path) -> None:
-    # a late signal arrived after the process had restored the default handlers, and killed it
+    # Earlier the process restored the default handlers before it ended, and a late signal killed it.
     async def scenario() -> None:
         cache = Cache(hit)
         async with start_director(
@@ -294,9 +295,8 @@
                 client.ask(stream, i=f"{stream:016x}")
                 await receive_code(client, stream)
             assert director.process.returncode is None and "Traceback" not in director.log
-            assert (
-                director.log.count("reload failed") >= len(valid_configs) / 2
-            )  # simultaneous signals are delivered once
+            # at least half, since simultaneous signals are delivered once
+            assert director.log.count("reload failed") >= len(valid_configs) / 2
             request_counts = [-1]
             while request_counts != (
                 request_counts := [len(discovery.request_times_s) for discovery in discoveries]
--- a/tests/net/virtual_time.py
+++ b/tests/net/virtual_time.py
@@ -70,7 +70,7 @@
 
 
 def virtual(test: Callable[[VirtualClock], Coroutine[Any, Any, None]]) -> Callable[[], None]:
-    """Decorates a test so that it runs in such a loop; the test receives the loop's clock."""
+    """Decorates a test so that it runs in an event loop with a virtual clock, which is passed to it."""
 
     def run() -> None:
         clock = VirtualClock()
