--- a/tests/net/test_discovery_watch_races.py
+++ b/tests/net/test_discovery_watch_races.py
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("incomplete", ["headers", "comment", "event"])
 def test_a_watch_that_sends_bytes_but_never_a_complete_event_is_closed_in_time(incomplete: str) -> None:
-    # Earlier each byte counted as progress: the watch full_listener forever, and no drain or purge arrived.
+    # Earlier each byte counted as progress: the watch hung forever, and no drain or purge arrived.
     start, piece = {
         "headers": (HEADERS[:20], b"x"),
         "comment": (HEADERS + b":", b"x"),
