--- a/benchmarks/addresses/picks.py
+++ b/benchmarks/addresses/picks.py
@@ -66,7 +66,7 @@
     endpoints.update(listings, complete=True)
     for listing in listings:
         for address in endpoints.registry.addresses(listing.server):
-            endpoints.health.connected(listing.server, address, rng.uniform(*SLOWEST_MS))
+            endpoints.health.record_connect(listing.server, address, rng.uniform(*SLOWEST_MS))
         endpoints.plan(listing.server, 0.0)
     return endpoints
 
@@ -79,17 +79,17 @@
             _learn(endpoints, server, place)
         plan = endpoints.plan(server, float(place))
         if plan.address_to_check is not None:  # as the pool does, and it gets through
-            endpoints.health.check_started(server, plan.address_to_check)
-            endpoints.health.connected(server, plan.address_to_check, CONNECTED_MS)
+            endpoints.health.record_check_start(server, plan.address_to_check)
+            endpoints.health.record_connect(server, plan.address_to_check, CONNECTED_MS)
     return time.perf_counter() - began_s
 
 
 def _learn(endpoints: Endpoints, server: str, place: int) -> None:
     address = endpoints.registry.addresses(server)[place % ADDRESSES]
     if place % REFUSED_EVERY:
-        endpoints.health.failed(server, address, DialEnd.REFUSED, float(place))
+        endpoints.health.record_failure(server, address, DialEnd.REFUSED, float(place))
     else:
-        endpoints.health.connected(server, address, CONNECTED_MS)
+        endpoints.health.record_connect(server, address, CONNECTED_MS)
 
 
 def _time_new_plans(endpoints: Endpoints, names: Sequence[str]) -> float:
--- a/gladelane/admin/__init__.py
+++ b/gladelane/admin/__init__.py
@@ -1,4 +1,5 @@
-"""Administration of one director: the admin endpoint that operators call, its metrics, caches taken out of
-service by hand, draining the director, and settings that change under load. `endpoint` alone has sockets; all
-else is pure or runs in the serving loop.
+"""Administration of one director: the admin endpoint that operators call, metrics, servers that operators
+take out of service, draining the director, and settings that change while it serves requests.
+
+Only `endpoint` opens sockets. All other modules are pure or run in the serving event loop.
 """
--- a/gladelane/admin/drain.py
+++ b/gladelane/admin/drain.py
@@ -1,94 +1,94 @@
-"""Draining a director, by an operator's request or for good: when clients are notified and when their
-connections are closed. Pure. All times are ms of the caller's clock.
+"""Draining a director, temporarily or for its shutdown: when clients are notified, when their connections are
+closed and when their requests are rejected. Pure. All times are ms of the caller's clock.
 """
 
 from __future__ import annotations
 
-# These constants follow from the protocol between clients and directors, the same for every deployment; what
-# a request may take stands in the settings and has no part in them.
+# These constants follow from the protocol between clients and directors, which is the same for every
+# deployment. They do not depend on the settings, such as how long a request may take.
 
-#: From notifying a client to closing its connection. The client may have written just before it read, so this
-#: covers a round trip (tens of ms between an operator's machines) and the time both processes take to be
-#: scheduled. Where it takes longer all the same, nothing is lost: a request that crosses a close is sent
-#: again once (PROTOCOL).
+#: Time from notifying a client to closing its connection. The client may have written a request just before
+#: it read the notification, so this covers a round trip (tens of ms between an operator's machines) and the
+#: time until both processes are scheduled. If that takes longer, nothing is lost: by the protocol, a client
+#: sends a request that crosses a close once more.
 CLOSE_AFTER_MS = 300.0
-#: For a new client's first request, before it is notified. At a restart new connections arrive for up to 0.4
-#: s, and requests on them for 0.2 s more (PROTOCOL).
+#: Time that a new client has for its first request before it is notified. By the protocol, new connections
+#: arrive for up to 0.4 s after a restart, and requests on them for 0.2 s more.
 FIRST_REQUEST_MS = 400.0 + 200.0
-#: After the request to drain, until nothing should be connected: clients close what has idled for as long by
-#: themselves.
+#: Time after the drain request within which all connections should end: clients themselves close connections
+#: that have been idle for this long.
 DRAINED_MS = 4_000.0
-#: A younger request at that moment shows that the director still accepts work.
+#: A request that is younger than this at the end of that time shows that the director still accepts work.
 YOUNG_REQUEST_MS = 2_000.0
-#: After a client was notified, until its requests are rejected. Clients that were connected are notified at
-#: the request to drain or with their next answer; the rest of the time up to a young request is left to admin
-#: requests that are accepted late, and to the loop's lag.
+#: Time after notifying a client until its requests are rejected, so that no request is young in the sense
+#: above. Connected clients are notified at the drain request or with their next answer. The 500 ms allow for
+#: an admin request that is accepted late and for the event loop's lag.
 REJECT_AFTER_MS = DRAINED_MS - YOUNG_REQUEST_MS - 500.0
 
 
 class Drain:
-    """The reasons for which a director drains; it is ready for clients while there is none."""
+    """The reasons for which a director drains. It is ready for clients while there is none."""
 
     def __init__(self) -> None:
-        self.failed_ms = 0.0  # since when an operator wants it drained; 0: not
-        self.lagging_since_ms = 0.0  # since when it lags too far behind the fleet; 0: it does not
-        self.is_shutting_down = False  # nothing undoes that
+        self.requested_ms = 0.0  # when an operator requested the drain; 0: no request
+        self.lagging_since_ms = 0.0  # since when it lags too far behind the fleet; 0: not lagging
+        self.is_shutting_down = False  # never reset
 
     @property
-    def is_on(self) -> bool:
-        """Whether it drains for any reason."""
-        return self.is_shutting_down or bool(self.failed_ms or self.lagging_since_ms)
+    def is_draining(self) -> bool:
+        """Whether the director drains for any reason."""
+        return self.is_shutting_down or bool(self.requested_ms or self.lagging_since_ms)
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """The answer to a client that asks whether the director is ready."""
-        return not self.is_on
+        return not self.is_draining
 
-    def fail(self, now: float) -> bool:
-        """An operator wants it drained. Whether that changed anything: a second request counts from the
-        first."""
-        if self.failed_ms:
+    def request_drain(self, now: float) -> bool:
+        """Starts a drain for an operator. Returns False if one was requested before: its time stays."""
+        if self.requested_ms:
             return False
-        self.failed_ms = now
+        self.requested_ms = now
         return True
 
-    def ok(self) -> bool:
-        """The operator ends the drain. Whether that changed anything."""
-        if not self.failed_ms:
+    def cancel_request(self) -> bool:
+        """Ends the drain that an operator requested. Returns False if there was none."""
+        if not self.requested_ms:
             return False
-        self.failed_ms = 0.0
+        self.requested_ms = 0.0
         return True
 
     def mark_lagging(self, now: float) -> bool:
-        """It lags behind the fleet, so no client is to use it. Whether that changed anything."""
+        """Starts a drain because the director lags behind the fleet. Returns False if it was lagging
+        already."""
         if self.lagging_since_ms:
             return False
         self.lagging_since_ms = now
         return True
 
     def clear_lagging(self) -> bool:
-        """It no longer lags; what an operator wants stays. Whether that changed anything."""
+        """Ends the drain for lagging; an operator's request stays. Returns False if it was not lagging."""
         if not self.lagging_since_ms:
             return False
         self.lagging_since_ms = 0.0
         return True
 
     def shut_down(self) -> None:
-        """The process is to end."""
+        """Starts the drain of a process that is about to end."""
         self.is_shutting_down = True
 
     def should_notify(self, connected_ms: float, now: float) -> bool:
-        """Whether to notify a client that connected then; earlier clients were notified as the drain
-        began."""
-        return self.is_on and now - connected_ms >= FIRST_REQUEST_MS
+        """Whether to notify a client that connected at `connected_ms`. Clients that were connected before the
+        drain are notified when it starts."""
+        return self.is_draining and now - connected_ms >= FIRST_REQUEST_MS
 
     def should_close(self, notified_ms: float, now: float) -> bool:
-        """Whether to close an idle connection whose client was notified then (0: not yet); also once the
-        drain is over, since the client was told to leave."""
+        """Whether to close an idle connection whose client was notified at `notified_ms` (0: not yet). This
+        also holds after the end of the drain, since the client was asked to leave."""
         return bool(notified_ms) and now - notified_ms >= CLOSE_AFTER_MS
 
     def rejects(self, notified_ms: float, now: float) -> bool:
-        """Whether to reject requests of a client that was notified then. A process that shuts down serves
-        them to its end."""
-        drains = bool(self.failed_ms or self.lagging_since_ms)
-        return bool(notified_ms) and drains and now - notified_ms >= REJECT_AFTER_MS
+        """Whether to reject the requests of a client that was notified at `notified_ms`. A process that only
+        shuts down serves them until it ends."""
+        is_temporary_drain = bool(self.requested_ms or self.lagging_since_ms)
+        return bool(notified_ms) and is_temporary_drain and now - notified_ms >= REJECT_AFTER_MS
--- a/gladelane/admin/endpoint.py
+++ b/gladelane/admin/endpoint.py
@@ -1,8 +1,8 @@
-"""The admin endpoint: HTTP/1.1 over h11, one request a connection, in a thread with an event loop of its
-own.
+"""The admin endpoint: HTTP/1.1 over h11, one request per connection, in a thread with its own event loop.
 
-The serving loop may be overloaded: a request is put into force here (`accept`), completed there (`complete`),
-and answered once it was, or after COMPLETE_S: what was accepted is in force by itself.
+The serving event loop may be overloaded. So a request takes effect in the endpoint's thread (`accept`), is
+completed in the serving loop (`complete`), and is answered once that is done or COMPLETE_TIMEOUT_S has
+passed: an accepted request is in effect even if it is not completed yet.
 """
 
 from __future__ import annotations
@@ -24,51 +24,51 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 64
-MAX_CONNECTIONS = 24  # at once; the oldest without a complete request is closed for a new one
-REQUEST_S = 1.5  # within which a request has to be complete
-COMPLETE_S = 0.6  # for the serving loop to complete it
-LINGER_S = 0.3  # for a client to take its response and close
-MAX_REQUEST_BYTES = 16_384  # its body included
+MAX_CONNECTIONS = 24  # at once; beyond it, a new connection replaces the oldest without a complete request
+REQUEST_TIMEOUT_S = 1.5  # for receiving a complete request
+COMPLETE_TIMEOUT_S = 0.6  # for the serving loop to complete an accepted request
+LINGER_S = 0.3  # for a client to read its response and close
+MAX_REQUEST_BYTES = 16_384  # including the body
 READ_BYTES = 4096
-ACCEPT_RETRY_S = 0.02  # after an accept that failed
-MIN_AGE_S = 0.05  # a younger connection is not closed for another: its request may lie there unread
+ACCEPT_RETRY_S = 0.02  # delay after a failed accept
+MIN_AGE_S = 0.05  # a younger connection is not closed for another one: its request may be unread so far
 
 
 class RequestHandler(Protocol):
-    """Carries requests out. `accept` and `respond_late` run in the endpoint's thread, `complete` in the
-    serving loop."""
+    """Executes requests. `accept` and `respond_late` run in the endpoint's thread, `complete` in the serving
+    loop."""
 
     stored: Future[None] | None
-    """Done once the last completed request is stored; None where nothing stores it."""
+    """Done once the last completed request is stored; None if requests are not stored."""
 
     def accept(self, request: AdminRequest) -> AdminResponse | None:
-        """A response that needs no serving loop; None once the request is in force, or is only to be read
-        there."""
+        """Puts a request into effect and returns None, or returns a response that needs no serving loop. A
+        request that only reads data in the serving loop has no effect here."""
 
     def complete(self, request: AdminRequest) -> AdminResponse:
-        """The rest of an accepted request."""
+        """Executes the part of an accepted request that needs the serving loop."""
 
     def respond_late(self, request: AdminRequest) -> AdminResponse:
-        """The response to an accepted request that the serving loop has not come to yet."""
+        """Returns the response to an accepted request that the serving loop has not completed in time."""
 
 
 class _Connection(msgspec.Struct):
     sock: socket.socket
-    since_s: float  # of the loop's clock
+    opened_s: float  # by the event loop's clock
     is_complete: bool = False  # its request has been read
 
 
 class AdminEndpoint:
-    """Listens and serves in its own thread. `close` may be called from the serving loop; it waits for the
-    thread."""
+    """Listens and serves in its own thread. `close` may be called from the serving loop, and waits until the
+    thread has ended."""
 
     def __init__(
         self,
         handler: RequestHandler,
-        serving: asyncio.AbstractEventLoop,
+        serving_loop: asyncio.AbstractEventLoop,
         max_connections: int = MAX_CONNECTIONS,
     ) -> None:
-        self._handler, self._serving = handler, serving
+        self._handler, self._serving_loop = handler, serving_loop
         self._max_connections = min(max_connections, MAX_CONNECTIONS)
         self._loop = asyncio.new_event_loop()
         self._listener: socket.socket
@@ -77,7 +77,7 @@
         self.port = 0
 
     def open(self, host: str, port: int) -> int:
-        """The port it listens on. Raises OSError where the address is in use."""
+        """Starts the thread and returns the port it listens on. Raises OSError if the address is in use."""
         self._listener = open_listening(host, port, BACKLOG)
         self._listener.setblocking(False)
         self.port = int(self._listener.getsockname()[1])
@@ -85,7 +85,7 @@
         return self.port
 
     def close(self) -> None:
-        """Ends all connections and the thread."""
+        """Closes all connections and ends the thread."""
         if self._thread.is_alive():
             self._loop.call_soon_threadsafe(self._loop.stop)
             self._thread.join(LINGER_S * 2)
@@ -108,7 +108,7 @@
             await self._wait_for_capacity()
             try:
                 accepted, _ = await self._loop.sock_accept(self._listener)
-            except OSError as error:  # the client has gone, or the process has no descriptors left
+            except OSError as error:  # the client disconnected, or the process has no descriptors left
                 log.warning("admin: accept failed: %s", error)
                 await asyncio.sleep(ACCEPT_RETRY_S)
                 continue
@@ -117,21 +117,24 @@
             task.add_done_callback(lambda done: self._connections.pop(done, None))
 
     async def _wait_for_capacity(self) -> None:
-        """Returns at once below the limit. Else a connection is closed once a new one has come, but none that
-        is young: clients that reconnect at once wait in the system's queue, and close nobody whose request is
-        under way."""
+        """Waits until the number of connections is below the limit.
+
+        At the limit, a connection is closed once a new one has arrived, but only if it has reached MIN_AGE_S.
+        So clients that reconnect immediately wait in the system's queue, and do not end a connection whose
+        request is just being sent."""
         while len(self._connections) >= self._max_connections:
             await _wait_readable(self._loop, self._listener)
             chosen = self._choose_to_close()
-            young_s = self._connections[chosen].since_s + MIN_AGE_S - self._loop.time()
-            if young_s > 0.0:
-                await asyncio.wait([chosen], timeout=young_s)
+            remaining_s = self._connections[chosen].opened_s + MIN_AGE_S - self._loop.time()
+            if remaining_s > 0.0:
+                await asyncio.wait([chosen], timeout=remaining_s)
             else:
                 chosen.cancel()
                 await asyncio.wait([chosen])
 
     def _choose_to_close(self) -> asyncio.Task[None]:
-        """The oldest that has no complete request and sent nothing that was not read, else the oldest."""
+        """Returns the oldest connection that has neither a complete request nor unread bytes, or else the
+        oldest one."""
         oldest = next(iter(self._connections))
         for task, connection in self._connections.items():
             if not (task.done() or connection.is_complete or has_unread(connection.sock)):
@@ -146,20 +149,21 @@
             close_socket(accepted)
 
     async def _respond(self, accepted: socket.socket) -> None:
-        """Raises OSError, TimeoutError where the client has gone or takes no response."""
+        """Serves one request. Raises OSError or TimeoutError if the client has disconnected or does not read
+        its response."""
         http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_REQUEST_BYTES)
         response = await self._read_and_handle(http, accepted)
         async with asyncio.timeout(LINGER_S):
             await self._loop.sock_sendall(accepted, _encode(http, response))
             accepted.shutdown(socket.SHUT_WR)
-            # Unread bytes would turn the close into a reset, and the response could be lost with it.
+            # Closing a socket with unread bytes would send a reset, which could discard the response.
             while await self._loop.sock_recv(accepted, READ_BYTES):
                 pass
 
     async def _read_and_handle(self, http: h11.Connection, accepted: socket.socket) -> AdminResponse:
-        """Raises OSError."""
+        """Reads a request and returns its response. Raises OSError."""
         try:
-            async with asyncio.timeout(REQUEST_S):
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 request = await self._read(http, accepted)
             return await self._handle(request)
         except InvalidAdminRequestError as error:
@@ -167,15 +171,15 @@
         except h11.RemoteProtocolError as error:
             return AdminResponse(error.error_status_hint, f"{error}\n")
         except TimeoutError:
-            return AdminResponse(408, f"no whole call in {REQUEST_S} s\n")
+            return AdminResponse(408, f"no whole call in {REQUEST_TIMEOUT_S} s\n")
         except OSError:
             raise
-        except Exception:  # a fault here costs this request only
+        except Exception:  # an internal error must fail this request only
             log.exception("admin: request failed")
             return AdminResponse(500, "a fault in the director; see its log\n")
 
     async def _read(self, http: h11.Connection, accepted: socket.socket) -> AdminRequest:
-        """Raises InvalidAdminRequestError, h11.RemoteProtocolError, OSError."""
+        """Reads one request. Raises InvalidAdminRequestError, h11.RemoteProtocolError or OSError."""
         request: AdminRequest | None = None
         received = 0
         while True:
@@ -194,7 +198,7 @@
                     self._connections[task].is_complete = True
                 return request
             elif isinstance(event, h11.ConnectionClosed):
-                raise OSError("the client left")
+                raise OSError("the client disconnected before its request was complete")
 
     async def _handle(self, request: AdminRequest) -> AdminResponse:
         immediate = self._handler.accept(request)
@@ -211,15 +215,15 @@
             stored, self._handler.stored = self._handler.stored, None
             if stored is None:
                 done.set_result(response)
-            else:  # a yes holds if this process is killed
+            else:  # a request that was answered with success must survive a kill of this process
                 stored.add_done_callback(lambda _: done.set_result(response))
 
         try:
-            self._serving.call_soon_threadsafe(complete)
-        except RuntimeError:  # that loop has ended
+            self._serving_loop.call_soon_threadsafe(complete)
+        except RuntimeError:  # the serving loop has ended
             return self._handler.respond_late(request)
         try:
-            async with asyncio.timeout(COMPLETE_S):
+            async with asyncio.timeout(COMPLETE_TIMEOUT_S):
                 response = await asyncio.shield(asyncio.wrap_future(done, loop=self._loop))
         except TimeoutError:
             response = self._handler.respond_late(request)
@@ -229,7 +233,7 @@
 
 
 async def _wait_readable(loop: asyncio.AbstractEventLoop, listener: socket.socket) -> None:
-    """Returns once a connection waits to be accepted."""
+    """Returns once a new connection can be accepted."""
     readable = asyncio.Event()
     loop.add_reader(listener.fileno(), readable.set)
     try:
@@ -239,7 +243,7 @@
 
 
 def _encode(http: h11.Connection, response: AdminResponse) -> bytes:
-    """Empty where the request broke off inside HTTP itself."""
+    """Encodes a response; empty if the HTTP connection can send none after a protocol error."""
     if http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
         return b""
     body = response.text.encode()
--- a/gladelane/admin/handler.py
+++ b/gladelane/admin/handler.py
@@ -1,7 +1,7 @@
-"""Carries out admin requests on one director.
+"""Executes admin requests on one director.
 
-A request passes two steps: `accept` and `respond_late` run in the admin endpoint's thread and touch only what
-may be read or set in one step; `complete` runs in the serving loop.
+`accept` and `respond_late` run in the admin endpoint's thread and use only data that can be read or set in
+one step; `complete` runs in the serving loop.
 """
 
 from __future__ import annotations
@@ -23,30 +23,32 @@
 UNKNOWN_SERVER = AdminResponse(404, "nobody has this id\n")
 DONE = AdminResponse(200, "done\n")
 OVERLOADED = AdminResponse(503, "the director is behind; ask again\n")
-METRICS_ATTEMPTS = 3  # to read metrics that the serving loop changes meanwhile
+METRICS_ATTEMPTS = 3  # reads of the metrics, which fail if the serving loop changes them meanwhile
 
 
 class AdministeredDirector(Protocol):
-    """The director, as far as admin requests reach."""
+    """The operations of a director that admin requests need."""
 
     register: MaintenanceRegister
 
     def has(self, store: str) -> bool:
-        """Whether operators may name this server."""
+        """Whether operators may name this server in a request."""
 
     def relay(self, store: str) -> None:
-        """Applies a server's changed maintenance state to routing."""
+        """Applies the changed maintenance state of a server to routing."""
 
     def report(self) -> str:
-        """All metrics as text. Raises RuntimeError where the serving loop changes a table meanwhile."""
+        """Returns all metrics as text. Raises RuntimeError if the serving loop changes a table meanwhile."""
 
     def latest_date(self) -> UnixMs:
-        """The platform's date now, rather too late than too early."""
+        """Returns an upper bound of the platform's present date."""
 
 
 class AdminHandler:
-    """`on_drain` notifies clients that the director drains; `on_applied` is called with each action that
-    changed something, once it is in force; what it returns is done once the action is stored."""
+    """Executes admin requests.
+
+    `on_drain` notifies clients that the director drains. `on_applied` is called with each action once it is
+    in effect, and returns a future that is done once the action is stored, or None if nothing stores it."""
 
     def __init__(
         self,
@@ -59,35 +61,36 @@
         self._director, self._drain, self._clock = director, drain, clock
         self._on_drain, self._on_applied = on_drain, on_applied
         self.takes_clients = False
-        #: Done once the last action that was completed is stored; None where nothing stores it.
+        #: Done once the last completed action is stored; None if nothing stores it.
         self.stored: Future[None] | None = None
         self._last_metrics = ""
 
     def accept(self, request: AdminRequest) -> AdminResponse | None:
-        """Puts a request into force. Returns a response that needs no serving loop, or None if `complete` is
-        to follow there."""
+        """Puts a request into effect. Returns a response that needs no serving loop, or None if `complete`
+        must follow there."""
         if request.action is AdminAction.HEALTH:
             return READY if self.takes_clients else NOT_READY
         if request.store and not self._director.has(request.store):
             return UNKNOWN_SERVER
-        self._put_into_force(request)
+        self._put_into_effect(request)
         return None
 
-    def _put_into_force(self, request: AdminRequest) -> None:
+    def _put_into_effect(self, request: AdminRequest) -> None:
         now = self._clock()
         match request.action:
             case AdminAction.MAINT:
                 self._director.register.take_out(request.store, now)
             case AdminAction.READY:
-                # The server counts as one that started now, by the platform's date, as the list dates starts.
+                # The server counts as started now. The endpoint list dates starts by the platform's clock, so
+                # this date must as well.
                 self._director.register.put_back(request.store, float(self._director.latest_date()))
             case AdminAction.FAIL:
-                self._drain.fail(now)
+                self._drain.request_drain(now)
             case AdminAction.OK:
-                self._drain.ok()
+                self._drain.cancel_request()
 
     def complete(self, request: AdminRequest) -> AdminResponse:
-        """Carries out the part of an accepted request that needs the serving loop."""
+        """Executes the part of an accepted request that needs the serving loop."""
         match request.action:
             case AdminAction.STATS:
                 self._last_metrics = self._director.report()
@@ -101,18 +104,18 @@
         return DONE
 
     def apply_from_peer(self, request: AdminRequest) -> None:
-        """An action that was requested at the director's other process; its server may not be listed here
-        yet."""
-        self._put_into_force(request)
+        """Applies an action that was requested at the director's other process. Its server may not be listed
+        in this process yet."""
+        self._put_into_effect(request)
         if request.action in (AdminAction.MAINT, AdminAction.READY):
             self._director.relay(request.store)
         elif request.action is AdminAction.FAIL:
             self._on_drain()
 
     def respond_late(self, request: AdminRequest) -> AdminResponse:
-        """The response to an accepted request that the serving loop has not come to yet."""
+        """Returns the response to an accepted request that the serving loop has not completed in time."""
         if request.action is not AdminAction.STATS:
-            return DONE  # it is in force already
+            return DONE  # it is in effect already
         for _ in range(METRICS_ATTEMPTS):
             try:
                 return AdminResponse(200, self._director.report())
--- a/gladelane/admin/live_settings.py
+++ b/gladelane/admin/live_settings.py
@@ -1,5 +1,5 @@
-"""New settings for a director that is serving: which of them apply, and what holds while clients use either
-file. Pure.
+"""New settings for a running director: which of them apply without a restart, and which settings hold while
+some clients use the old file and others the new one. Pure.
 """
 
 from __future__ import annotations
@@ -10,51 +10,62 @@
 from ..routing.events import ClassSpec, Effect, Settings
 from .drain import CLOSE_AFTER_MS
 
-#: Clients follow a new file so long after the director was given it, and use either until then (the
-#: operators' rule for live settings; no setting says so).
-CLIENTS_FOLLOW_MS = 1_200.0
-#: For so long both files hold: what a client wrote by the old file just before it followed is still on its
-#: way.
-TRANSITION_MS = CLIENTS_FOLLOW_MS + CLOSE_AFTER_MS
+#: Time after the director was given a new file until all clients use it. Until then, each uses either file.
+#: This is the operators' rule for live settings; no setting contains it.
+CLIENT_SWITCH_MS = 1_200.0
+#: Time for which both files hold: a request that a client wrote by the old file just before it switched may
+#: still be in transit.
+TRANSITION_MS = CLIENT_SWITCH_MS + CLOSE_AFTER_MS
+#: Effects from the least strict to the strictest.
 STRICTNESS = (Effect.SAFE, Effect.KEYED, Effect.UNSAFE)
-#: Settings that the router reads anew for each request; all others are bound to sockets or to learnt state.
-APPLIED = ("classes", "max_attempts", "second_copies", "cancel", "retry_after", "max_retry_after_ms", "joins")
+#: Settings that the router reads for each request. All others are bound to sockets or to learned state.
+LIVE_SETTINGS = (
+    "classes",
+    "max_attempts",
+    "second_copies",
+    "cancel",
+    "retry_after",
+    "max_retry_after_ms",
+    "joins",
+)
 
-#: What may be done only where the settings permit it.
+#: Settings that permit the director to do something.
 PERMISSIONS = ("second_copies", "cancel", "retry_after", "joins")
 
 
-def apply_live(used: Settings, new: Settings) -> tuple[Settings, list[str]]:
-    """The settings in force after a change, and the names of those that need a restart."""
-    restart = [f.name for f in fields(Settings) if f.name not in APPLIED]
-    restart = [name for name in restart if getattr(used, name) != getattr(new, name)]
-    return replace(used, **{name: getattr(new, name) for name in APPLIED}), restart
+def apply_live(current: Settings, new: Settings) -> tuple[Settings, list[str]]:
+    """Returns the settings in effect after a change, and the names of changed settings that need a
+    restart."""
+    restart = [f.name for f in fields(Settings) if f.name not in LIVE_SETTINGS]
+    restart = [name for name in restart if getattr(current, name) != getattr(new, name)]
+    return replace(current, **{name: getattr(new, name) for name in LIVE_SETTINGS}), restart
 
 
-def transition_settings(used: Settings, new: Settings) -> Settings:
-    """What holds while clients use either file: no class is missing, none is less strict than in one of them,
-    and nothing is done that one of them does not permit."""
-    classes = {**used.classes, **new.classes}
-    for name in used.classes.keys() & new.classes.keys():
-        classes[name] = stricter(used.classes[name], new.classes[name])
+def transition_settings(current: Settings, new: Settings) -> Settings:
+    """Returns the settings for the time in which clients use either file: they contain every class, no class
+    is less strict than in either file, and they permit only what both files permit."""
+    classes = {**current.classes, **new.classes}
+    for name in current.classes.keys() & new.classes.keys():
+        classes[name] = combine_strictest(current.classes[name], new.classes[name])
     return replace(
         new,
         classes=MappingProxyType(classes),
-        max_attempts=min(used.max_attempts, new.max_attempts),
-        max_retry_after_ms=min(used.max_retry_after_ms, new.max_retry_after_ms),
-        **{name: getattr(used, name) and getattr(new, name) for name in PERMISSIONS},
+        max_attempts=min(current.max_attempts, new.max_attempts),
+        max_retry_after_ms=min(current.max_retry_after_ms, new.max_retry_after_ms),
+        **{name: getattr(current, name) and getattr(new, name) for name in PERMISSIONS},
     )
 
 
-def stricter(one: ClassSpec, other: ClassSpec) -> ClassSpec:
-    """`other` with the effect, the window and the age that satisfy both."""
+def combine_strictest(one: ClassSpec, other: ClassSpec) -> ClassSpec:
+    """Returns `other` with an effect, a window and a copy age that satisfy both."""
     effect = max(one.effect, other.effect, key=STRICTNESS.index)
     keyed = [spec for spec in (one, other) if spec.effect is Effect.KEYED]
-    # The first two of three files in a row may have made it so: clients still use the first one.
+    # A class may be keyless because of an earlier transition: when a third file follows soon, some clients
+    # still use the first one.
     is_keyless = len(keyed) < 2 or any(spec.keyless for spec in keyed)
     if len(keyed) == 2 and one.group != other.group:
         effect = Effect.UNSAFE
-    ages = [spec.fresh_ms for spec in (one, other) if spec.fresh_ms]  # 0: any age will do
+    ages = [spec.fresh_ms for spec in (one, other) if spec.fresh_ms]  # 0: any age is allowed
     return replace(
         other,
         effect=effect,
--- a/gladelane/admin/maintenance.py
+++ b/gladelane/admin/maintenance.py
@@ -1,8 +1,8 @@
-"""Which servers operators have taken out of service, as an overlay on the endpoint list. Pure.
+"""Servers that operators have taken out of service, as an overlay on the endpoint list. Pure.
 
-A server that is out counts as draining, whatever the list says of its id, also if it leaves the list and
-returns. A server that was put back counts as started at that moment: it was restarted in between, and nothing
-tells when.
+A server that is out of service counts as draining, whatever state the list gives it, also if it leaves the
+list and returns. A server that is put back counts as started at that moment: it was restarted in between, at
+an unknown time.
 """
 
 from __future__ import annotations
@@ -13,14 +13,15 @@
 
 
 class MaintenanceRegister:
-    """Servers by id; times are Unix ms."""
+    """The servers taken out of service and those put back, by id. Times are Unix ms."""
 
     def __init__(self) -> None:
-        self.out: dict[str, float] = {}  # since when
-        self.back: dict[str, float] = {}  # when it was last put back
+        self.out: dict[str, float] = {}  # when each was taken out
+        self.back: dict[str, float] = {}  # when each was last put back
 
     def take_out(self, store: str, now: float) -> bool:
-        """Whether that changed anything: two requests to take out need one to put back."""
+        """Takes a server out of service. Returns False if it was out already: one `put_back` undoes any
+        number of these requests."""
         if store in self.out:
             return False
         self.out[store] = now
@@ -28,14 +29,15 @@
         return True
 
     def put_back(self, store: str, now: float) -> bool:
-        """Whether that changed anything. A server that was never out does not start warming up by it."""
+        """Puts a server back into service. Returns False if it was not out: then it does not count as
+        restarted."""
         if self.out.pop(store, None) is None:
             return False
         self.back[store] = now
         return True
 
     def overlay(self, member: Member) -> Member:
-        """A listed server as routing is to see it."""
+        """Returns a listed server with its maintenance state applied, for use by routing."""
         if member.state is not State.GONE and member.store in self.out:
             return replace(member, state=State.DRAINING)
         back = self.back.get(member.store, 0.0)
--- a/gladelane/admin/metrics.py
+++ b/gladelane/admin/metrics.py
@@ -1,11 +1,11 @@
-"""Counts of what this process has done since it started, each counted once where it happens. Pure."""
+"""Counters of this process since it started. Each event is counted once, where it happens. Pure."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-SUCCESS, BUSY, FAILURE = 0, 1, 2  # places in a class's row, equal to the codes of answers
+SUCCESS, BUSY, FAILURE = 0, 1, 2  # indices in the counts of a class, equal to the codes of answers
 RESULT_NAMES = ("success", "busy", "failure")
 
 
@@ -13,33 +13,35 @@
 class Metrics:
     """The counters behind `GET /stats`."""
 
-    classes: dict[str, list[int]] = field(default_factory=dict)  # requests answered, by class and result
-    inflight: int = 0  # requests accepted and not yet ended
-    withdrawn: int = 0  # requests ended by the client, which get no answer
-    unusable: int = 0  # requests answered as failed, of no class in the settings
+    classes: dict[str, list[int]] = field(default_factory=dict)  # answered requests by class and result
+    inflight: int = 0  # requests that were accepted and have not ended yet
+    withdrawn: int = 0  # requests that the client cancelled, which get no answer
+    unusable: int = 0  # requests of a class that the settings do not have, answered as failed
     backend_calls: int = 0  # attempts whose last byte was written
     reconfig_ok: int = 0
     reconfig_failed: int = 0
 
-    def know(self, classes: Iterable[str]) -> None:
-        """Reports these classes from now on, also without requests; a class that is dropped keeps its row."""
+    def add_classes(self, classes: Iterable[str]) -> None:
+        """Includes these classes in the output, also without requests. A class that is dropped from the
+        settings stays included."""
         for name in classes:
             self.classes.setdefault(name, [0, 0, 0])
 
     def answered(self, cls: str | None, code: int) -> None:
         """Counts an answer by its class (None: unknown) and its code."""
-        row = self.classes.get(cls) if cls is not None else None
-        if row is None:
+        counts = self.classes.get(cls) if cls is not None else None
+        if counts is None:
             self.unusable += 1
         else:
-            row[code] += 1
+            counts[code] += 1
 
-    def lines(self, hosts_listed: int, hosts_down: int, more: Iterable[tuple[str, int]] = ()) -> str:
-        """All counters as text, a `director.NAME=VALUE` a line; `more` holds those of further parts."""
+    def render(self, hosts_listed: int, hosts_down: int, extra: Iterable[tuple[str, int]] = ()) -> str:
+        """Returns all counters as text with one `director.NAME=VALUE` per line. `extra` holds the metrics of
+        other components."""
         values: list[tuple[str, int]] = [
             (f"calls.{name}.{result}", count)
-            for name, row in sorted(self.classes.items())
-            for result, count in zip(RESULT_NAMES, row, strict=True)
+            for name, counts in sorted(self.classes.items())
+            for result, count in zip(RESULT_NAMES, counts, strict=True)
         ]
         values += [
             ("inflight", self.inflight),
@@ -50,6 +52,6 @@
             ("reconfig_failed", self.reconfig_failed),
             ("withdrawn", self.withdrawn),
             ("unusable", self.unusable),
-            *more,
+            *extra,
         ]
         return "".join(f"director.{name}={value}\n" for name, value in values)
--- a/gladelane/admin/requests.py
+++ b/gladelane/admin/requests.py
@@ -1,5 +1,4 @@
-"""Requests to the admin endpoint as values, without I/O: a method and a target in, a request or a refusal
-out."""
+"""Requests to the admin endpoint, parsed from an HTTP method and target, and responses to them. Pure."""
 
 from __future__ import annotations
 
@@ -12,7 +11,7 @@
 
 
 class AdminAction(Enum):
-    """What an operator may ask for. The values also travel between two processes of one director."""
+    """What an operator may request. The values are also sent between two processes of one director."""
 
     HEALTH = "healthcheck"
     STATS = "stats"
@@ -23,14 +22,14 @@
 
 
 class AdminRequest(msgspec.Struct, frozen=True):
-    """`store` is the id of a server; empty for actions on the director itself."""
+    """An action. `store` is the id of the server it applies to, and empty for the director itself."""
 
     action: AdminAction
     store: str = ""
 
 
 class AdminResponse(msgspec.Struct, frozen=True):
-    """An HTTP status and a text that ends in a line break."""
+    """An HTTP status and a text that ends with a line break."""
 
     status: int
     text: str = ""
@@ -42,29 +41,29 @@
 
 
 class InvalidAdminRequestError(Exception):
-    """A request that cannot be carried out. `response` is what its sender gets."""
+    """A request that cannot be executed. `response` is sent back to the client."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
         self.response = AdminResponse(status, reason + "\n")
 
 
-#: path -> the one method it takes, and what it asks for
+#: Path to its only allowed method and its action.
 DIRECTOR_PATHS = {
     "/healthcheck": ("GET", AdminAction.HEALTH),
     "/stats": ("GET", AdminAction.STATS),
     "/healthcheck/fail": ("POST", AdminAction.FAIL),
     "/healthcheck/ok": ("POST", AdminAction.OK),
 }
-#: last part of /caches/ID/...
+#: Last segment of /caches/ID/... to its action.
 SERVER_ACTIONS = {"maint": AdminAction.MAINT, "ready": AdminAction.READY}
 
 
 def parse_request(method: str, target: str) -> AdminRequest:
-    """Raises InvalidAdminRequestError.
+    """Parses a request. Raises InvalidAdminRequestError.
 
-    The id is split off before it is decoded, so it may hold a slash; a query is ignored. The target may be in
-    absolute form (RFC 9112, section 3.2)."""
+    The path is split before the id is decoded, so an id may contain an encoded slash. A query is ignored. The
+    target may be in absolute form (RFC 9112, section 3.2)."""
     if target.lower().startswith("http://"):
         target = "/" + target[7:].partition("/")[2]
     path = target.partition("?")[0]
@@ -72,12 +71,12 @@
     if path in DIRECTOR_PATHS:
         allowed, action = DIRECTOR_PATHS[path]
     else:
-        steps = path.split("/")
-        if len(steps) != 4 or steps[:2] != ["", "caches"] or steps[3] not in SERVER_ACTIONS:
-            known = ", ".join([*DIRECTOR_PATHS, *(f"/caches/ID/{step}" for step in SERVER_ACTIONS)])
+        segments = path.split("/")
+        if len(segments) != 4 or segments[:2] != ["", "caches"] or segments[3] not in SERVER_ACTIONS:
+            known = ", ".join([*DIRECTOR_PATHS, *(f"/caches/ID/{name}" for name in SERVER_ACTIONS)])
             raise InvalidAdminRequestError(404, f"no such path; expected one of {known}")
-        allowed, action = "POST", SERVER_ACTIONS[steps[3]]
-        store = _decode_id(steps[2])
+        allowed, action = "POST", SERVER_ACTIONS[segments[3]]
+        store = _decode_id(segments[2])
     if method != allowed:
         raise InvalidAdminRequestError(405, f"{method} is not for this path; expected {allowed}")
     return AdminRequest(action, store)
--- a/gladelane/discovery/client.py
+++ b/gladelane/discovery/client.py
@@ -1,7 +1,7 @@
 """The client of the discovery service: one watch, server-sent events over HTTP, resumed after each break.
 
-Errors never end it: a watch that fails, falls silent or sends what cannot be decoded is logged, and the next
-one starts after a backoff at the last revision that was applied.
+Errors never stop the client. A watch that fails or times out is logged, and the next one starts after a
+backoff at the last revision that was applied. An event that cannot be decoded is logged and skipped.
 """
 
 from __future__ import annotations
@@ -22,29 +22,29 @@
 log = logging.getLogger(__name__)
 
 PATH = "/board/poll"
-# The protocol sends a comment each second, and an event counts as known to every director 7 s after it was
-# published, whether it arrived or not. A silence, a dial that times out, a request without a response and the
-# backoffs between them add up to 6.0 s at most.
-SILENT_S = 2.5  # a watch without a complete line for so long is given up
-DIAL_S = 1.0
-ANSWER_S = 1.2  # from the dial to the end of the response's headers
+# The service sends a comment each second, and an event counts as known to every director 7 s after it was
+# published, whether it arrived or not. A watch that times out, a connect that times out, a request without a
+# response and the backoffs between them add up to at most 6.0 s.
+IDLE_TIMEOUT_S = 2.5  # a watch that receives no complete line for this long is abandoned
+CONNECT_TIMEOUT_S = 1.0
+HEADER_TIMEOUT_S = 1.2  # from the established connection to the end of the response's headers
 READ_BYTES = 65_536
-LONG_BYTES = 1024  # so many bytes of an unfinished line count as progress: a long list is being received
-BACKOFF_S, BACKOFF_MOST_S = 0.1, 0.4
-#: Discovery may be slow: a watch that timed out while it received something doubles the next one's timeout,
-#: up to these. The first stays within the 7 s above.
+PROGRESS_BYTES = 1024  # this much of an unfinished line counts as progress: a long list is being received
+BACKOFF_FIRST_S, BACKOFF_MAX_S = 0.1, 0.4
+#: The discovery service may be slow: after a watch that timed out while it was receiving, the next watch gets
+#: twice the timeout, up to these limits. The limit for the headers stays within the 7 s above.
 MAX_HEADER_TIMEOUT_S, MAX_LINE_TIMEOUT_S = 4.8, 20.0
-UNREAD_S = (
-    0.02  # to read what arrived while the process was stopped: its timers run before its sockets are read
-)
-APPLY_S = 0.005  # events are applied for so long at a time, so that a burst of them does not delay requests
+#: For reading what arrived while the process was stopped: the event loop runs its timers before it reads its
+#: sockets.
+UNREAD_READ_S = 0.02
+APPLY_SLICE_S = 0.005  # longest time to apply events without a pause, so that a burst does not delay requests
 
 
 class WatchTimeouts:
     """The timeouts of the next watch, in seconds: for the headers, and for each complete line after them."""
 
     def __init__(self) -> None:
-        self.header_timeout_s, self.line_timeout_s = ANSWER_S, SILENT_S
+        self.header_timeout_s, self.line_timeout_s = HEADER_TIMEOUT_S, IDLE_TIMEOUT_S
 
     def extend_header_timeout(self) -> None:
         """Doubles it, up to MAX_HEADER_TIMEOUT_S."""
@@ -57,17 +57,18 @@
 
 @dataclass
 class _Arrivals:
-    """When a watch read its bytes, ms of the steady clock. What is read next was sent after `waited_ms`."""
+    """When a watch read its bytes, in ms of the steady clock. Bytes that are read next were sent after
+    `sent_after_ms`."""
 
-    waited_ms: float
-    unapplied_ms: float | None = None  # the same for what was read and is not applied yet
-    has_slept: bool = False  # the process was stopped: what is read may be old, so a new watch is needed
+    sent_after_ms: float
+    unapplied_ms: float | None = None  # `sent_after_ms` of the bytes that were read and are not applied yet
+    was_suspended: bool = False  # the process was stopped: bytes may be old, so a new watch is needed
 
     def add(self, now_ms: float) -> None:
-        if now_ms - self.waited_ms > SILENT_S * 1000.0:
-            self.has_slept = True
-        elif not self.has_slept:
-            self.unapplied_ms, self.waited_ms = self.waited_ms, now_ms
+        if now_ms - self.sent_after_ms > IDLE_TIMEOUT_S * 1000.0:
+            self.was_suspended = True
+        elif not self.was_suspended:
+            self.unapplied_ms, self.sent_after_ms = self.sent_after_ms, now_ms
 
     def take_unapplied(self) -> float | None:
         unapplied_ms, self.unapplied_ms = self.unapplied_ms, None
@@ -79,49 +80,50 @@
 
     def __init__(self, timeouts: WatchTimeouts, now_s: float) -> None:
         self._timeouts = timeouts
-        self._line_due_s = now_s + timeouts.header_timeout_s  # the headers, then the next complete line
-        self._silent_due_s = self._line_due_s  # any byte
-        self._is_answered = self._is_half_read = False
-        self._fresh_bytes = 0  # since the last progress
+        self._line_due_s = now_s + timeouts.header_timeout_s  # for the headers, then for each complete line
+        self._idle_due_s = self._line_due_s  # for any byte
+        self._has_headers = self._is_line_incomplete = False
+        self._unfinished_bytes = 0  # received since the last progress
 
     def due_s(self) -> float:
         """When the watch times out unless more arrives."""
-        return min(self._line_due_s, self._silent_due_s)
+        return min(self._line_due_s, self._idle_due_s)
 
-    def read(self, now_s: float) -> None:
-        """Bytes have been received."""
-        if self._is_answered:
-            self._is_half_read, self._silent_due_s = True, now_s + SILENT_S
+    def record_read(self, now_s: float) -> None:
+        """Records that bytes have been received."""
+        if self._has_headers:
+            self._is_line_incomplete, self._idle_due_s = True, now_s + IDLE_TIMEOUT_S
 
-    def answered(self, now_s: float) -> None:
-        """The headers are complete."""
-        self._is_answered, self._silent_due_s = True, now_s + SILENT_S
+    def record_headers(self, now_s: float) -> None:
+        """Records that the headers are complete."""
+        self._has_headers, self._idle_due_s = True, now_s + IDLE_TIMEOUT_S
         self._record_progress(now_s)
 
     def record_body(self, part: bytes, now_s: float) -> None:
-        """`part` of the body has been received."""
-        self._fresh_bytes += len(part)
-        if b"\n" in part or self._fresh_bytes >= LONG_BYTES:
+        """Records that `part` of the body has been received."""
+        self._unfinished_bytes += len(part)
+        if b"\n" in part or self._unfinished_bytes >= PROGRESS_BYTES:
             self._record_progress(now_s)
 
     def _record_progress(self, now_s: float) -> None:
-        self._is_half_read, self._fresh_bytes = False, 0
+        self._is_line_incomplete, self._unfinished_bytes = False, 0
         self._line_due_s = now_s + self._timeouts.line_timeout_s
 
-    def ran_out(self) -> None:
-        """The watch has timed out: where it was receiving something, the next one gets a longer timeout."""
-        if not self._is_answered:
+    def record_timeout(self) -> None:
+        """Records that the watch has timed out. If it was receiving something, the next one gets a longer
+        timeout."""
+        if not self._has_headers:
             self._timeouts.extend_header_timeout()
-        elif self._is_half_read and self._line_due_s <= self._silent_due_s:
+        elif self._is_line_incomplete and self._line_due_s <= self._idle_due_s:
             self._timeouts.extend_line_timeout()
 
 
 class DiscoveryClient:
     """Follows the discovery service at `host:port`.
 
-    `last_revision` returns the revision from which to resume; `apply_event` is called with each event, in
-    order. Where `heard` is set it is called once what was read is applied, with the time by `steady` (ms)
-    after which that was sent.
+    `last_revision` returns the revision from which to resume. `apply_event` is called with each event, in
+    order. `on_received`, if it is set, is called each time all received bytes have been applied; its argument
+    is a time by `steady_clock` (ms) after which the service sent those bytes.
     """
 
     def __init__(
@@ -132,10 +134,10 @@
         apply_event: Callable[[WatchEvent], None],
         rng: random.Random,
     ) -> None:
-        self.heard: Callable[[float], None] | None = None
-        self.steady: Callable[[], float] = lambda: 0.0
+        self.on_received: Callable[[float], None] | None = None
+        self.steady_clock: Callable[[], float] = lambda: 0.0
         self._host, self._port = host, port
-        self._backoff = Backoff(rng, BACKOFF_S, BACKOFF_MOST_S)
+        self._backoff = Backoff(rng, BACKOFF_FIRST_S, BACKOFF_MAX_S)
         self._timeouts = WatchTimeouts()
         self._last_revision, self._apply_event = last_revision, apply_event
 
@@ -145,17 +147,17 @@
             before = self._last_revision()
             try:
                 await self._follow()
-                log.info("discovery stream ended")
+                log.info("discovery watch ended by the service")
             except (OSError, h11.ProtocolError, TimeoutError) as error:
-                log.warning("discovery stream lost: %s %s", type(error).__name__, error)
-            except Exception:  # without a watch the director would go on with an old list
+                log.warning("discovery watch lost: %s %s", type(error).__name__, error)
+            except Exception:  # if the watch ended here, the director would go on with an outdated list
                 log.exception("discovery watch failed")
             await asyncio.sleep(self._backoff.after(self._last_revision() > before))
 
     async def _follow(self) -> None:
-        arrivals = _Arrivals(self.steady())
+        arrivals = _Arrivals(self.steady_clock())
         loop = asyncio.get_running_loop()
-        async with asyncio.timeout(DIAL_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(self._host, self._port)
         try:
             http = h11.Connection(h11.CLIENT)
@@ -165,23 +167,23 @@
             while True:
                 match http.next_event():
                     case h11.NEED_DATA:
-                        self._report_heard(arrivals.take_unapplied())
+                        self._report_received(arrivals.take_unapplied())
                         http.receive_data(await self._receive(reader, progress, arrivals))
                     case h11.Response(status_code=status):
                         if status != 200:
                             raise OSError(f"status {status}")
-                        progress.answered(loop.time())
+                        progress.record_headers(loop.time())
                     case h11.Data(data=part):
                         await self._apply(events.feed(bytes(part)))
                         progress.record_body(bytes(part), loop.time())
                     case h11.EndOfMessage() | h11.ConnectionClosed():
-                        self._report_heard(arrivals.take_unapplied())
+                        self._report_received(arrivals.take_unapplied())
                         return
         finally:
             writer.close()
 
     def _request(self, http: h11.Connection) -> bytes:
-        """A request for all events after the last that was applied."""
+        """Encodes the request for all events after the last one that was applied."""
         headers = [
             ("Host", f"{self._host}:{self._port}"),
             ("Accept", "text/event-stream"),
@@ -193,40 +195,41 @@
     async def _receive(
         self, reader: asyncio.StreamReader, progress: WatchProgress, arrivals: _Arrivals
     ) -> bytes:
-        """The next bytes; empty at the end of the stream. Raises TimeoutError."""
+        """Returns the next bytes, empty at the end of the stream. Raises TimeoutError."""
         loop = asyncio.get_running_loop()
-        due_s = loop.time() if arrivals.has_slept else progress.due_s()
+        due_s = loop.time() if arrivals.was_suspended else progress.due_s()
         try:
             data = await self._read(reader, due_s)
         except TimeoutError:
-            if not arrivals.has_slept:
-                progress.ran_out()
+            if not arrivals.was_suspended:
+                progress.record_timeout()
             raise
-        progress.read(loop.time())
+        progress.record_read(loop.time())
         if data:
-            arrivals.add(self.steady())
+            arrivals.add(self.steady_clock())
         return data
 
     async def _read(self, reader: asyncio.StreamReader, due_s: float) -> bytes:
-        """Bytes received until `due_s`, or unread at that time. Raises TimeoutError if there are none."""
+        """Returns bytes that arrive before `due_s`, or are still unread then. Raises TimeoutError if there
+        are none."""
         try:
             async with asyncio.timeout_at(due_s):
                 return await reader.read(READ_BYTES)
         except TimeoutError:
-            async with asyncio.timeout(UNREAD_S):
+            async with asyncio.timeout(UNREAD_READ_S):
                 return await reader.read(READ_BYTES)
 
-    def _report_heard(self, since: float | None) -> None:
-        if since is not None and self.heard is not None:
-            self.heard(since)
+    def _report_received(self, sent_after_ms: float | None) -> None:
+        if sent_after_ms is not None and self.on_received is not None:
+            self.on_received(sent_after_ms)
 
     async def _apply(self, events: Iterable[str]) -> None:
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_s = loop.time()
         for event in events:
-            if loop.time() - began > APPLY_S:
+            if loop.time() - started_s > APPLY_SLICE_S:
                 await asyncio.sleep(0)
-                began = loop.time()
+                started_s = loop.time()
             self._decode_and_apply(event)
 
     def _decode_and_apply(self, data: str) -> None:
--- a/gladelane/discovery/events.py
+++ b/gladelane/discovery/events.py
@@ -1,4 +1,5 @@
-"""Watch events of the platform's discovery service. Field names are those of the wire and of GW_CONFIG."""
+"""Watch events of the platform's discovery service. Their fields have the names used on the wire and in the
+file that GW_CONFIG names."""
 
 from __future__ import annotations
 
@@ -22,14 +23,14 @@
 
 
 class ListChange(msgspec.Struct):
-    """A change of the endpoint list; with `reset` it is the complete list."""
+    """A change of the endpoint list. With `reset`, `instances` is the complete list."""
 
     instances: list[Instance]
     reset: bool = False
 
 
 class PurgeEvent(msgspec.Struct):
-    """A purge of one object (`asset`, 16 hex digits) or of a group (`collection`), dated in Unix ms."""
+    """A purge of one object (`asset`, 16 hex digits) or of one group (`collection`). `ms` is its date."""
 
     ms: UnixMs
     asset: str | None = None
@@ -37,7 +38,7 @@
 
 
 class WatchEvent(msgspec.Struct):
-    """One event of the stream. Revisions (`rev`) grow from event to event."""
+    """One event of the stream. Each event has a greater revision (`rev`) than the one before it."""
 
     rev: int
     pool: ListChange | None = None
@@ -45,7 +46,7 @@
 
 
 class KnownEvents(msgspec.Struct):
-    """The events up to revision `rev`, as a director's configuration file has them at its start."""
+    """The events up to revision `rev` that a director's configuration file contains at its start."""
 
     rev: int
     notices: list[WatchEvent]
--- a/gladelane/endpoints/address.py
+++ b/gladelane/endpoints/address.py
@@ -1,7 +1,7 @@
-"""Addresses of servers, parsed from text to one canonical value each. Nothing is looked up.
+"""Addresses of servers, each parsed from text to one canonical value. No names are looked up.
 
-Forms: `10.1.0.9:4100`, `[fd00::9]:4100`, `[fe80::9%eth0]:4100`, `unix:/run/cache.sock`, `unix:@cache`. Host
-names are rejected: a look-up may stall, and may give another machine from one dial to the next.
+Accepted forms: `10.1.0.9:4100`, `[fd00::9]:4100`, `[fe80::9%eth0]:4100`, `unix:/run/cache.sock`,
+`unix:@cache`. Host names are rejected: a look-up may stall, and may return a different machine for each dial.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 MAX_UNIX_NAME_BYTES = 107  # a path in sockaddr_un (unix(7)) without its terminating NUL
 IPV4_MAPPED_PREFIX = bytes(10) + b"\xff\xff"  # ::ffff:0:0/96, RFC 4291 section 2.5.5.2
 _SCOPE = re.compile(r"[!-Z^-~]{1,15}")  # an interface's name or index: printable, without brackets
-EXPECTED = "IPv4:port, [IPv6]:port, [IPv6%zone]:port, unix:/path or unix:@name"
+EXPECTED_FORMS = "IPv4:port, [IPv6]:port, [IPv6%zone]:port, unix:/path or unix:@name"
 
 
 class InvalidAddressError(ValueError):
-    """A text is no address: what is wrong with it and what was expected, in one line."""
+    """The text is not an address. The message says in one line what is wrong and what was expected."""
 
-    def __init__(self, text: str, why: str = "") -> None:
-        super().__init__(f"{text!r} is no address{': ' if why else ''}{why}; expected {EXPECTED}")
+    def __init__(self, text: str, reason: str = "") -> None:
+        super().__init__(f"{text!r} is no address{': ' if reason else ''}{reason}; expected {EXPECTED_FORMS}")
 
 
 class Family(Enum):
-    """Address family. The values are the words of the operator's file and of the log."""
+    """Address family. The values are used in the operator's file and in log lines."""
 
     UNIX = "unix"
     V6 = "ipv6"
@@ -35,11 +35,12 @@
 
 
 class Address(msgspec.Struct, frozen=True, eq=False, weakref=True):
-    """One address, made by `parse` only: equal addresses are the same object, so that tables of thousands
-    need neither comparisons nor copies.
+    """One address. Only `parse` creates them: equal addresses are the same object, so that tables of
+    thousands of addresses need neither comparisons by value nor copies.
 
-    host: the literal, a socket path, or a NUL and an abstract name; port: 0 for Unix sockets; packed: the IP
-    address in network order, empty for Unix sockets; scope: the IPv6 zone, empty where none is named."""
+    host: the IP literal, the path of a socket, or a NUL and the name of an abstract socket; port: 0 for Unix
+    sockets; packed: the IP address in network order, empty for Unix sockets; scope: the IPv6 zone, empty if
+    there is none."""
 
     text: str  # canonical
     family: Family
@@ -62,9 +63,9 @@
 
 
 def parse(text: str) -> Address:
-    """The address that a text stands for. Raises InvalidAddressError.
+    """Parses an address. Raises InvalidAddressError.
 
-    An IPv4-mapped IPv6 address is the IPv4 one: both reach the same socket."""
+    An IPv4-mapped IPv6 address gives the IPv4 address, since both reach the same socket."""
     if text.startswith("unix:"):
         return _parse_unix(text)
     host, colon, port_text = text.rpartition(":")
@@ -91,11 +92,11 @@
     except (OSError, ValueError):
         raise InvalidAddressError(text) from None
     if packed.startswith(IPV4_MAPPED_PREFIX) and not scope:
-        plain = socket.inet_ntop(socket.AF_INET, packed[12:])
-        return _intern(f"{plain}:{port}", Family.V4, plain, port, packed[12:])
+        v4_literal = socket.inet_ntop(socket.AF_INET, packed[12:])
+        return _intern(f"{v4_literal}:{port}", Family.V4, v4_literal, port, packed[12:])
     literal = socket.inet_ntop(socket.AF_INET6, packed)
-    shown = f"{literal}%{scope}" if scope else literal
-    return _intern(f"[{shown}]:{port}", Family.V6, literal, port, packed, scope)
+    scoped = f"{literal}%{scope}" if scope else literal
+    return _intern(f"[{scoped}]:{port}", Family.V6, literal, port, packed, scope)
 
 
 def _parse_unix(text: str) -> Address:
--- a/gladelane/endpoints/address_selection.py
+++ b/gladelane/endpoints/address_selection.py
@@ -1,13 +1,15 @@
 """Destination address selection: the order in which a server's addresses are dialled. Pure.
 
-It follows RFC 6724 as far as that applies, then RFC 8305 section 4 with learnt connect times.
-
-Of RFC 6724 section 6: rule 1 (avoid unusable destinations) is left to `health`; rule 6 (higher
-precedence) and rule 8 (smaller scope) are applied as written, with the policy table of section 2.1 and Unix
-sockets above all of it; rule 10 leaves the listed order. Rules 2 to 5, 7 and 9 compare source addresses,
-which this program does not choose: an operator who knows better says so with `prefer`, which stands before
-the table. Learnt connect times come where RFC 8305 section 4 puts them, after rule 8, in steps of a factor of
-four so that noise does not change the order.
+The order follows the applicable rules of RFC 6724, then RFC 8305 section 4 with observed connect times:
+
+- Rule 1 of RFC 6724 section 6 (avoid unusable destinations) is implemented by `health`.
+- Rule 6 (higher precedence) and rule 8 (smaller scope) are applied as written, with the policy table of
+  section 2.1. Unix sockets precede every entry of that table.
+- Rule 10 keeps the listed order.
+- Rules 2 to 5, 7 and 9 compare source addresses, which this program does not choose. An operator can set an
+  order with `prefer` instead, which takes precedence over the table.
+- Observed connect times are compared after rule 8, as RFC 8305 section 4 says. They are compared in steps of
+  a factor of four, so that noise does not change the order.
 """
 
 from __future__ import annotations
@@ -19,8 +21,8 @@
 from .address import Address, Family
 from .rules import Network, Preference, preference
 
-UNIX_PRECEDENCE = 60  # above ::1/128: it never leaves the machine
-V4_PRECEDENCE = 35  # ::ffff:0:0/96
+UNIX_PRECEDENCE = 60  # above ::1/128: the traffic never leaves the machine
+V4_PRECEDENCE = 35  # that of ::ffff:0:0/96
 _TABLE = tuple(
     (Network(bytes.fromhex(prefix).ljust(16, b"\0"), bits), precedence)
     for prefix, bits, precedence in (
@@ -32,19 +34,15 @@
         ("fec0", 10, 1),
         ("3ffe", 16, 1),
     )
-)  # the longest match first where two hold
-GLOBAL_SCOPE, SITE_SCOPE, LINK_SCOPE, HOST_SCOPE = (
-    14,
-    5,
-    2,
-    1,
-)  # RFC 4291 section 2.7; the last for Unix sockets
-DEFAULT_PRECEDENCE = 40  # ::/0
-UNKNOWN_STEP = 0  # an unknown connect time is taken for a short one, so that the address gets its chance
+)  # the longer prefix first, where two contain an address
+#: RFC 4291 section 2.7. HOST_SCOPE is that of Unix sockets.
+GLOBAL_SCOPE, SITE_SCOPE, LINK_SCOPE, HOST_SCOPE = 14, 5, 2, 1
+DEFAULT_PRECEDENCE = 40  # that of ::/0
+UNKNOWN_STEP = 0  # an unknown connect time counts as a short one, so that the address is tried
 
 
 def precedence(address: Address) -> int:
-    """The precedence of an address by RFC 6724 section 2.1; the greater goes first."""
+    """The precedence of an address by RFC 6724 section 2.1. Greater values are dialled first."""
     if address.family is Family.UNIX:
         return UNIX_PRECEDENCE
     if address.family is Family.V4:
@@ -53,7 +51,7 @@
 
 
 def scope(address: Address) -> int:
-    """The scope of an address by RFC 6724 sections 3.1 and 3.2; the smaller, the closer. Loopback is
+    """The scope of an address by RFC 6724 sections 3.1 and 3.2. Smaller scopes are dialled first. Loopback is
     link-local."""
     packed = address.packed
     if address.family is Family.UNIX:
@@ -66,7 +64,7 @@
 
 
 def connect_time_step(connect_ms: float | None) -> int:
-    """The step in which a connect time counts: under 4 ms 0, under 16 ms 1, under 64 ms 2, and so on."""
+    """The step of a connect time: 0 below 4 ms, 1 below 16 ms, 2 below 64 ms, and so on."""
     return UNKNOWN_STEP if connect_ms is None or connect_ms < 4.0 else int(log2(connect_ms) / 2)
 
 
@@ -76,27 +74,27 @@
     connect_ms: Callable[[Address], float | None] = lambda _: None,
     first_family_count: int = 1,
 ) -> list[Address]:
-    """All addresses, best first: sorted, then the families interleaved.
+    """Returns all addresses, best first: sorted, then interleaved by family.
 
-    connect_ms gives an address's smoothed connect time, None if it is unknown."""
+    connect_ms returns the smoothed connect time of an address, or None if it is unknown."""
 
     def key(address: Address) -> tuple[int, int, int, int]:
-        negative_precedence, reach = _fixed_key(address)
+        negative_precedence, address_scope = _fixed_key(address)
         preferred = preference(address, prefer) if prefer else 0
-        return preferred, negative_precedence, reach, connect_time_step(connect_ms(address))
+        return preferred, negative_precedence, address_scope, connect_time_step(connect_ms(address))
 
     return interleave(sorted(addresses, key=key), first_family_count)
 
 
 @lru_cache(65_536)
 def _fixed_key(address: Address) -> tuple[int, int]:
-    """The part of the sort key that never changes."""
+    """The part of an address's sort key that never changes."""
     return -precedence(address), scope(address)
 
 
 def interleave(addresses: Iterable[Address], first_family_count: int = 1) -> list[Address]:
-    """RFC 8305 section 4: so many of the first family, then one of each family in turn, each in its own
-    order."""
+    """Interleaves families by RFC 8305 section 4: first `first_family_count` addresses of the first family,
+    then one of each family in turn. The order within each family stays."""
     queues: dict[Family, list[Address]] = {}
     for address in addresses:
         queues.setdefault(address.family, []).append(address)
--- a/gladelane/endpoints/connect.py
+++ b/gladelane/endpoints/connect.py
@@ -1,4 +1,4 @@
-"""One non-blocking connect to one address. It does I/O and decides nothing."""
+"""One non-blocking connect to one address. This module does I/O and makes no decisions."""
 
 from __future__ import annotations
 
@@ -13,62 +13,62 @@
 from .address import Address, Family
 from .health import DialEnd
 
-OUT_OF_SOCKETS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-#: Of connect: it goes on, and the socket becomes writable once it has connected or failed.
-IN_PROGRESS = frozenset({errno.EINPROGRESS, errno.EINTR})
+OUT_OF_SOCKETS_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+#: Results of connect(2) while it continues: the socket becomes writable once it has connected or failed.
+IN_PROGRESS_ERRNOS = frozenset({errno.EINPROGRESS, errno.EINTR})
 _SOCKET_FAMILIES = {Family.V4: socket.AF_INET, Family.V6: socket.AF_INET6, Family.UNIX: socket.AF_UNIX}
 
 
 OnDone = Callable[[socket.socket | None, DialEnd | None], None]  # a connected socket, or how the dial ended
 
 
-def _end_of(code: int) -> DialEnd:
+def _dial_end(code: int) -> DialEnd:
     if code == errno.ECONNREFUSED:
         return DialEnd.REFUSED
-    return DialEnd.NO_SOCKET if code in OUT_OF_SOCKETS else DialEnd.UNREACHABLE
+    return DialEnd.NO_SOCKET if code in OUT_OF_SOCKETS_ERRNOS else DialEnd.UNREACHABLE
 
 
 class Connect:
-    """One dial. `on_done` is called once, never from within the constructor, and not after `cancel`."""
+    """One dial. `on_done` is called once, but not by the constructor and not after `cancel`."""
 
     def __init__(self, address: Address, on_done: OnDone) -> None:
         self.loop = asyncio.get_running_loop()
         self.on_done = on_done
         self.sock: socket.socket | None = None
         self._is_watched = False
-        self._soon: asyncio.Handle | None = None
+        self._finish_handle: asyncio.Handle | None = None
         try:
             self.sock = _open_socket(address.family)
             code = self.sock.connect_ex(_sockaddr(address))
-        except (OSError, ValueError) as error:  # no descriptor, no such zone, a family this host lacks
+        except (OSError, ValueError) as error:  # no descriptor left, unknown zone, or unsupported family
             code = getattr(error, "errno", None) or errno.EINVAL
-        if code in IN_PROGRESS and self.sock is not None:
+        if code in IN_PROGRESS_ERRNOS and self.sock is not None:
             self._is_watched = True
             self.loop.add_writer(self.sock.fileno(), self._on_writable)
         else:
-            # EAGAIN of a Unix socket means a full backlog: waiting for it to be writable would end at once,
-            # and as if it were connected
-            self._soon = self.loop.call_soon(self._finish, code)
+            # EAGAIN of a Unix socket means that the backlog is full. This socket would be writable at once,
+            # as if it were connected, so the code is reported instead of waiting.
+            self._finish_handle = self.loop.call_soon(self._finish, code)
 
     def _on_writable(self) -> None:
         assert self.sock is not None
         self._unwatch()
         try:
             code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        except OSError as error:  # the system does not say how the dial ended: as if it had failed
+        except OSError as error:  # the result is unknown: treated as a failure
             code = error.errno or errno.EINVAL
         self._finish(code)
 
     def _finish(self, code: int) -> None:
-        """The dial has ended with an errno, 0: connected."""
-        self._soon = None
+        """Reports the end of the dial with an errno, or 0 if it has connected."""
+        self._finish_handle = None
         sock, self.sock = self.sock, None
         if code == 0 and sock is not None:
             self.on_done(sock, None)
             return
         if sock is not None:
             close_socket(sock)
-        self.on_done(None, _end_of(code))
+        self.on_done(None, _dial_end(code))
 
     def _unwatch(self) -> None:
         if self._is_watched and self.sock is not None:
@@ -76,10 +76,10 @@
         self._is_watched = False
 
     def cancel(self) -> None:
-        """Closes the socket, unless it was handed over already."""
-        if self._soon is not None:
-            self._soon.cancel()
-            self._soon = None
+        """Ends the dial and closes its socket, unless it was passed to `on_done` already."""
+        if self._finish_handle is not None:
+            self._finish_handle.cancel()
+            self._finish_handle = None
         self._unwatch()
         if self.sock is not None:
             close_socket(self.sock)
@@ -89,13 +89,13 @@
 def _open_socket(family: Family) -> socket.socket:
     sock = socket.socket(_SOCKET_FAMILIES[family], socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     if family is not Family.UNIX:
-        with suppress(OSError):  # small requests may then leave later, which is no reason not to dial
+        with suppress(OSError):  # without it, small requests may be delayed, but the dial is still useful
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
 def _sockaddr(address: Address) -> Any:
-    """The address as `socket.connect` takes it. Raises OSError if an IPv6 zone does not exist."""
+    """Returns an address as `socket.connect` expects it. Raises OSError if the IPv6 zone does not exist."""
     if address.family is Family.UNIX:
         return address.host
     if address.family is Family.V4:
@@ -106,7 +106,7 @@
 
 
 def is_open(sock: socket.socket) -> bool:
-    """Whether a connected socket has neither ended nor failed so far; takes no byte from it."""
+    """Whether a connected socket was neither closed by the peer nor has failed. Reads no byte from it."""
     try:
         return sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) != b""
     except BlockingIOError:
--- a/gladelane/endpoints/dialer.py
+++ b/gladelane/endpoints/dialer.py
@@ -1,5 +1,5 @@
-"""The sockets of one Happy Eyeballs connect. It does I/O; `happy_eyeballs` decides, and `health` is
-informed."""
+"""The sockets of one Happy Eyeballs connect. This module does the I/O that the `happy_eyeballs` state machine
+orders, and reports the results to `health`."""
 
 from __future__ import annotations
 
@@ -18,34 +18,34 @@
 
 
 class Timer(Protocol):
-    """A call that is due later."""
+    """A scheduled call."""
 
     def cancel(self) -> None:
-        """The call is not made."""
+        """Cancels the call."""
 
 
 class Budget(Protocol):
-    """Counts the sockets of a process, and keeps its time."""
+    """The socket budget of a process, with its clock and timers."""
 
     def clock(self) -> float:
         """Monotonic time in ms."""
 
     def at(self, due_ms: float, call: Callable[[], None]) -> Timer:
-        """Calls at a time of `clock`."""
+        """Schedules a call at a time of `clock`."""
 
     def spare_sockets(self) -> int:
-        """How many sockets may be opened beside those in use. May close an idle connection to have one."""
+        """Returns how many more sockets may be opened. May close an idle connection to make room for one."""
 
     def hold(self, sockets: int) -> None:
-        """So many more are in use; fewer, if negative."""
+        """Adds to the number of sockets in use; a negative number releases sockets."""
 
 
 class Dialer:
-    """One connect to a server: `winner` gives the socket that connected first, or how all dials ended.
+    """One connect to a server. `winner` returns the socket that connected first, or how the connect failed.
 
-    The caller reports what becomes of the winner: `written` before its first byte, or `winner_died`, and then
-    awaits `winner` again. `close` ends the connect at any time. The sockets beyond the first are taken from
-    the budget."""
+    The caller then calls `written` before it writes the first byte to the winner. If the winner is closed
+    before that, it calls `winner_died` and awaits `winner` again. `close` ends the connect at any time. All
+    sockets except the first are taken from the budget."""
 
     def __init__(
         self, server: str, plan: Plan, endpoints: Endpoints, budget: Budget, timeout_ms: float
@@ -66,7 +66,8 @@
         self._execute(self.machine.start(now))
 
     async def winner(self) -> tuple[socket.socket, Address] | DialEnd:
-        """The connected socket and its address. If it is cancelled it leaves no socket behind."""
+        """Returns the connected socket and its address, or how the connect failed. Closes all sockets if it
+        is cancelled."""
         try:
             index = await self._result
         except asyncio.CancelledError:
@@ -79,23 +80,23 @@
         return winner
 
     def written(self) -> None:
-        """Called before the first byte of a request is written: nothing is dialled from here on."""
+        """Must be called before the first byte of a request is written. From then on nothing is dialled."""
         self.machine.written()
 
     def winner_died(self) -> None:
-        """The winner was reset or closed before the first byte; its socket is the caller's to close."""
+        """Reports that the winner was reset or closed before the first byte. The caller closes its socket."""
         index = next(n for n, state in enumerate(self.machine.states) if state is DialState.WON)
         self._record_failure(index, DialEnd.DIED)
         self._execute(self.machine.winner_lost(index, self.budget.clock()))
 
     def remove_address(self, address: Address) -> None:
-        """It is no longer an address of this server."""
+        """Ends the dial to an address that is no longer one of this server."""
         if address in self.addresses and not self.machine.is_over():
             index = self.addresses.index(address)
             self._execute(self.machine.removed(index, self.budget.clock()))
 
     def close(self) -> None:
-        """Ends all dials, and closes a winner that was not taken."""
+        """Ends all dials, and closes a winner that `winner` has not returned yet."""
         self._execute(self.machine.cancel())
         if self._winner is not None:
             close_socket(self._winner[0])
@@ -121,7 +122,7 @@
     def _dial(self, index: int, now: float) -> None:
         address = self.addresses[index]
         if not self._connects and self._family_count > 1:
-            self.endpoints.health.first_dial_started(self.server, address, now)
+            self.endpoints.health.record_first_dial(self.server, address, now)
         self._connects[index] = Connect(address, partial(self._on_done, index))
 
     def _update_budget(self) -> None:
@@ -139,7 +140,7 @@
 
     def _wake(self) -> None:
         now = self.budget.clock()
-        # asked for only if it is needed: an idle connection may be closed for it
+        # Only asked for if it is needed, since an idle connection may be closed for it.
         is_dial_due = now >= self.machine.next_ms and DialState.WAITING in self.machine.states
         self._execute(self.machine.wake(now, self.budget.spare_sockets() if is_dial_due else 0))
 
@@ -154,34 +155,34 @@
             return
         self._winner, self._winner_started_ms = (sock, self.addresses[index]), started_ms
         self._execute(self.machine.connected(index))
-        self.endpoints.health.connected(self.server, self.addresses[index], now - started_ms)
+        self.endpoints.health.record_connect(self.server, self.addresses[index], now - started_ms)
         self._record_lost_families(index, now)
 
     def _record_lost_families(self, winner: int, now: float) -> None:
-        """Counts a failure against each family whose dials got lost while another one connected."""
+        """Records a failure of each family whose dials were lost while a dial of another family connected."""
         for index, end in self._ends.items():
             family = self.addresses[index].family
             if end in FAMILY_ENDS and family is not self.addresses[winner].family:
-                self.endpoints.health.family_failed(self.server, family, now)
+                self.endpoints.health.record_family_failure(self.server, family, now)
 
     def _record_closed(self, index: int, now: float) -> None:
-        """Records a dial that was closed: its time was over, a later dial was quicker, or nothing is
-        learnt."""
+        """Records a dial that was closed: because the connect timed out, or because a later dial was faster.
+        In other cases it says nothing about the address."""
         machine, started_ms = self.machine, self.machine.started_ms[index]
-        had_its_delay = now - started_ms >= machine.delay_ms
+        had_full_delay = now - started_ms >= machine.delay_ms
         if machine.phase is Phase.LOST and now >= machine.end_ms:
             self._record_failure(index, DialEnd.TIMED_OUT)
-        elif machine.phase is Phase.WON and started_ms < self._winner_started_ms and had_its_delay:
+        elif machine.phase is Phase.WON and started_ms < self._winner_started_ms and had_full_delay:
             self._record_failure(index, DialEnd.OVERTAKEN)
         else:
-            self.endpoints.health.cancelled(self.server, self.addresses[index])
+            self.endpoints.health.record_cancel(self.server, self.addresses[index])
 
     def _record_failure(self, index: int, end: DialEnd) -> None:
         self._ends[index] = end
-        self.endpoints.health.failed(self.server, self.addresses[index], end, self.budget.clock())
+        self.endpoints.health.record_failure(self.server, self.addresses[index], end, self.budget.clock())
 
     def _combined_end(self) -> DialEnd:
-        """How the connect as a whole was lost."""
+        """How the connect as a whole failed."""
         ends = set(self._ends.values())
         for end in (DialEnd.NO_SOCKET, DialEnd.TIMED_OUT, DialEnd.DIED):
             if end in ends:
--- a/gladelane/endpoints/happy_eyeballs.py
+++ b/gladelane/endpoints/happy_eyeballs.py
@@ -1,14 +1,14 @@
 """Happy Eyeballs (RFC 8305 section 5): one connect to a server with several addresses, as a state machine.
 
-Events in, commands out, time as an argument. The first address is dialled at once, the next when its delay
-has passed or at once when a dial fails, and so on. The first dial to connect wins; every other one is closed
-before a byte of a request may be written. A winner that is found closed before that first byte may be
-replaced once. After the first byte nothing is dialled, whatever happens: falling back then would send a
-request twice.
-
-Every socket beyond the first must be available (`spare_sockets`): the first is the connection's own. Without
-one the addresses are dialled one at a time: a dial that has had its share of the time gives its socket to the
-next.
+The caller reports events with the current time, and executes the commands that are returned. The first
+address is dialled at once. Each further address is dialled when the delay has passed, or at once when a dial
+fails. The first dial to connect wins, and all others are closed before a byte of a request may be written. A
+winner that turns out to be closed before that first byte may be replaced once. After the first byte nothing
+is dialled any more, since a fallback could send a request twice.
+
+The first socket belongs to the connection itself. Each further one must be available (`spare_sockets`). If
+none is, the addresses are dialled one at a time: a dial that has had its share of the time gives its socket
+to the next.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     DIALLING = auto()
     FAILED = auto()
     CLOSED = auto()  # another dial connected first
-    YIELDED = auto()  # had its share of the time, and another needed its socket
+    YIELDED = auto()  # closed after its share of the time, because another dial needed its socket
     REMOVED = auto()  # no longer an address of the server
     WON = auto()
 
@@ -33,23 +33,23 @@
     """The state of the connect as a whole."""
 
     CONNECTING = auto()
-    WON = auto()  # one dial has connected, nothing is written yet
-    WRITTEN = auto()  # a byte may have left: over
-    LOST = auto()  # over without a winner
-    CANCELLED = auto()  # over because the connection is not wanted any more
+    WON = auto()  # one dial has connected, and nothing is written yet
+    WRITTEN = auto()  # over: a byte may have been sent
+    LOST = auto()  # over: there is no winner
+    CANCELLED = auto()  # over: the connection is no longer needed
 
 
 class Action(Enum):
-    """What the caller has to do with an address."""
+    """What the caller has to do for an address."""
 
     DIAL = auto()
     CLOSE = auto()
     WIN = auto()  # this socket becomes the connection
-    LOSE = auto()  # index NO_INDEX: no address is left, or the time is over
+    LOSE = auto()  # the connect has failed: no address is left, or it timed out; the index is NO_INDEX
 
 
 class Command(NamedTuple):
-    """An action for one address, by its index among those of the connect."""
+    """An action for one address, which is given by its index among the addresses of the connect."""
 
     action: Action
     address_index: int
@@ -57,14 +57,13 @@
 
 NO_INDEX = -1
 OPEN_STATES = (DialState.DIALLING, DialState.WON)
-RETRIED_STATES = (DialState.CLOSED, DialState.YIELDED)  # dialled again if the winner is lost
+RETRIED_STATES = (DialState.CLOSED, DialState.YIELDED)  # these are dialled again if the winner is lost
 
 
 class HappyEyeballs:
-    """One connect to `address_count` addresses, best first; times are ms of the caller's monotonic clock.
+    """One connect to `address_count` addresses, best first. Times are ms of the caller's monotonic clock.
 
-    wake_ms says when `wake` is due next, infinity: never. Every method returns the commands to carry out, in
-    order."""
+    Methods for events return the commands to execute, in order."""
 
     __slots__ = (
         "address_count",
@@ -80,11 +79,11 @@
 
     def __init__(self, address_count: int, now: float, delay_ms: float, timeout_ms: float) -> None:
         if address_count < 1 or delay_ms < 0 or timeout_ms <= 0:
-            raise ValueError("expected an address at least, a delay of 0 or more and a time-out")
+            raise ValueError("expected at least one address, a delay of 0 or more and a positive timeout")
         self.address_count = address_count
         self.states = [DialState.WAITING] * address_count
         self.phase = Phase.CONNECTING
-        # each address is dialled before the end, however many there are
+        # So that each address is dialled before the timeout, however many there are.
         self.share_ms = timeout_ms / address_count
         self.delay_ms = min(delay_ms, self.share_ms)
         self.end_ms = now + timeout_ms
@@ -94,13 +93,13 @@
 
     @property
     def wake_ms(self) -> float:
-        """When `wake` is due next."""
+        """When `wake` is due next; infinity if it is not."""
         if self.phase is not Phase.CONNECTING:
             return float("inf")
         return min(self.next_ms, self.end_ms) if self._next_index() >= 0 else self.end_ms
 
     def is_over(self) -> bool:
-        """Whether no command can follow any more."""
+        """Whether no more commands can follow."""
         return self.phase in (Phase.WRITTEN, Phase.LOST, Phase.CANCELLED)
 
     def count_open(self) -> int:
@@ -112,8 +111,8 @@
         return self._dial(0, now)
 
     def wake(self, now: float, spare_sockets: int) -> list[Command]:
-        """Time has passed: dials the next address if it is due and there is a socket, or ends at the
-        time-out."""
+        """Dials the next address if it is due and a socket is available, or ends the connect at the
+        timeout."""
         if self.phase is not Phase.CONNECTING:
             return []
         if now >= self.end_ms:
@@ -136,7 +135,7 @@
         return [Command(Action.CLOSE, oldest), *self._dial(self._next_index(), now)]
 
     def connected(self, index: int) -> list[Command]:
-        """A dial has connected. Of two in one turn of the event loop the first reported wins."""
+        """Handles a dial that connected. If two connect at the same time, the first one reported wins."""
         if self.states[index] is not DialState.DIALLING:
             return []
         if self.phase is not Phase.CONNECTING:
@@ -147,25 +146,26 @@
         return [*commands, Command(Action.WIN, index)]
 
     def failed(self, index: int, now: float) -> list[Command]:
-        """A dial failed: its socket is free, so the next address is dialled at once."""
+        """Handles a dial that failed. Its socket is free, so the next address is dialled at once."""
         if self.states[index] is not DialState.DIALLING:
             return []
         self.states[index] = DialState.FAILED
         return self._dial_next(now)
 
     def removed(self, index: int, now: float) -> list[Command]:
-        """The address is no longer the server's. A winner's connection is for its owner to retire."""
+        """Handles an address that the server no longer has. An established connection is the caller's to
+        close."""
         state = self.states[index]
         if self.phase is not Phase.CONNECTING or state not in (DialState.WAITING, DialState.DIALLING):
             return []
         self.states[index] = DialState.REMOVED
-        if state is DialState.WAITING:  # no socket has become free, and other dials are still in flight
+        if state is DialState.WAITING:  # no socket has become free, and a dial is still in flight
             return []
         return [Command(Action.CLOSE, index), *self._dial_next(now)]
 
     def winner_lost(self, index: int, now: float) -> list[Command]:
-        """The winner was reset or closed before the first byte: once, the other addresses are dialled again,
-        also those that were closed for it."""
+        """Handles a winner that was reset or closed before the first byte. The first time, the other
+        addresses are dialled, including those whose dials were closed before."""
         if self.phase is not Phase.WON or self.states[index] is not DialState.WON:
             return []
         self.states[index] = DialState.FAILED
@@ -177,17 +177,17 @@
         return self._finish(Phase.LOST) if now >= self.end_ms else self._dial_next(now)
 
     def written(self) -> None:
-        """Called before the first byte is handed to the system. No command follows."""
+        """Must be called before the first byte is passed to the operating system. No command follows."""
         if self.phase is not Phase.WON:
-            raise AssertionError(f"written to in {self.phase}")
+            raise AssertionError(f"written() called in {self.phase}")
         self.phase = Phase.WRITTEN
 
     def cancel(self) -> list[Command]:
-        """The connection is not wanted any more; a winner's socket is left to its owner."""
+        """Ends a connect that is no longer needed. The socket of a winner stays open for its owner."""
         return [] if self.phase is not Phase.CONNECTING else self._finish(Phase.CANCELLED)
 
     def _next_index(self) -> int:
-        """The best address not yet dialled; NO_INDEX if there is none."""
+        """Returns the index of the best address that is not dialled yet, or NO_INDEX."""
         waiting = (n for n, state in enumerate(self.states) if state is DialState.WAITING)
         return next(waiting, NO_INDEX)
 
@@ -198,7 +198,7 @@
         return [Command(Action.DIAL, index)]
 
     def _dial_next(self, now: float) -> list[Command]:
-        """After a socket has become free: the next address takes it at once (RFC 8305 section 5)."""
+        """Dials the next address with a socket that has become free (RFC 8305 section 5)."""
         index = self._next_index()
         if index >= 0:
             return self._dial(index, now)
@@ -210,7 +210,7 @@
         return [*commands, Command(Action.LOSE, NO_INDEX)] if phase is Phase.LOST else commands
 
     def _close_dials(self, winner: int = NO_INDEX) -> list[Command]:
-        """Closes every dial in flight but the winner's."""
+        """Closes every dial in flight except the winner's."""
         commands = []
         for index, state in enumerate(self.states):
             if index != winner and state is DialState.DIALLING:
--- a/gladelane/endpoints/health_check.py
+++ b/gladelane/endpoints/health_check.py
@@ -1,5 +1,5 @@
-"""Health checks: connects to an avoided address, for which no request waits. It does I/O; `health`
-decides."""
+"""Health checks: connects to an avoided address while no request waits for them. This module does the I/O;
+`health` decides when a check is due."""
 
 from __future__ import annotations
 
@@ -22,40 +22,40 @@
 async def check_health(
     server: str, address: Address, endpoints: Endpoints, budget: Budget, timeout_ms: float
 ) -> None:
-    """Checks one address and reports to `endpoints.health` how that ended. Takes one socket from the
-    budget."""
+    """Checks one address and reports the result to `endpoints.health`. Takes one socket from the budget."""
     health = endpoints.health
-    health.check_started(server, address)
+    health.record_check_start(server, address)
     budget.hold(1)
     try:
         async with asyncio.timeout(timeout_ms / 1000.0):
             await _check(server, address, health, budget)
     except TimeoutError:
-        health.failed(server, address, DialEnd.TIMED_OUT, budget.clock())
+        health.record_failure(server, address, DialEnd.TIMED_OUT, budget.clock())
     except BaseException:
-        health.cancelled(server, address)
+        health.record_cancel(server, address)
         raise
     finally:
         budget.hold(-1)
 
 
 async def _check(server: str, address: Address, health: Health, budget: Budget) -> None:
-    """An address that had stalled accepts connections as before, so it is also asked `alive`."""
+    """Connects to the address. If it had stalled, which does not prevent connects, also sends an `alive`
+    request."""
     started_ms = budget.clock()
-    known = health.of(server, address)
+    address_health = health.get(server, address)
     sock = await _connect(address)
     if isinstance(sock, DialEnd):
-        health.failed(server, address, sock, budget.clock())
+        health.record_failure(server, address, sock, budget.clock())
         return
     try:
         elapsed_ms = budget.clock() - started_ms
-        had_stalled = known is not None and known.has_stalled
+        had_stalled = address_health is not None and address_health.has_stalled
         if had_stalled and not await _answers_alive(sock):
-            health.failed(server, address, DialEnd.DIED, budget.clock())
+            health.record_failure(server, address, DialEnd.DIED, budget.clock())
             return
         if had_stalled:
-            health.answered(server, address)
-        health.connected(server, address, elapsed_ms)
+            health.record_answer(server, address)
+        health.record_connect(server, address, elapsed_ms)
     finally:
         close_socket(sock)
 
@@ -75,7 +75,7 @@
 
 
 async def _answers_alive(sock: socket.socket) -> bool:
-    """Whether the server answers `alive`, which runs nothing, under a fresh tag."""
+    """Whether the server answers an `alive` request, which executes nothing, with the tag that was sent."""
     loop, tag = asyncio.get_running_loop(), os.urandom(TAG_BYTES).hex()
     response = b""
     with suppress(OSError):
--- a/gladelane/endpoints/plan.py
+++ b/gladelane/endpoints/plan.py
@@ -1,7 +1,7 @@
-"""Dial plans: what a connection to a server dials, in which order and how far apart. Pure.
+"""Dial plans: which addresses a connection to a server dials, in which order and with which delay. Pure.
 
-A plan is cached until something that it rests on changes, so that choosing among thousands of servers costs a
-look-up each.
+A plan is cached until something that it depends on changes, so that in a fleet of thousands of servers a plan
+usually costs one look-up.
 """
 
 from __future__ import annotations
@@ -14,37 +14,37 @@
 
 from .address import Address
 from .address_selection import sort_addresses
-from .health import FamilyHealth, Health, LogWarning, Pauses
+from .health import Cooldowns, FamilyHealth, Health, LogWarning
 from .registry import AddressRegistry, Change
 from .rules import Listing, Preference, Rules
 
 
 class Options(msgspec.Struct, frozen=True):
-    """Settings of the operator's file, `endpoints`; times are in milliseconds.
+    """The section `endpoints` of the operator's file. Times are in ms.
 
-    delay_*: between two dials of one plan; pause_*: how long a failed address is avoided; family_few: the
-    number of servers whose failures show that a whole address family is broken."""
+    delay_*: the time between two dials of one plan; pause_*: how long a failed address is avoided;
+    family_few: the number of servers whose failures show that a whole address family is broken."""
 
     prefer: tuple[Preference, ...] = ()
     first_family_count: int = 1
     delay_first_ms: float = 250.0  # RFC 8305 section 8
-    delay_least_ms: float = 20.0  # its floor is 10; 100 is recommended for the open network
+    delay_least_ms: float = 20.0  # the RFC requires at least 10, and recommends 100 for the internet
     delay_most_ms: float = 250.0
     pause_first_ms: float = 500.0
     pause_most_ms: float = 30_000.0
     pause_stall_ms: float = 5_000.0
     family_few: int = 3
 
-    def pauses(self) -> Pauses:
+    def cooldowns(self) -> Cooldowns:
         """The part of the settings that `Health` needs."""
-        return Pauses(self.pause_first_ms, self.pause_most_ms, self.pause_stall_ms, self.family_few)
+        return Cooldowns(self.pause_first_ms, self.pause_most_ms, self.pause_stall_ms, self.family_few)
 
 
 class Plan(NamedTuple):
     """What to dial now.
 
-    addresses: best first; delay_ms: the time after which the next address is dialled beside the first;
-    address_to_check: an avoided address that is due for a health check."""
+    addresses: best first; delay_ms: the time after which the next address is dialled if the first has not
+    connected; address_to_check: an avoided address that is due for a health check."""
 
     addresses: tuple[Address, ...]
     delay_ms: float
@@ -55,15 +55,15 @@
     plan: Plan
     version: int  # of the server's health
     epoch: int  # of the families' health
-    until_ms: float  # a pause ends then, and a health check may be due
-    is_stable: bool  # whether it holds whatever becomes of the dials in flight
+    valid_until_ms: float  # a cooldown ends then, and a health check may be due
+    is_stable: bool  # whether the plan does not depend on the results of dials in flight
 
 
 NO_PLAN = Plan((), 0.0)
 
 
 class Endpoints:
-    """Registry, health and dial plans of one director: everything that is decided about addresses."""
+    """The address registry, address health and dial plans of one director."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
     ) -> None:
         self.options = options or Options()
         self.registry = AddressRegistry(rules)
-        self.health = Health(self.options.pauses(), rng, log_warning)
+        self.health = Health(self.options.cooldowns(), rng, log_warning)
         self._log_warning = log_warning
         self._plans: dict[str, _CachedPlan] = {}
 
@@ -85,9 +85,9 @@
         return self._apply(self.registry.update(listings, gone, complete))
 
     def configure(self, options: Options, rules: Rules) -> Change:
-        """Applies a new operator's file. What was learnt of addresses stays; plans are made anew."""
+        """Applies a new operator's file. The observed health of addresses stays; plans are computed again."""
         self.options = options
-        self.health.pauses = options.pauses()
+        self.health.cooldowns = options.cooldowns()
         change = self._apply(self.registry.replace_rules(rules))
         self._plans.clear()
         return change
@@ -107,7 +107,8 @@
     # --- plans
 
     def plan(self, server: str, now: float) -> Plan:
-        """What to dial at `now`, in ms; without addresses if the server owns none that can be used."""
+        """Returns what to dial at `now` (ms). The plan has no addresses if the server owns none that are
+        usable."""
         cached, health = self._plans.get(server), self.health
         addresses = self.registry.addresses(server)
         if len(addresses) < 2:
@@ -115,7 +116,7 @@
         if (
             cached is not None
             and cached.is_stable
-            and now < cached.until_ms
+            and now < cached.valid_until_ms
             and cached.version == health.version(server)
             and cached.epoch == health.epoch
         ):
@@ -124,28 +125,31 @@
 
     def _make_plan(self, server: str, addresses: tuple[Address, ...], now: float) -> Plan:
         health = self.health
-        good, rest = self._order(server, addresses, now)
-        chosen = [*good, *rest]
-        due = (a for a in chosen[1:] if health.is_check_due(server, a, now))
-        to_check = next(due, None) if good else None
-        plan = Plan(tuple(chosen), self.delay_ms(server, chosen[0]), to_check)
+        preferred, fallbacks = self._order(server, addresses, now)
+        ordered = [*preferred, *fallbacks]
+        due = (a for a in ordered[1:] if health.is_check_due(server, a, now))
+        to_check = next(due, None) if preferred else None
+        plan = Plan(tuple(ordered), self.delay_ms(server, ordered[0]), to_check)
         families = dict.fromkeys(a.family for a in addresses)
         states = [state for family in families if (state := health.families.get(family)) is not None]
-        pauses = [until for a in addresses if (until := self._avoided_until(server, a)) > now]
-        pauses += [state.until_ms for state in states if state.until_ms > now]
+        cooldown_ends = [until for a in addresses if (until := self._avoided_until(server, a)) > now]
+        cooldown_ends += [state.avoided_until_ms for state in states if state.avoided_until_ms > now]
         is_stable = to_check is None and all(map(_is_stable, states))
-        until_ms = min(pauses, default=float("inf"))
-        self._plans[server] = _CachedPlan(plan, health.version(server), health.epoch, until_ms, is_stable)
+        valid_until_ms = min(cooldown_ends, default=float("inf"))
+        self._plans[server] = _CachedPlan(
+            plan, health.version(server), health.epoch, valid_until_ms, is_stable
+        )
         return plan
 
     def _order(
         self, server: str, addresses: Sequence[Address], now: float
     ) -> tuple[list[Address], list[Address]]:
-        """Addresses that may be dialled first, and those to fall back to, best first each.
+        """Returns the addresses that may be dialled first and the fallbacks, each best first.
 
-        Where several families are unproven and each already leads at its few servers, the last of them takes
-        all other servers: the better ones have been dialled, and lead again a round trip later if they work.
-        Broken families come after these, and addresses that failed last, the soonest due first."""
+        If several families are unproven and each is already dialled first at the allowed number of servers,
+        the last of these families is dialled first at all other servers: the better families are being tried,
+        and are dialled first again one round trip later if they work. Broken families come after these.
+        Addresses that failed come last, ordered by the end of their cooldowns."""
         health = self.health
         ordered = sort_addresses(
             addresses,
@@ -153,42 +157,46 @@
             self._connect_ms(server),
             self.options.first_family_count,
         )
-        leads = {a.family: health.may_family_lead(a.family, server, now) for a in addresses}
+        may_be_first = {a.family: health.may_dial_family_first(a.family, server, now) for a in addresses}
         avoided = [a for a in ordered if health.is_avoided(server, a)]
         avoided.sort(key=lambda a: self._avoided_until(server, a))
         usable = [a for a in ordered if not health.is_avoided(server, a)]
-        places = {family: place for place, family in enumerate(dict.fromkeys(a.family for a in ordered))}
-        doubtful = [a for a in usable if not leads[a.family]]
-        doubtful.sort(key=lambda a: (health.is_family_broken(a.family), -places[a.family]))
-        return [a for a in usable if leads[a.family]], [*doubtful, *avoided]
+        family_order = {
+            family: index for index, family in enumerate(dict.fromkeys(a.family for a in ordered))
+        }
+        not_first = [a for a in usable if not may_be_first[a.family]]
+        not_first.sort(key=lambda a: (health.is_family_broken(a.family), -family_order[a.family]))
+        return [a for a in usable if may_be_first[a.family]], [*not_first, *avoided]
 
     def _connect_ms(self, server: str) -> Callable[[Address], float | None]:
         return lambda address: self.health.connect_ms(server, address)
 
     def _avoided_until(self, server: str, address: Address) -> float:
-        known = self.health.of(server, address)
-        return known.until_ms if known is not None else 0.0
+        address_health = self.health.get(server, address)
+        return address_health.avoided_until_ms if address_health is not None else 0.0
 
     def delay_ms(self, server: str, first: Address) -> float:
-        """Time to the second dial, RFC 8305 section 5: learnt from connect times, within the file's
-        bounds."""
-        usual = self.health.usual_ms(server, first)
-        if usual is None:
+        """The time to the second dial (RFC 8305 section 5), from observed connect times and within the bounds
+        of the operator's file."""
+        upper_ms = self.health.upper_connect_ms(server, first)
+        if upper_ms is None:
             return self.options.delay_first_ms
-        return min(max(2.0 * usual, self.options.delay_least_ms), self.options.delay_most_ms)
+        return min(max(2.0 * upper_ms, self.options.delay_least_ms), self.options.delay_most_ms)
 
-    # --- what connections report
+    # --- reports of connections
 
-    def stalled(self, server: str, address: Address, now: float, why: str = "STALLED") -> bool:
-        """A connection took bytes and brought no answer. Returns whether a better address can be dialled."""
+    def record_stall(self, server: str, address: Address, now: float, reason: str = "STALLED") -> bool:
+        """Records that a connection took bytes and sent no answer. Returns whether a better address can be
+        dialled."""
         if len(self.registry.addresses(server)) < 2 or self.registry.owner(address) != server:
             return False
-        self.health.stalled(server, address, now, why)
+        self.health.record_stall(server, address, now, reason)
         return not self.health.is_avoided(server, self.plan(server, now).addresses[0])
 
 
 def _is_stable(family: FamilyHealth) -> bool:
-    """An unproven family, or one with dials in flight, may start or stop leading with any dial anywhere."""
+    """Whether no single dial can change whether the family may be dialled first. Any dial at any server can,
+    if the family is unproven or has first dials in flight."""
     if family.is_broken():
         return True
-    return family.proven and not family.leading and not family.failed
+    return family.is_proven and not family.first_dials and not family.failed_servers
--- a/gladelane/endpoints/registry.py
+++ b/gladelane/endpoints/registry.py
@@ -1,12 +1,12 @@
-"""Registry of every listed server's addresses, and the one server that owns each address. Pure.
+"""Registry of the addresses of all listed servers, and of the one server that owns each address. Pure.
 
-Two servers may claim one address, most often when a new server has been given the address of one that is gone
-and the endpoint list is late. Exactly one owns it, by this rule; the first difference decides:
+Two servers may claim the same address, most often when a new server has the address of one that was removed
+and the endpoint list is late. Exactly one of them owns it. The first of these criteria that differs decides:
 
-1. a server in service before one that is draining;
-2. the server's own `hostPort` before a further listed address, and that before one added by a rule;
-3. the later start (`startedAtMs`): the later process took the port;
-4. the claim made later.
+1. A server in service precedes one that is draining.
+2. A server's own `hostPort` precedes a further listed address, which precedes an address added by a rule.
+3. The later start (`startedAtMs`) precedes the earlier one, since the later process took the port.
+4. The later claim precedes the earlier one.
 
 The other server keeps its remaining addresses, and gets this one back when its owner no longer claims it.
 """
@@ -21,10 +21,10 @@
 
 
 class RankedClaim(NamedTuple):
-    """One server's claim to an address; of several claims the greatest owns it.
+    """A server's claim to an address, comparable with others: the greatest claim owns the address.
 
-    negative_rank: `Claim.rank` negated, so that the server's own address is the largest; sequence: numbers
-    the claims in the order in which they were made, and is unchanged while a claim goes on."""
+    negative_rank: the negative of `Claim.rank`, so that a server's own address ranks highest; sequence: the
+    number of the claim in the order in which claims were made, unchanged as long as the claim continues."""
 
     is_ready: bool
     negative_rank: int
@@ -34,7 +34,7 @@
 
 
 class Conflict(NamedTuple):
-    """An address that a second server claims beside its owner."""
+    """An address that another server claims as well as its owner."""
 
     address: Address
     owner: str
@@ -42,11 +42,12 @@
 
 
 class Change(NamedTuple):
-    """What a change of the endpoint list means for connections and health.
+    """The effects of a change of the endpoint list on connections and health.
 
-    lost: (server, address) pairs that may no longer be used for that server; renewed: servers that left or
-    were restarted, whose health and connections end; gone: servers that left the list or stopped being in
-    service; conflicts, and errors as (server, message), are for the log."""
+    lost: (server, address) pairs, where the address may no longer be used for that server; renewed: servers
+    that left the list or were restarted, whose health and connections are dropped; gone: servers that left
+    the list or are no longer in service; conflicts and errors, the latter as (server, message), are
+    logged."""
 
     lost: tuple[tuple[str, Address], ...] = ()
     renewed: tuple[str, ...] = ()
@@ -56,7 +57,7 @@
 
 
 class _Update:
-    """One change of the registry while it is carried out."""
+    """The state of one change of the registry while it is applied."""
 
     def __init__(self) -> None:
         self.usable_before: dict[str, tuple[Address, ...]] = {}  # of each server that may be affected
@@ -65,15 +66,15 @@
 
 
 class AddressRegistry:
-    """Claims and owners of addresses, changed by endpoint lists and by an operator's rules."""
+    """Claims and owners of addresses, as given by the endpoint list and the operator's rules."""
 
     def __init__(self, rules: Rules | None = None) -> None:
         self.rules = rules or Rules()
         self._listed: dict[str, Listing] = {}
         self._claimed: dict[str, tuple[Address, ...]] = {}  # what each server claims, in listed order
-        self._usable: dict[str, tuple[Address, ...]] = {}  # what each server owns of that
-        self._preferences: dict[str, tuple[Preference, ...]] = {}  # where a rule set one for the server
-        self._claims: dict[Address, tuple[RankedClaim, ...]] = {}  # nearly always one
+        self._usable: dict[str, tuple[Address, ...]] = {}  # those of them that it owns
+        self._preferences: dict[str, tuple[Preference, ...]] = {}  # only of servers for which a rule sets one
+        self._claims: dict[Address, tuple[RankedClaim, ...]] = {}  # nearly always one per address
         self._owner: dict[Address, str] = {}
         self._claim_count = 0
 
@@ -81,12 +82,12 @@
         return len(self._listed)
 
     def addresses(self, server: str) -> tuple[Address, ...]:
-        """A server's usable addresses in listed order; empty if it is not listed or owns none of its
-        claims."""
+        """The addresses that a server owns, in listed order; empty if it is not listed or owns none."""
         return self._usable.get(server, ())
 
     def preferences(self, server: str) -> tuple[Preference, ...]:
-        """What a rule prefers for this server; empty: the operator's file holds for it as for all."""
+        """The preference that a rule sets for this server; empty if the general one of the operator's file
+        applies."""
         return self._preferences.get(server, ())
 
     def owner(self, address: Address) -> str | None:
@@ -94,8 +95,8 @@
         return self._owner.get(address)
 
     def update(self, listings: Iterable[Listing], gone: Iterable[str] = (), complete: bool = False) -> Change:
-        """Applies changed listings and servers that are gone; with `complete` the listings are all there
-        are."""
+        """Applies changed listings and removes the servers in `gone`. With `complete`, all servers without a
+        listing are removed as well."""
         changed = {listing.server: listing for listing in listings}
         listed = self._listed
         leaving = [s for s in listed if s not in changed] if complete else [s for s in gone if s in listed]
@@ -111,7 +112,8 @@
         return self._apply(changed, leaving, tuple(renewed), tuple(stopped))
 
     def replace_rules(self, rules: Rules) -> Change:
-        """Applies new rules to every listed server as one change; claims that go on keep their sequence."""
+        """Applies new rules to every listed server as one change. Claims that continue keep their
+        sequence."""
         self.rules = rules
         return self._apply(dict(self._listed), (), (), ())
 
@@ -136,8 +138,8 @@
         return Change(lost, renewed, gone, conflicts, tuple(update.errors))
 
     def _replace_claims(self, listing: Listing, is_renewed: bool, update: _Update) -> None:
-        """Takes a server's listing. A claim that goes on keeps its sequence, unless the server was
-        renewed."""
+        """Replaces a server's listing and claims. A claim that continues keeps its sequence, unless the
+        server was renewed."""
         server = listing.server
         sequences = {address: claim.sequence for address, claim in self._remove_claims(server, update)}
         self._listed[server] = listing
@@ -155,7 +157,7 @@
             update.touched[address] = None
 
     def _remove_claims(self, server: str, update: _Update) -> list[tuple[Address, RankedClaim]]:
-        """Removes all that a server claims, and returns it."""
+        """Removes and returns all claims of a server."""
         update.usable_before.setdefault(server, self._usable.get(server, ()))
         removed = []
         for address in self._claimed.pop(server, ()):
@@ -166,7 +168,8 @@
         return removed
 
     def _elect_owners(self, update: _Update) -> tuple[Conflict, ...]:
-        """Elects the owner of each touched address anew; conflicts are those that are new or go on."""
+        """Determines the owner of each address whose claims changed. Returns their new and continuing
+        conflicts."""
         conflicts = []
         for address in update.touched:
             claims = self._claims[address]
--- a/gladelane/endpoints/rules.py
+++ b/gladelane/endpoints/rules.py
@@ -1,8 +1,8 @@
-"""Rules for the addresses of servers: each has its `hostPort` and `addresses`, then an operator's rules
-apply.
+"""Rules by which operators change the addresses that the endpoint list gives for a server. Pure.
 
-A rule matches by id glob, zone, kind, or network of `hostPort`, and does one thing: adds addresses, replaces
-all, or sets an order by family and network. Its addresses may be templates. Pure.
+A server starts with its `hostPort` and `addresses`; then the rules apply in order. A rule matches servers by
+a glob of the id, by zone, by kind, or by the network of `hostPort`. It adds addresses, replaces all
+addresses, or sets an order by family and network. Its addresses may be templates.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 from .address import Address, Family, InvalidAddressError, parse
 
-MAX_ADDRESSES = 16  # of one server
+MAX_ADDRESSES = 16  # per server
 VARIABLES = ("id", "zone", "kind", "cell", "host", "port", "octet1", "octet2", "octet3", "octet4")
 _VARIABLE = re.compile(r"\{([^{}]*)\}")
-#: A template is expanded with these when the file is read, so that a malformed one is reported then.
+#: Values with which a template is expanded when the file is read, so that a malformed one is reported then.
 _SAMPLE = {
     "id": "s-1", "zone": "z", "kind": "k", "cell": "1", "host": "10.1.2.3", "port": "4100",
     "octet1": "10", "octet2": "1", "octet3": "2", "octet4": "3",
@@ -27,7 +27,8 @@
 
 
 class Listing(msgspec.Struct, frozen=True):
-    """One server of the endpoint list, as far as its addresses go; started_ms is Unix time in ms."""
+    """A server of the endpoint list with the fields that determine its addresses. started_ms is Unix time in
+    ms."""
 
     server: str
     host_port: str
@@ -40,13 +41,13 @@
 
 
 class Network(NamedTuple):
-    """A prefix: the packed first address and how many bits of it count."""
+    """A network prefix: its packed first address and its length in bits."""
 
     packed: bytes
     bits: int
 
     def contains(self, packed: bytes) -> bool:
-        """Whether a packed address is in this network; never one of another family."""
+        """Whether a packed address is in this network. An address of another family never is."""
         if len(packed) != len(self.packed):
             return False
         shift = len(packed) * 8 - self.bits
@@ -57,10 +58,10 @@
 
 
 class Rule(msgspec.Struct, frozen=True):
-    """One rule of the operator's file, checked; exactly one of add, replace and order is not empty.
+    """One validated rule of the operator's file. Exactly one of add, replace and order is not empty.
 
-    glob, zone, kind and network say which servers it matches, where they are given; last: no rule after it
-    applies to a server that it matched."""
+    glob, zone, kind and network: conditions for a server to match, those that are not empty; last: no later
+    rule applies to a server that this rule matched."""
 
     name: str
     glob: str = ""
@@ -73,7 +74,8 @@
     last: bool = False
 
     def matcher(self) -> Callable[[Listing, Address | None], bool]:
-        """A predicate of a server and its own address. A glob is compiled once a rule, not once a server."""
+        """Returns a predicate of a server and its own address. The glob is compiled once, not once per
+        server."""
         glob = re.compile(fnmatch.translate(self.glob)).match if self.glob else None
 
         def matches(listing: Listing, own: Address | None) -> bool:
@@ -87,7 +89,8 @@
 
 
 class RuleStep(NamedTuple):
-    """The outcome of one rule: addresses and preference after it, and errors about what could not be used."""
+    """The result of one rule: the addresses and the preference after it, and errors about unusable
+    addresses."""
 
     rule: str
     addresses: tuple[Address, ...]
@@ -99,16 +102,17 @@
 
 
 class Claim(NamedTuple):
-    """An address at which a server should be reached.
+    """An address at which a server should be reachable.
 
-    rank: OWN_RANK its `hostPort`, LISTED_RANK listed beside that, RULE_RANK added by a rule."""
+    rank: OWN_RANK for its `hostPort`, LISTED_RANK for a further listed address, RULE_RANK for one added by a
+    rule."""
 
     address: Address
     rank: int
 
 
 class ServerClaims(NamedTuple):
-    """A server's claims in listed order, MAX_ADDRESSES at most; its own preference, if a rule set one; and an
+    """A server's claims in listed order, MAX_ADDRESSES at most, its preference if a rule sets one, and an
     error for each address or rule that could not be used."""
 
     claims: tuple[Claim, ...]
@@ -117,31 +121,33 @@
 
 
 def check_template(text: str) -> None:
-    """Raises InvalidAddressError if no server could make an address of a template."""
+    """Raises InvalidAddressError if a template cannot give an address for any server."""
     for name in _VARIABLE.findall(text):
         if name not in VARIABLES:
             raise InvalidAddressError(text, f"unknown variable {{{name}}}, known are {', '.join(VARIABLES)}")
-    parse(_VARIABLE.sub(lambda found: _SAMPLE[found[1]], text))
+    parse(_VARIABLE.sub(lambda match: _SAMPLE[match[1]], text))
 
 
 def expand(template: str, listing: Listing, own: Address | None) -> Address:
-    """The address that a template gives for a server, with its own address `own` if that is valid.
+    """Returns the address that a template gives for a server. `own` is the server's own address, or None if
+    that is invalid.
 
-    Raises InvalidAddressError if the server lacks what the template names, or it gives no address."""
+    Raises InvalidAddressError if the server lacks a variable of the template, or the result is not an
+    address."""
     if "{" not in template:
         return parse(template)
     values = {"id": listing.server, "zone": listing.zone, "kind": listing.kind, "cell": str(listing.site)}
     if own is not None and own.family is not Family.UNIX:
         values |= {"host": own.host, "port": str(own.port)}
         if own.family is Family.V4:
-            values |= {f"octet{place}": part for place, part in enumerate(own.host.split("."), 1)}
+            values |= {f"octet{number}": octet for number, octet in enumerate(own.host.split("."), 1)}
 
-    def value(found: re.Match[str]) -> str:
-        text = values.get(found[1])
+    def value(match: re.Match[str]) -> str:
+        text = values.get(match[1])
         if text is None:
-            raise InvalidAddressError(template, f"server {listing.server} has no {found[1]}")
-        if "/" in text or ".." in text:  # a listed name must not lead out of a socket's folder
-            raise InvalidAddressError(template, f"{found[1]} of server {listing.server} holds / or ..")
+            raise InvalidAddressError(template, f"server {listing.server} has no {match[1]}")
+        if "/" in text or ".." in text:  # a listed name must not select a socket in another folder
+            raise InvalidAddressError(template, f"{match[1]} of server {listing.server} holds / or ..")
         return text
 
     return parse(_VARIABLE.sub(value, template))
@@ -155,20 +161,21 @@
         self._compiled = [(rule, rule.matcher()) for rule in rules]
 
     def claims(self, listing: Listing) -> ServerClaims:
-        """A server's addresses after all rules."""
+        """Returns a server's addresses after all rules."""
         steps, ranks = self._run(listing)
         return ServerClaims(
             tuple(Claim(address, ranks[address]) for address in steps[-1].addresses),
             steps[-1].prefer,
-            tuple(line for step in steps for line in step.errors),
+            tuple(error for step in steps for error in step.errors),
         )
 
     def explain(self, listing: Listing) -> list[RuleStep]:
-        """How a server got its addresses: the endpoint list first, then each rule that matched."""
+        """Returns how a server got its addresses: a step for the endpoint list, then one for each matching
+        rule."""
         return self._run(listing)[0]
 
     def _run(self, listing: Listing) -> tuple[list[RuleStep], dict[Address, int]]:
-        """The steps to a server's addresses, and the rank of each address in them."""
+        """Returns the steps to a server's addresses, and the rank of each address that occurs in them."""
         first, own, ranks = _listed_step(listing)
         steps = [first]
         for rule, matches in self._compiled:
@@ -181,19 +188,19 @@
 
 
 def _listed_step(listing: Listing) -> tuple[RuleStep, Address | None, dict[Address, int]]:
-    """What the endpoint list gives: the first step, the server's own address if it is valid, and ranks."""
+    """Returns the step for the endpoint list, the server's own address if it is valid, and the ranks."""
     ranks: dict[Address, int] = {}
     own: Address | None = None
     errors: list[str] = []
-    for place, text in enumerate((listing.host_port, *listing.addresses)):
+    for index, text in enumerate((listing.host_port, *listing.addresses)):
         try:
             address = parse(text)
         except InvalidAddressError as error:
             errors.append(str(error))
             continue
-        if place == 0:
+        if index == 0:
             own = address
-        ranks.setdefault(address, OWN_RANK if place == 0 else LISTED_RANK)
+        ranks.setdefault(address, OWN_RANK if index == 0 else LISTED_RANK)
     addresses, excess = _limit(tuple(ranks))
     return RuleStep("the board's list", addresses, errors=(*errors, *excess)), own, ranks
 
@@ -201,7 +208,7 @@
 def _apply_rule(
     rule: Rule, listing: Listing, own: Address | None, before: RuleStep, ranks: dict[Address, int]
 ) -> RuleStep:
-    """The step of a rule that matches. Ranks are added for addresses that only the rule gives."""
+    """Returns the step for a matching rule. Adds ranks for addresses that only this rule gives."""
     if rule.order:
         return RuleStep(rule.name, before.addresses, rule.order)
     expanded: list[Address] = []
@@ -222,15 +229,15 @@
 
 
 def preference(address: Address, order: Sequence[Preference]) -> int:
-    """The index of the first entry of an order that matches an address; its length if none does."""
-    for place, entry in enumerate(order):
+    """Returns the index of the first entry of `order` that matches an address, or its length if none does."""
+    for index, entry in enumerate(order):
         if entry is address.family or (isinstance(entry, Network) and entry.contains(address.packed)):
-            return place
+            return index
     return len(order)
 
 
 def _limit(addresses: tuple[Address, ...]) -> tuple[tuple[Address, ...], tuple[str, ...]]:
-    """The first MAX_ADDRESSES, and an error if there are more."""
+    """Returns the first MAX_ADDRESSES addresses, and an error if there are more."""
     if len(addresses) <= MAX_ADDRESSES:
         return addresses, ()
     return addresses[:MAX_ADDRESSES], (
--- a/gladelane/hot_restart/coordinator.py
+++ b/gladelane/hot_restart/coordinator.py
@@ -138,7 +138,7 @@
         else:  # the document is from another boot or an older version
             self._director.keys.take_over_undated(document.keys, self._clock.now())
         if document.draining_since_ms:
-            self._client_listener.drain.fail(document.draining_since_ms)
+            self._client_listener.drain.request_drain(document.draining_since_ms)
 
     def take_over(self) -> None:
         """Applies the discovery events and learned state of the predecessor. This process's settings must
@@ -220,7 +220,7 @@
         if self._write_handover(learned_state):
             return Offer(listener)
         undo_split(self._director.router, learned_state)
-        register, is_draining = self._director.register, bool(self._client_listener.drain.failed_ms)
+        register, is_draining = self._director.register, bool(self._client_listener.drain.requested_ms)
         stored = self._file.read(self._name)  # the file that the new process reads
         missing = missing_requests(stored, register.out, register.back, is_draining)
         return Offer(listener, request_messages(missing))
@@ -278,7 +278,7 @@
             now,
             dict(director.register.out),
             dict(director.register.back),
-            self._client_listener.drain.failed_ms,
+            self._client_listener.drain.requested_ms,
             director.rev,
             director.watch_events(),
             director.keys.snapshot(now),
--- a/gladelane/net/cache_connection.py
+++ b/gladelane/net/cache_connection.py
@@ -221,7 +221,7 @@
         """Reports the address as bad; returns whether there is another one to dial."""
         if self.address is None:
             return False
-        return self.pool.endpoints.stalled(self.store, self.address, self.pool.clock(), why)
+        return self.pool.endpoints.record_stall(self.store, self.address, self.pool.clock(), why)
 
     # --- dialling and reading
 
@@ -272,7 +272,7 @@
         try:
             while data := await self.reader.read(READ_BYTES):
                 if not self.attempts.responses.heard_ms and self.address is not None:
-                    self.pool.endpoints.health.answered(self.store, self.address)
+                    self.pool.endpoints.health.record_answer(self.store, self.address)
                 self.attempts.responses.record_read(self.pool.clock())
                 self.attempts.count_written()
                 for reply in self.decoder.feed(data):
--- a/gladelane/net/client_connection.py
+++ b/gladelane/net/client_connection.py
@@ -91,7 +91,7 @@
 
     def answered(self) -> None:
         """A request was answered."""
-        if self.front.drain.is_on:
+        if self.front.drain.is_draining:
             self.send_goaway()  # to a client that was accepted while the director drains
         self._shut_if_done()
 
@@ -206,7 +206,7 @@
             self.requests.take(frame, slow, self._came_ms)
         elif frame.type == Type.ASK_READY:
             self.proven = True
-            self.send(encode_ready(frame.stream, self.front.drain.ready))
+            self.send(encode_ready(frame.stream, self.front.drain.is_ready))
         else:
             log.warning("unexpected frame type=%d stream=%d", frame.type, frame.stream)
             self.send(encode_answer(0, FAILED))
--- a/gladelane/net/director.py
+++ b/gladelane/net/director.py
@@ -80,7 +80,7 @@
         self.more: Callable[[], list[tuple[str, int]]] = list  # metrics of parts that operators switched on
         self.rev = 0  # of the latest watch event that was applied
         self.metrics = Metrics()
-        self.metrics.know(settings.classes)
+        self.metrics.add_classes(settings.classes)
         self.register = MaintenanceRegister()
         self.keys = KeyWindows(retention_for(settings.classes.values()), keys_most)
         self.endpoint_list = EndpointList(self.register)
@@ -194,14 +194,14 @@
             member.state is not State.READY or (name in stores and stores[name].resting(now))
             for name, member in listed.items()
         )
-        return self.metrics.lines(len(listed), down, self.more())
+        return self.metrics.render(len(listed), down, self.more())
 
     def retune(self, settings: Settings) -> None:
         """Changes the settings for requests that come from now on; open ones keep theirs."""
         self.settings = settings
         # an attempt under the old settings may be open: never shorter than was promised for it
         self.keys.retention_ms = max(self.keys.retention_ms, retention_for(settings.classes.values()))
-        self.metrics.know(settings.classes)
+        self.metrics.add_classes(settings.classes)
         self.list_changes.refresh_view()
         self.router.retune(settings)
 
--- a/gladelane/server.py
+++ b/gladelane/server.py
@@ -216,7 +216,7 @@
             *self.config.discovery, lambda: self.director.rev, self.director.apply_watch_event, rng
         )
         if self.audit is not None:
-            client.heard, client.steady = self.audit.lease.renew_list, self.audit.steady_ms
+            client.on_received, client.steady_clock = self.audit.lease.renew_list, self.audit.steady_ms
         self._discovery_task = asyncio.create_task(client.run())
 
     def _share_admin_request(self, request: AdminRequest) -> Future[None] | None:
--- a/gladelane/structures/rendezvous.py
+++ b/gladelane/structures/rendezvous.py
@@ -23,12 +23,12 @@
 Item = TypeVar("Item")
 
 MASK = (1 << 64) - 1
-HASH_BITS, LANE_BITS = 64, 128  # a hash is in the lower half of its lane; products need the upper half too
-#: Members that pass their thresholds on average: hardly any request needs more.
+HASH_BITS, LANE_BITS = 64, 128  # a hash is in the lower half of its lane; products also need the upper half
+#: Average number of members that pass their thresholds. Hardly any request needs more.
 TOP_COUNT = 6
-#: Thresholds are rounded: the ranking may be incomplete for scores so close to the lowest one.
+#: Tolerance for rounded thresholds: below this multiple of the minimum score the ranking may be incomplete.
 MARGIN = 1.0 + 1e-9
-#: Keys whose ranks are cached.
+#: Number of keys whose ranks are cached.
 RECENT_KEYS = 2048
 _KEY_FACTOR, _FIRST_FACTOR, _SECOND_FACTOR = 0x9E3779B97F4A7C15, 0xBF58476D1CE4E5B9, 0x94D049BB133111EB
 
@@ -43,13 +43,13 @@
 
 
 def score(hashed: int, weight: float) -> float:
-    """A member's score for a key. The member with the greatest score ranks first, and each ranks first for a
-    share of the keys that equals its share of all weights."""
+    """A member's score for a key, from its hash and its weight. The greatest score ranks first. Each member
+    ranks first for a share of the keys that equals its share of the total weight."""
     return -weight / log((hashed + 1) / (MASK + 2))
 
 
 class RendezvousTable(Generic[Item]):
-    """The members, fixed once the table is made."""
+    """An immutable table of weighted members that ranks them for a key."""
 
     def __init__(self, items: Sequence[Item], salts: Sequence[int], weights: Sequence[float]) -> None:
         """For each member: the item, its salt (64 bits, a hash of the member's name) and its positive
@@ -67,7 +67,8 @@
         return len(self._items)
 
     def ranked(self, key: int) -> Iterator[Item]:
-        """All members by rank. Those after the first few are only ranked once the iteration reaches them."""
+        """Yields all members by rank. Those after the first few are only ranked when the iteration reaches
+        them."""
         top = self._recent.get(key)
         if top is None:
             top = self._recent[key] = self._rank_top(key)
@@ -84,7 +85,7 @@
         return int(exp(-weight / self._min_score) * (MASK + 2) / MARGIN)
 
     def _rank_top(self, key: int) -> tuple[Item, ...]:
-        """The first few members; by chance there may be none."""
+        """Returns the first few members by rank. By chance there may be none."""
         if len(self._items) <= TOP_COUNT:
             return tuple(self._rank(range(len(self._items)), key))
         return tuple(self._rank(self._candidates(key), key, MARGIN * self._min_score))
--- a/gladelane/structures/step_map.py
+++ b/gladelane/structures/step_map.py
@@ -1,9 +1,8 @@
-"""A map from integers to values that is constant over ranges, and whose values are only ever joined
-upwards.
+"""A map from integers to values that is constant over ranges, and in which a value changes by joins only.
 
-It consists of two parallel lists that are searched by bisection: a lookup costs the logarithm of the number
-of steps. A join over a range costs the number of steps inside it, which it merges where the result is equal,
-so that the newest wide range also cleans up.
+It consists of two parallel lists that are searched by bisection, so a lookup takes time logarithmic in the
+number of steps. A join over a range takes time linear in the number of steps inside it. It merges neighbours
+that become equal, so that a join over a wide range also reduces the number of steps.
 """
 
 from __future__ import annotations
@@ -18,7 +17,7 @@
 
 
 class StepMap(Generic[Value]):
-    """Maps each 64-bit integer to a value: `bottom` unless some value was joined there.
+    """Maps each 64-bit integer to a value, which is `bottom` until a value is joined there.
 
     `join` must be commutative, associative and idempotent (the join of a semilattice): then the map does not
     depend on the order of the calls.
@@ -34,14 +33,14 @@
         return len(self._starts)
 
     def at(self, key: int) -> Value:
-        """The value of one integer."""
+        """Returns the value of one integer."""
         return self._values[bisect_right(self._starts, key) - 1]
 
     def join(self, low: int, high: int, value: Value) -> None:
-        """Joins a value over `low` to `high`, both included. Raises ValueError for no range of 64-bit
-        integers."""
+        """Joins a value to the values from `low` to `high`, both included. Raises ValueError if this is not a
+        range of 64-bit integers."""
         if not 0 <= low <= high <= MAX_KEY:
-            raise ValueError(f"{low} to {high} is no range of numbers of 64 bits")
+            raise ValueError(f"{low} to {high} is not a range of 64-bit integers")
         index = bisect_right(self._starts, low) - 1
         if self._is_inside_step(index, low, high):
             self._join_inside_step(index, low, high, value)
@@ -52,15 +51,15 @@
         self._replace(first, last, [join(old, value) for old in self._values[first:last]])
 
     def within(self, low: int, high: int) -> list[Value]:
-        """The values of all steps that a range overlaps, both ends included."""
+        """Returns the values of all steps that overlap the range from `low` to `high`, both included."""
         return self._values[bisect_right(self._starts, low) - 1 : bisect_right(self._starts, high)]
 
     def update_values(self, change: Callable[[Value], Value]) -> None:
-        """Replaces every value by `change(value)`, and merges neighbours that became equal."""
+        """Replaces every value by `change(value)`, and merges neighbours that become equal."""
         self._replace(0, len(self._starts), [change(value) for value in self._values])
 
     def steps(self) -> Iterator[tuple[int, Value]]:
-        """Each step's start with its value, ascending."""
+        """Yields the start and the value of each step, in ascending order."""
         return zip(self._starts, self._values, strict=True)
 
     def _is_inside_step(self, index: int, low: int, high: int) -> bool:
@@ -70,7 +69,8 @@
         return index + 1 == len(self._starts) or self._starts[index + 1] > high + 1
 
     def _join_inside_step(self, index: int, low: int, high: int, value: Value) -> None:
-        """Splits one step into three. Nearly all joins are of this kind, so both splits are made at once."""
+        """Joins a value inside one step, which becomes three. Nearly all joins are of this kind, so both
+        splits are made in one operation."""
         old = self._values[index]
         new = self._join(old, value)
         if new != old:
@@ -78,7 +78,7 @@
             self._values[index + 1 : index + 1] = [new, old]
 
     def _split_at(self, key: int) -> int:
-        """The index of the step that starts at a key, which is created if there is none."""
+        """Returns the index of the step that starts at a key, and creates that step if there is none."""
         index = bisect_right(self._starts, key) - 1
         if self._starts[index] == key:
             return index
@@ -87,18 +87,18 @@
         return index + 1
 
     def _replace(self, first: int, last: int, values: list[Value]) -> None:
-        """Sets the values of the steps from `first` up to `last`, which is excluded, and merges equal
-        neighbours among them and at both ends."""
+        """Sets the values of the steps from `first` up to but excluding `last`, and merges equal neighbours
+        among them and at both ends."""
         merged_starts = array("Q")
         merged: list[Value] = []
         for start, value in zip(self._starts[first:last], values, strict=True):
-            before = merged[-1] if merged else self._values[first - 1] if first else None
-            if (merged or first) and value == before:
+            previous = merged[-1] if merged else self._values[first - 1] if first else None
+            if (merged or first) and value == previous:
                 continue
             merged_starts.append(start)
             merged.append(value)
-        end = merged[-1] if merged else self._values[first - 1]
-        if last < len(self._values) and self._values[last] == end:
+        last_value = merged[-1] if merged else self._values[first - 1]
+        if last < len(self._values) and self._values[last] == last_value:
             last += 1
         self._starts[first:last] = merged_starts
         self._values[first:last] = merged
--- a/tests/fleet/test_many_directors.py
+++ b/tests/fleet/test_many_directors.py
@@ -5,7 +5,7 @@
 
 from conftest import Driver, some
 
-from gladelane.discovery.client import BACKOFF_MOST_S, BACKOFF_S
+from gladelane.discovery.client import BACKOFF_MAX_S, BACKOFF_FIRST_S
 from gladelane.routing.events import Fetch, ListKind, Member, Note, Status, Timer
 from gladelane.routing.router import Router
 from gladelane.structures.backoff import Backoff
@@ -90,17 +90,17 @@
 
 def test_directors_whose_board_ends_at_one_moment_do_not_call_again_as_one() -> None:
     # 40 feeds fell silent at once, and 40 calls came back in one tick
-    backoffs = [Backoff(random.Random(seed), BACKOFF_S, BACKOFF_MOST_S) for seed in range(40)]
+    backoffs = [Backoff(random.Random(seed), BACKOFF_FIRST_S, BACKOFF_MAX_S) for seed in range(40)]
     due = [0.0] * 40
     calls: list[float] = []
     for n, backoff in enumerate(backoffs):
         while due[n] < 60.0:
             due[n] += (wait := backoff.after(succeeded=False))
-            assert wait * 2 > BACKOFF_S and wait <= BACKOFF_MOST_S
+            assert wait * 2 > BACKOFF_FIRST_S and wait <= BACKOFF_MAX_S
             calls.append(due[n])
     in_tick = [sum(int(t / 0.02) == tick for t in calls) for tick in range(3000)]
     assert max(in_tick) < 15  # of 40
-    assert len(calls) / 40 <= 60.0 / (BACKOFF_MOST_S * 0.5) + 2  # a minute, each
+    assert len(calls) / 40 <= 60.0 / (BACKOFF_MAX_S * 0.5) + 2  # a minute, each
 
 
 def test_repeats_of_all_directors_stay_a_part_of_first_attempts_while_everything_is_refused() -> None:
--- a/tests/golden/test_admin_endpoint.py
+++ b/tests/golden/test_admin_endpoint.py
@@ -103,12 +103,12 @@
 
 def test_the_lines_of_figures_with_those_of_further_parts() -> None:
     metrics = Metrics()
-    metrics.know(["film"])
+    metrics.add_classes(["film"])
     metrics.answered("film", 0)
     metrics.answered("film", 1)
     metrics.answered("film", 2)
     metrics.answered(None, 2)
-    assert metrics.lines(5, 1, [("more.words", 7)]) == (
+    assert metrics.render(5, 1, [("more.words", 7)]) == (
         "director.calls.film.success=1\ndirector.calls.film.busy=1\ndirector.calls.film.failure=1\n"
         "director.inflight=0\ndirector.backend_calls=0\ndirector.hosts_listed=5\ndirector.hosts_down=1\n"
         "director.reconfig_ok=0\ndirector.reconfig_failed=0\ndirector.withdrawn=0\ndirector.unusable=1\n"
--- a/tests/hot_restart/test_handover_faults.py
+++ b/tests/hot_restart/test_handover_faults.py
@@ -70,7 +70,7 @@
         router=SimpleNamespace(cold=SimpleNamespace(parts=1)),
     )
     client_listener: Any = SimpleNamespace(
-        cap=1, max_buffered_bytes=1.0, drain=SimpleNamespace(failed_ms=0.0)
+        cap=1, max_buffered_bytes=1.0, drain=SimpleNamespace(requested_ms=0.0)
     )
     pool: Any = SimpleNamespace(cap=1)
 
@@ -126,7 +126,7 @@
             refuse_keyed_until=self._refuse_keyed_until,
         )
         self.client_listener: Any = SimpleNamespace(
-            cap=1, max_buffered_bytes=1.0, drain=SimpleNamespace(failed_ms=0.0), listener=listener
+            cap=1, max_buffered_bytes=1.0, drain=SimpleNamespace(requested_ms=0.0), listener=listener
         )
         admin_handler: Any = SimpleNamespace(apply_from_peer=self.received_requests.append)
         pool: Any = SimpleNamespace(cap=1, shrink=lambda limit: None)
--- a/tests/net/test_beyond_crossing.py
+++ b/tests/net/test_beyond_crossing.py
@@ -43,7 +43,7 @@
         case Ending.NEVER_ASKED:
             conn.sweep(conn.born_ms + 2_100.0)
         case Ending.DRAIN:
-            node.front.drain.fail(now)
+            node.front.drain.request_drain(now)
             conn.goaway_ms = now - 400.0
             conn.sweep(now)
         case Ending.CAP:
--- a/tests/net/test_beyond_discovery.py
+++ b/tests/net/test_beyond_discovery.py
@@ -169,7 +169,7 @@
             assert await asked(client, 1) == 0
             assert len(other.seen) == before + 1 and "accept" in other.seen[-1][1]
             # each call comes a backoff after the last at the soonest, half of it by chance
-            assert calls < OUTAGE_S / (board_module.BACKOFF_MOST_S / 2)
+            assert calls < OUTAGE_S / (board_module.BACKOFF_MAX_S / 2)
             client.writer.close()
             await discovery.become(State.REFUSES)
 
@@ -198,7 +198,7 @@
             await asyncio.sleep(0)
             turns.append(0)
         # an event may begin once the others have taken APPLY_S
-        assert sum(turns) >= 100 and max(turns) <= board_module.APPLY_S / 0.002 + 2
+        assert sum(turns) >= 100 and max(turns) <= board_module.APPLY_SLICE_S / 0.002 + 2
         await discovery.become(State.REFUSES)
 
 
@@ -216,7 +216,7 @@
         revisions.append(one.rev)
 
     board = DiscoveryClient(host, int(port), lambda: revisions[-1], slowly, random.Random(1))
-    board.heard = lambda _: heard_at.append(revisions[-1])
+    board.on_received = lambda _: heard_at.append(revisions[-1])
     task = asyncio.create_task(board.run())
     await until(lambda: heard_at and revisions[-1] == last)
     task.cancel()
--- a/tests/net/test_beyond_idle.py
+++ b/tests/net/test_beyond_idle.py
@@ -259,8 +259,8 @@
         assert await ask_once(node.port, 1, "film") == SERVED
         await rest(clock)
         cache.forget(Trouble.SILENT)
-        stalled: list[str] = []
-        node.endpoints.stalled = lambda store, *_: bool(stalled.append(store))  # type: ignore[method-assign, func-returns-value]
+        stalled_stores: list[str] = []
+        node.endpoints.record_stall = lambda store, *_: bool(stalled_stores.append(store))  # type: ignore[method-assign, func-returns-value]
         asked = []
         for number in range(2, 22):
             asked.append(asyncio.create_task(ask_once(node.port, number, "film")))
@@ -268,4 +268,4 @@
         codes = await asyncio.gather(*asked)
         # of those that came within a quarter of a second all but the first one have to wait it out
         assert codes.count(SERVED) >= 18
-        assert not stalled and len(cache.conns) == 2
+        assert not stalled_stores and len(cache.conns) == 2
--- a/tests/net/test_board_crossings.py
+++ b/tests/net/test_board_crossings.py
@@ -83,8 +83,8 @@
     async def scene() -> None:
         feed = Feed(endless(start, piece), told)
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(board_module, "SILENT_S", 0.3)
-            patch.setattr(board_module, "ANSWER_S", 0.3)
+            patch.setattr(board_module, "IDLE_TIMEOUT_S", 0.3)
+            patch.setattr(board_module, "HEADER_TIMEOUT_S", 0.3)
             async with running(config({"r0": REFUSED})) as (node, _):
                 board = DiscoveryClient(
                     *await feed.start(),
@@ -103,8 +103,8 @@
 def test_a_silence_a_dial_and_a_call_without_an_answer_stay_within_what_counts_as_told() -> None:
     # the protocol's 7 s, for a silence, a dial that never comes up, a call never answered, then one that is
     b = board_module
-    waits = b.BACKOFF_S + 2 * b.BACKOFF_S + b.BACKOFF_MOST_S
-    assert b.SILENT_S + b.DIAL_S + b.DIAL_S + b.ANSWER_S + waits < 7.0
+    waits = b.BACKOFF_FIRST_S + 2 * b.BACKOFF_FIRST_S + b.BACKOFF_MAX_S
+    assert b.IDLE_TIMEOUT_S + b.CONNECT_TIMEOUT_S + b.CONNECT_TIMEOUT_S + b.HEADER_TIMEOUT_S + waits < 7.0
 
 
 async def follow(node: Server, address: tuple[str, int]) -> None:
@@ -210,7 +210,7 @@
 
         feed = Feed(half, rest)
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(board_module, "SILENT_S", 0.3)
+            patch.setattr(board_module, "IDLE_TIMEOUT_S", 0.3)
             async with running(config({"c0": REFUSED, "r0": REFUSED})) as (node, _):
                 await follow(node, await feed.start())
                 await until(lambda: node.director.rev == 3)
@@ -239,11 +239,11 @@
 ) -> None:
     """Its timers run before its sockets are read. With an audit (`steady` has gone on) the watch is renewed
     all the same, and what was applied vouches for nothing."""
-    monkeypatch.setattr(board_module, "SILENT_S", 0.2)
+    monkeypatch.setattr(board_module, "IDLE_TIMEOUT_S", 0.2)
 
     @trial
     async def scene() -> None:
-        heard: list[int] = []
+        revisions: list[int] = []
         vouched: list[float] = []
         slept = asyncio.Event()
 
@@ -256,20 +256,20 @@
         feed = Feed(play)
         host, port = await feed.start()
         board = DiscoveryClient(
-            host, port, lambda: max(heard, default=0), lambda n: heard.append(n.rev), random.Random(1)
+            host, port, lambda: max(revisions, default=0), lambda n: revisions.append(n.rev), random.Random(1)
         )
         clock = [0.0]
-        board.steady, board.heard = lambda: clock[0], vouched.append
+        board.steady_clock, board.on_received = lambda: clock[0], vouched.append
         watch = asyncio.create_task(board.run())
-        await until(lambda: heard == [2])
+        await until(lambda: revisions == [2])
         writer = feed.writers[0]
         writer.write(event(3))
         time.sleep(0.5)  # the whole process, past the silence that ends a watch
         clock[0] += steady_ms
         marks = len(vouched)
         await asyncio.sleep(0)
-        await asyncio.sleep(board_module.UNREAD_S / 2)
-        assert heard == [2, 3] and feed.asked == [0]
+        await asyncio.sleep(board_module.UNREAD_READ_S / 2)
+        assert revisions == [2, 3] and feed.asked == [0]
         if steady_ms:
             await until(lambda: len(feed.asked) == 2)
             assert len(vouched) == marks or vouched[-1] >= steady_ms
--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -442,7 +442,7 @@
     async with running(config({"r0": REFUSED})) as (node, client):
         client.send(32, 5, encode_fields({}))
         assert (await client.next())[:3] == (33, 5, 0)
-        node.front.drain.fail(1.0)
+        node.front.drain.request_drain(1.0)
         node.front.send_goaway_to_all()
         assert (await client.next())[:2] == (48, 0)
         client.send(32, 6, encode_fields({}))
@@ -624,8 +624,8 @@
 
     feed = Feed([event(2), b"data: {broken\n\n", event(3)], [event(3), event(4)[:20]], [event(4)], [])
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(board_module, "SILENT_S", 0.5)
-        patch.setattr(board_module, "BACKOFF_S", 0.01)
+        patch.setattr(board_module, "IDLE_TIMEOUT_S", 0.5)
+        patch.setattr(board_module, "BACKOFF_FIRST_S", 0.01)
         async with running(config({"r0": REFUSED})) as (node, _):
             events = told(node.director)
             board = DiscoveryClient(
