--- a/gladelane/discovery/client.py
+++ b/gladelane/discovery/client.py
@@ -30,7 +30,7 @@
 HEADER_TIMEOUT_S = 1.2  # from the established connection to the end of the response's headers
 READ_BYTES = 65_536
 PROGRESS_BYTES = 1024  # this much of an unfinished line counts as progress: a long list is being received
-BACKOFF_FIRST_S, BACKOFF_MAX_S = 0.1, 0.4
+BACKOFF_START_S, BACKOFF_MAX_S = 0.1, 0.4
 #: The discovery service may be slow: after a watch that timed out while it was receiving, the next watch gets
 #: twice the timeout, up to these limits. The limit for the headers stays within the 7 s above.
 MAX_HEADER_TIMEOUT_S, MAX_LINE_TIMEOUT_S = 4.8, 20.0
@@ -137,7 +137,7 @@
         self.on_received: Callable[[float], None] | None = None
         self.steady_clock: Callable[[], float] = lambda: 0.0
         self._host, self._port = host, port
-        self._backoff = Backoff(rng, BACKOFF_FIRST_S, BACKOFF_MAX_S)
+        self._backoff = Backoff(rng, BACKOFF_START_S, BACKOFF_MAX_S)
         self._timeouts = WatchTimeouts()
         self._last_revision, self._apply_event = last_revision, apply_event
 
--- a/gladelane/endpoints/health.py
+++ b/gladelane/endpoints/health.py
@@ -292,7 +292,7 @@
         state.first_dials.pop(server, None)
         state.timing.add(elapsed_ms)
         if state.is_broken():
-            self._log_warning("address family recovered family=%s server=%s", family.value, server)
+            self._log_warning("family recovered family=%s server=%s", family.value, server)
         if not state.is_proven or state.failed_servers:
             self.epoch += 1
         state.recover()
@@ -322,9 +322,7 @@
             state.is_proven, state.failed_checks = False, 0.0
             state.avoided_until_ms = now + self.cooldowns.cooldown_ms(1.0, self.cooldowns.first_ms, self.rng)
             self.epoch += 1
-            self._log_warning(
-                "address family down family=%s servers=%d", family.value, len(state.failed_servers)
-            )
+            self._log_warning("family down family=%s servers=%d", family.value, len(state.failed_servers))
 
     def record_cancel(self, server: str, address: Address) -> None:
         """Records a dial that was closed without a result: its address was removed, or its connection is no
