--- a/benchmarks/addresses/dialing.py
+++ b/benchmarks/addresses/dialing.py
@@ -11,7 +11,7 @@
 from gladelane.endpoints.address import Family, parse
 from gladelane.endpoints.connect import Connect
 from gladelane.endpoints.dialer import Dialer, Timer
-from gladelane.endpoints.health import DialEnd
+from gladelane.endpoints.health import DialFailure
 from gladelane.endpoints.plan import Endpoints
 from gladelane.endpoints.rules import Listing
 
@@ -77,9 +77,9 @@
     dialer = Dialer(server, endpoints.plan(server, began_ms), endpoints, sockets, DIAL_MS)
     winner = await dialer.winner()
     elapsed_ms = sockets.clock() - began_ms
-    if isinstance(winner, DialEnd):
+    if isinstance(winner, DialFailure):
         raise RuntimeError(f"{server}: {winner.name}")
-    dialer.written()
+    dialer.start_writing()
     winner[0].close()
     dialer.close()
     return elapsed_ms
--- a/benchmarks/addresses/picks.py
+++ b/benchmarks/addresses/picks.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from gladelane.endpoints.health import DialEnd
+from gladelane.endpoints.health import DialFailure
 from gladelane.endpoints.plan import Endpoints, Options
 from gladelane.endpoints.rules import Listing
 
@@ -87,7 +87,7 @@
 def _learn(endpoints: Endpoints, server: str, place: int) -> None:
     address = endpoints.registry.addresses(server)[place % ADDRESSES]
     if place % REFUSED_EVERY:
-        endpoints.health.record_failure(server, address, DialEnd.REFUSED, float(place))
+        endpoints.health.record_failure(server, address, DialFailure.REFUSED, float(place))
     else:
         endpoints.health.record_connect(server, address, CONNECTED_MS)
 
--- a/gladelane/discovery/client.py
+++ b/gladelane/discovery/client.py
@@ -36,7 +36,7 @@
 MAX_HEADER_TIMEOUT_S, MAX_LINE_TIMEOUT_S = 4.8, 20.0
 #: For reading what arrived while the process was stopped: the event loop runs its timers before it reads its
 #: sockets.
-UNREAD_READ_S = 0.02
+BACKLOG_READ_S = 0.02
 APPLY_SLICE_S = 0.005  # longest time to apply events without a pause, so that a burst does not delay requests
 
 
@@ -216,7 +216,7 @@
             async with asyncio.timeout_at(due_s):
                 return await reader.read(READ_BYTES)
         except TimeoutError:
-            async with asyncio.timeout(UNREAD_READ_S):
+            async with asyncio.timeout(BACKLOG_READ_S):
                 return await reader.read(READ_BYTES)
 
     def _report_received(self, sent_after_ms: float | None) -> None:
--- a/gladelane/endpoints/connect.py
+++ b/gladelane/endpoints/connect.py
@@ -11,7 +11,7 @@
 
 from ..sockets import close_socket
 from .address import Address, Family
-from .health import DialEnd
+from .health import DialFailure
 
 OUT_OF_SOCKETS_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 #: Results of connect(2) while it continues: the socket becomes writable once it has connected or failed.
@@ -19,13 +19,13 @@
 _SOCKET_FAMILIES = {Family.V4: socket.AF_INET, Family.V6: socket.AF_INET6, Family.UNIX: socket.AF_UNIX}
 
 
-OnDone = Callable[[socket.socket | None, DialEnd | None], None]  # a connected socket, or how the dial ended
+OnDone = Callable[[socket.socket | None, DialFailure | None], None]  # a connected socket or a failure
 
 
-def _dial_end(code: int) -> DialEnd:
+def _dial_failure(code: int) -> DialFailure:
     if code == errno.ECONNREFUSED:
-        return DialEnd.REFUSED
-    return DialEnd.NO_SOCKET if code in OUT_OF_SOCKETS_ERRNOS else DialEnd.UNREACHABLE
+        return DialFailure.REFUSED
+    return DialFailure.NO_SOCKET if code in OUT_OF_SOCKETS_ERRNOS else DialFailure.UNREACHABLE
 
 
 class Connect:
@@ -68,7 +68,7 @@
             return
         if sock is not None:
             close_socket(sock)
-        self.on_done(None, _dial_end(code))
+        self.on_done(None, _dial_failure(code))
 
     def _unwatch(self) -> None:
         if self._is_watched and self.sock is not None:
--- a/gladelane/endpoints/dialer.py
+++ b/gladelane/endpoints/dialer.py
@@ -13,7 +13,7 @@
 from .address import Address
 from .connect import Connect
 from .happy_eyeballs import Action, Command, DialState, HappyEyeballs, Phase
-from .health import FAMILY_ENDS, DialEnd
+from .health import FAMILY_FAILURES, DialFailure
 from .plan import Endpoints, Plan
 
 
@@ -43,9 +43,9 @@
 class Dialer:
     """One connect to a server. `winner` returns the socket that connected first, or how the connect failed.
 
-    The caller then calls `written` before it writes the first byte to the winner. If the winner is closed
-    before that, it calls `winner_died` and awaits `winner` again. `close` ends the connect at any time. All
-    sockets except the first are taken from the budget."""
+    The caller then calls `start_writing` before it writes the first byte to the winner. If the winner is
+    closed before that, it calls `replace_winner` and awaits `winner` again. `close` ends the connect at
+    any time. All sockets except the first are taken from the budget."""
 
     def __init__(
         self, server: str, plan: Plan, endpoints: Endpoints, budget: Budget, timeout_ms: float
@@ -57,7 +57,7 @@
         self.machine = HappyEyeballs(len(plan.addresses), now, plan.delay_ms, timeout_ms)
         self._family_count = len({address.family for address in plan.addresses})
         self._connects: dict[int, Connect] = {}
-        self._ends: dict[int, DialEnd] = {}
+        self._failures: dict[int, DialFailure] = {}
         self._timer: Timer | None = None
         self._extra_sockets = 0
         self._winner_started_ms = 0.0
@@ -65,7 +65,7 @@
         self._winner: tuple[socket.socket, Address] | None = None
         self._execute(self.machine.start(now))
 
-    async def winner(self) -> tuple[socket.socket, Address] | DialEnd:
+    async def winner(self) -> tuple[socket.socket, Address] | DialFailure:
         """Returns the connected socket and its address, or how the connect failed. Closes all sockets if it
         is cancelled."""
         try:
@@ -75,18 +75,19 @@
             raise
         self._result = asyncio.get_running_loop().create_future()
         if index < 0 or self._winner is None:
-            return self._combined_end()
+            return self._combined_failure()
         winner, self._winner = self._winner, None
         return winner
 
-    def written(self) -> None:
+    def start_writing(self) -> None:
         """Must be called before the first byte of a request is written. From then on nothing is dialled."""
-        self.machine.written()
+        self.machine.start_writing()
 
-    def winner_died(self) -> None:
-        """Reports that the winner was reset or closed before the first byte. The caller closes its socket."""
+    def replace_winner(self) -> None:
+        """Dials the other addresses after the winner was reset or closed before the first byte. The caller
+        closes the winner's socket."""
         index = next(n for n, state in enumerate(self.machine.states) if state is DialState.WON)
-        self._record_failure(index, DialEnd.DIED)
+        self._record_failure(index, DialFailure.DIED)
         self._execute(self.machine.winner_lost(index, self.budget.clock()))
 
     def remove_address(self, address: Address) -> None:
@@ -144,13 +145,13 @@
         is_dial_due = now >= self.machine.next_ms and DialState.WAITING in self.machine.states
         self._execute(self.machine.wake(now, self.budget.spare_sockets() if is_dial_due else 0))
 
-    # --- ends of dials
+    # --- results of dials
 
-    def _on_done(self, index: int, sock: socket.socket | None, end: DialEnd | None) -> None:
+    def _on_done(self, index: int, sock: socket.socket | None, failure: DialFailure | None) -> None:
         del self._connects[index]
         now, started_ms = self.budget.clock(), self.machine.started_ms[index]
         if sock is None:
-            self._record_failure(index, end or DialEnd.UNREACHABLE)
+            self._record_failure(index, failure or DialFailure.UNREACHABLE)
             self._execute(self.machine.failed(index, now))
             return
         self._winner, self._winner_started_ms = (sock, self.addresses[index]), started_ms
@@ -160,9 +161,9 @@
 
     def _record_lost_families(self, winner: int, now: float) -> None:
         """Records a failure of each family whose dials were lost while a dial of another family connected."""
-        for index, end in self._ends.items():
+        for index, failure in self._failures.items():
             family = self.addresses[index].family
-            if end in FAMILY_ENDS and family is not self.addresses[winner].family:
+            if failure in FAMILY_FAILURES and family is not self.addresses[winner].family:
                 self.endpoints.health.record_family_failure(self.server, family, now)
 
     def _record_closed(self, index: int, now: float) -> None:
@@ -171,20 +172,20 @@
         machine, started_ms = self.machine, self.machine.started_ms[index]
         had_full_delay = now - started_ms >= machine.delay_ms
         if machine.phase is Phase.LOST and now >= machine.end_ms:
-            self._record_failure(index, DialEnd.TIMED_OUT)
+            self._record_failure(index, DialFailure.TIMED_OUT)
         elif machine.phase is Phase.WON and started_ms < self._winner_started_ms and had_full_delay:
-            self._record_failure(index, DialEnd.OVERTAKEN)
+            self._record_failure(index, DialFailure.OVERTAKEN)
         else:
             self.endpoints.health.record_cancel(self.server, self.addresses[index])
 
-    def _record_failure(self, index: int, end: DialEnd) -> None:
-        self._ends[index] = end
-        self.endpoints.health.record_failure(self.server, self.addresses[index], end, self.budget.clock())
+    def _record_failure(self, index: int, failure: DialFailure) -> None:
+        self._failures[index] = failure
+        self.endpoints.health.record_failure(self.server, self.addresses[index], failure, self.budget.clock())
 
-    def _combined_end(self) -> DialEnd:
+    def _combined_failure(self) -> DialFailure:
         """How the connect as a whole failed."""
-        ends = set(self._ends.values())
-        for end in (DialEnd.NO_SOCKET, DialEnd.TIMED_OUT, DialEnd.DIED):
-            if end in ends:
-                return end
-        return DialEnd.REFUSED if ends == {DialEnd.REFUSED} else DialEnd.UNREACHABLE
+        failures = set(self._failures.values())
+        for failure in (DialFailure.NO_SOCKET, DialFailure.TIMED_OUT, DialFailure.DIED):
+            if failure in failures:
+                return failure
+        return DialFailure.REFUSED if failures == {DialFailure.REFUSED} else DialFailure.UNREACHABLE
--- a/gladelane/endpoints/happy_eyeballs.py
+++ b/gladelane/endpoints/happy_eyeballs.py
@@ -176,10 +176,10 @@
         self.states = [DialState.WAITING if state in RETRIED_STATES else state for state in self.states]
         return self._finish(Phase.LOST) if now >= self.end_ms else self._dial_next(now)
 
-    def written(self) -> None:
+    def start_writing(self) -> None:
         """Must be called before the first byte is passed to the operating system. No command follows."""
         if self.phase is not Phase.WON:
-            raise AssertionError(f"written() called in {self.phase}")
+            raise AssertionError(f"start_writing() called in {self.phase}")
         self.phase = Phase.WRITTEN
 
     def cancel(self) -> list[Command]:
--- a/gladelane/endpoints/health.py
+++ b/gladelane/endpoints/health.py
@@ -43,8 +43,8 @@
 LogWarning = Callable[..., None]  # a format string and its arguments, as `logging.Logger.warning`
 
 
-class DialEnd(Enum):
-    """How a dial without success ended. The names appear in log lines."""
+class DialFailure(Enum):
+    """Why a dial failed. The names appear in log lines."""
 
     REFUSED = auto()
     UNREACHABLE = auto()
@@ -54,8 +54,8 @@
     NO_SOCKET = auto()  # this process has no descriptor left: says nothing about the address
 
 
-#: Ends that suggest lost packets, as happens when a whole family is broken.
-FAMILY_ENDS = frozenset({DialEnd.UNREACHABLE, DialEnd.TIMED_OUT, DialEnd.OVERTAKEN})
+#: Failures that suggest lost packets, as happens when a whole family is broken.
+FAMILY_FAILURES = frozenset({DialFailure.UNREACHABLE, DialFailure.TIMED_OUT, DialFailure.OVERTAKEN})
 
 
 class Timing:
@@ -297,10 +297,10 @@
             self.epoch += 1
         state.recover()
 
-    def record_failure(self, server: str, address: Address, end: DialEnd, now: float) -> None:
+    def record_failure(self, server: str, address: Address, failure: DialFailure, now: float) -> None:
         """Records a dial or health check that failed. For one that the caller closed, see `record_cancel`."""
         state = self.families.get(address.family)
-        if state is not None and state.checked_server == server and end in FAMILY_ENDS:
+        if state is not None and state.checked_server == server and failure in FAMILY_FAILURES:
             state.failed_checks += 1.0
             cooldown = self.cooldowns.cooldown_ms(
                 state.failed_checks + 1.0, self.cooldowns.first_ms, self.rng
@@ -308,8 +308,8 @@
             state.avoided_until_ms = now + cooldown
             self.epoch += 1
         self.record_cancel(server, address)
-        if end is not DialEnd.NO_SOCKET:
-            self._avoid(server, address, self.cooldowns.first_ms, end.name, now)
+        if failure is not DialFailure.NO_SOCKET:
+            self._avoid(server, address, self.cooldowns.first_ms, failure.name, now)
 
     def record_family_failure(self, server: str, family: Family, now: float) -> None:
         """Records that a server connected by another family after the dials of this family were lost. That
--- a/gladelane/endpoints/health_check.py
+++ b/gladelane/endpoints/health_check.py
@@ -12,7 +12,7 @@
 from .address import Address
 from .connect import Connect
 from .dialer import Budget
-from .health import DialEnd, Health
+from .health import DialFailure, Health
 from .plan import Endpoints
 
 MAX_RESPONSE_BYTES = 256
@@ -30,7 +30,7 @@
         async with asyncio.timeout(timeout_ms / 1000.0):
             await _check(server, address, health, budget)
     except TimeoutError:
-        health.record_failure(server, address, DialEnd.TIMED_OUT, budget.clock())
+        health.record_failure(server, address, DialFailure.TIMED_OUT, budget.clock())
     except BaseException:
         health.record_cancel(server, address)
         raise
@@ -44,14 +44,14 @@
     started_ms = budget.clock()
     address_health = health.get(server, address)
     sock = await _connect(address)
-    if isinstance(sock, DialEnd):
+    if isinstance(sock, DialFailure):
         health.record_failure(server, address, sock, budget.clock())
         return
     try:
         elapsed_ms = budget.clock() - started_ms
         had_stalled = address_health is not None and address_health.has_stalled
         if had_stalled and not await _answers_alive(sock):
-            health.record_failure(server, address, DialEnd.DIED, budget.clock())
+            health.record_failure(server, address, DialFailure.DIED, budget.clock())
             return
         if had_stalled:
             health.record_answer(server, address)
@@ -60,12 +60,12 @@
         close_socket(sock)
 
 
-async def _connect(address: Address) -> socket.socket | DialEnd:
-    result: asyncio.Future[socket.socket | DialEnd] = asyncio.get_running_loop().create_future()
+async def _connect(address: Address) -> socket.socket | DialFailure:
+    result: asyncio.Future[socket.socket | DialFailure] = asyncio.get_running_loop().create_future()
 
-    def on_done(sock: socket.socket | None, end: DialEnd | None) -> None:
+    def on_done(sock: socket.socket | None, failure: DialFailure | None) -> None:
         if not result.done():
-            result.set_result(sock if sock is not None else end or DialEnd.UNREACHABLE)
+            result.set_result(sock if sock is not None else failure or DialFailure.UNREACHABLE)
 
     connect = Connect(address, on_done)
     try:
--- a/gladelane/lab/happy_eyeballs_interleavings.py
+++ b/gladelane/lab/happy_eyeballs_interleavings.py
@@ -147,7 +147,7 @@
         yield "end", then
     if attempt.phase is Phase.WON:
         then = world.copy()
-        then.attempt.written()
+        then.attempt.start_writing()
         then.bytes |= {then.winner}
         yield "write", then
         then = world.copy()
--- a/gladelane/net/attempt_outcomes.py
+++ b/gladelane/net/attempt_outcomes.py
@@ -4,7 +4,7 @@
 
 from enum import Enum, auto
 
-from ..endpoints.health import DialEnd
+from ..endpoints.health import DialFailure
 from ..routing.events import Status
 
 
@@ -73,11 +73,11 @@
 }
 
 #: How an attempt ends whose connection could not be dialled; no byte of it was written.
-DIAL_END: dict[DialEnd, AttemptOutcome] = {
-    DialEnd.REFUSED: AttemptOutcome.REFUSED,
-    DialEnd.UNREACHABLE: AttemptOutcome.UNREACHABLE,
-    DialEnd.TIMED_OUT: AttemptOutcome.DIAL_TIMED_OUT,
-    DialEnd.OVERTAKEN: AttemptOutcome.DIAL_TIMED_OUT,
-    DialEnd.DIED: AttemptOutcome.LOST_UNSENT,
-    DialEnd.NO_SOCKET: AttemptOutcome.CAPPED,
+DIAL_END: dict[DialFailure, AttemptOutcome] = {
+    DialFailure.REFUSED: AttemptOutcome.REFUSED,
+    DialFailure.UNREACHABLE: AttemptOutcome.UNREACHABLE,
+    DialFailure.TIMED_OUT: AttemptOutcome.DIAL_TIMED_OUT,
+    DialFailure.OVERTAKEN: AttemptOutcome.DIAL_TIMED_OUT,
+    DialFailure.DIED: AttemptOutcome.LOST_UNSENT,
+    DialFailure.NO_SOCKET: AttemptOutcome.CAPPED,
 }
--- a/gladelane/net/cache_connection.py
+++ b/gladelane/net/cache_connection.py
@@ -15,7 +15,7 @@
 from ..endpoints.address import Address
 from ..endpoints.connect import is_open
 from ..endpoints.dialer import Budget, Dialer
-from ..endpoints.health import DialEnd
+from ..endpoints.health import DialFailure
 from ..endpoints.plan import Endpoints
 from ..sockets import has_ended, has_unread
 from .attempt_outcomes import DIAL_END, AttemptOutcome
@@ -248,7 +248,7 @@
         try:
             while True:
                 won = await dialling.winner()
-                if isinstance(won, DialEnd):
+                if isinstance(won, DialFailure):
                     return DIAL_END[won]
                 sock, address = won
                 with suppress(OSError):
@@ -257,8 +257,8 @@
                     if not writer.is_closing() and not reader.at_eof() and is_open(sock):
                         break
                     writer.close()
-                dialling.winner_died()
-            dialling.written()
+                dialling.replace_winner()
+            dialling.start_writing()
         finally:
             dialling.close()
         self.reader, self.writer, self.address, self.sock = reader, writer, address, sock
--- a/gladelane/purges/order_sender.py
+++ b/gladelane/purges/order_sender.py
@@ -12,7 +12,7 @@
 import socket
 
 from ..endpoints.dialer import Budget, Dialer
-from ..endpoints.health import DialEnd
+from ..endpoints.health import DialFailure
 from ..endpoints.plan import Endpoints
 from .orders import Order, Orders
 
@@ -72,9 +72,9 @@
         dialer = Dialer(order.server, plan, self.endpoints, self.budget, self.dial_timeout_ms)
         try:
             winner = await dialer.winner()
-            if isinstance(winner, DialEnd):
+            if isinstance(winner, DialFailure):
                 return False
-            dialer.written()
+            dialer.start_writing()
         finally:
             dialer.close()
         return await self._ask(winner[0], order)
--- a/tests/admin/test_admin_actions.py
+++ b/tests/admin/test_admin_actions.py
@@ -49,6 +49,8 @@
 
 @trial
 async def test_cache_in_maintenance_gets_no_requests_until_it_is_put_back() -> None:
+    """The endpoint list may remove and list the cache again meanwhile. After it is put back, it counts as
+    cold."""
     first, second = Cache(hit), Cache(hit)
     addresses = {"c0": await first.start(), "c1": await second.start(), "p0": REFUSED, "r0": REFUSED}
     async with running(config(addresses)) as (node, client):
@@ -86,7 +88,9 @@
 
 
 @trial
-async def test_parent_in_maintenance_is_no_source_for_requests_that_wait_for_a_connect() -> None:
+async def test_parent_in_maintenance_is_no_source_even_before_the_serving_loop_applies_it() -> None:
+    """The action takes effect before the serving loop applies it to routing. A request that is routed in
+    between must not name the parent when it is sent."""
     cache = Cache(hit)
     async with running(config({"c0": await cache.start(), "p0": REFUSED, "r0": REFUSED})) as (node, client):
         assert await ask(client, 1) == 0 and cache.seen[-1][1]["parent"] == "p0"
@@ -101,6 +105,8 @@
 
 @trial
 async def test_drain_closes_idle_connections_loses_no_request_and_can_be_cancelled() -> None:
+    """New clients are told to leave after their first request, and pending requests get their answers before
+    their connection closes."""
     slow = Cache(lambda command: None if command[1]["thing"].endswith("f") else hit(command))
     async with running(config({"c0": await slow.start(), "r0": REFUSED})) as (node, client):
         idle, busy = await Client.to(node.port), await Client.to(node.port)
@@ -131,6 +137,7 @@
 
 @trial
 async def test_client_that_keeps_sending_requests_during_a_drain_is_rejected() -> None:
+    """A client that ignores the notification must not keep the director busy for ever."""
     async with running(config({"c0": await Cache(hit).start(), "r0": REFUSED})) as (node, client):
         client.ask(1, o="0000000000000001", m="1")
         await client.next()
@@ -146,6 +153,8 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_metrics_equal_the_counts_of_clients_and_stores(seed: int) -> None:
+    """Each request must be counted once, whichever way it ends."""
+
     @trial
     async def run() -> None:
         rng = random.Random(seed)
@@ -212,6 +221,8 @@
 
 @trial
 async def test_slow_reader_gets_all_its_answers_and_delays_no_other_client() -> None:
+    """Its unsent answers are buffered up to a limit. A drain must not close its connection before they are
+    written."""
     body, request_count = b"x" * 240_000, 30
     async with running(
         config(
--- a/tests/admin/test_endpoint.py
+++ b/tests/admin/test_endpoint.py
@@ -99,6 +99,8 @@
 
 @trial
 async def test_response_waits_until_the_request_is_stored_but_only_for_a_limited_time() -> None:
+    """A request that was answered with 200 must survive a kill of the process. If storing takes too long, the
+    endpoint answers anyway, since the request is in effect."""
     handler = RecordingHandler()
     with open_endpoint(handler) as (_, port):
         pending = asyncio.create_task(request_status(port, encode_request("POST", "/caches/unstored/maint")))
@@ -110,6 +112,8 @@
 
 @trial
 async def test_request_is_accepted_and_answered_while_the_serving_loop_is_blocked() -> None:
+    """Operators must be able to drain an overloaded director, so the endpoint's own thread puts a request
+    into effect."""
     handler = RecordingHandler()
     with open_endpoint(handler) as (_, port):
         request = asyncio.get_running_loop().run_in_executor(
@@ -126,6 +130,7 @@
 
 @trial
 async def test_oldest_connections_without_a_complete_request_are_replaced() -> None:
+    """Clients that connect and send no complete request must not block the endpoint."""
     with open_endpoint(RecordingHandler()) as (endpoint, port):
         idle_connections = [socket.create_connection(("127.0.0.1", port)) for _ in range(MAX_CONNECTIONS * 2)]
         for connection in idle_connections:
--- a/tests/admin/test_idempotency_windows.py
+++ b/tests/admin/test_idempotency_windows.py
@@ -66,7 +66,8 @@
 
 
 def test_keys_are_retained_for_the_longest_window_and_deadline_of_the_settings() -> None:
-    """A fixed limit of 10 s and 4,096 keys, as there was before, forgets a window of 15 s before it has passed."""
+    """A fixed limit of 10 s and 4,096 keys, as there was before, forgets a window of 15 s before it has
+    passed."""
     classes = Driver().router.settings.classes
     sale = classes["sale"]
     assert retention_for(classes.values()) == sale.window_ms + sale.deadline_ms
--- a/tests/admin/test_live_settings.py
+++ b/tests/admin/test_live_settings.py
@@ -73,6 +73,7 @@
 
 @given(SPECS, SPECS)
 def test_combined_class_is_no_less_strict_than_either(one: ClassSpec, other: ClassSpec) -> None:
+    """While clients use either file, a request must be handled safely by the rules of both."""
     combined = combine_strictest(one, other)
     for part in (one, other):
         assert STRICTNESS.index(combined.effect) >= STRICTNESS.index(part.effect)
@@ -126,6 +127,8 @@
 
 @trial
 async def test_classes_are_added_and_removed_while_pending_requests_keep_their_class() -> None:
+    """During the transition both files hold. Afterwards a removed class is rejected, and each class has the
+    effect that the new file gives it."""
     film, sheet = settings()["classes"]
     cache = Cache(lambda command: None if command[1]["thing"].endswith("f") else hit(command))
     addresses = {"c0": await cache.start(), "r0": REFUSED}
@@ -169,6 +172,7 @@
 
 @trial
 async def test_pending_request_of_a_removed_class_is_retried_by_its_old_rules() -> None:
+    """The new file has neither the class of the request nor a second attempt."""
     film, sheet = settings()["classes"]
     answers = iter(["overload -", "served digest=aa,dated=1,remark=h"])
     origin = Cache(lambda command: (next(answers), b""))
@@ -182,6 +186,7 @@
 
 @trial
 async def test_class_that_becomes_keyed_requires_keys_only_after_the_transition() -> None:
+    """Clients that still use the old file send no key, and must not fail."""
     film, _ = settings()["classes"]
     addresses = {"c0": await Cache(hit).start(), "r0": REFUSED}
     async with running(config(addresses)) as (node, client):
--- a/tests/endpoints/test_address_planning.py
+++ b/tests/endpoints/test_address_planning.py
@@ -11,7 +11,7 @@
 
 from gladelane.endpoints.address import Address, Family, InvalidAddressError, parse
 from gladelane.endpoints.address_selection import interleave, sort_addresses
-from gladelane.endpoints.health import Cooldowns, DialEnd, Health
+from gladelane.endpoints.health import Cooldowns, DialFailure, Health
 from gladelane.endpoints.plan import Endpoints, Options
 from gladelane.endpoints.registry import AddressRegistry
 from gladelane.endpoints.rules import MAX_ADDRESSES, Listing, Network, Rule, Rules
@@ -107,6 +107,8 @@
 def test_one_of_two_servers_that_claim_an_address_owns_it(
     name: str, first: dict[str, Any], second: dict[str, Any], owner: str
 ) -> None:
+    """Two servers that use one address would get each other's requests. The other server gets the address
+    back when its owner leaves the list."""
     registry = AddressRegistry()
     registry.update([listing("a", **first)])
     change = registry.update([listing("b", **second)])
@@ -198,7 +200,7 @@
     health, _ = make_health(first_ms=100.0, max_ms=1600.0)
     now, cooldowns = 0.0, []
     for _ in range(8):
-        health.record_failure("a", V4, DialEnd.REFUSED, now)
+        health.record_failure("a", V4, DialFailure.REFUSED, now)
         cooldown = health.get("a", V4).avoided_until_ms - now  # type: ignore[union-attr]
         cooldowns.append(cooldown)
         now += cooldown
@@ -206,7 +208,7 @@
         without_jitter = min(100.0 * 2**failures_before, 1600.0)
         assert without_jitter * 0.7 <= cooldown <= without_jitter * 1.25
     assert len(set(cooldowns)) == 8
-    health.record_failure("a", V4, DialEnd.REFUSED, now + 600_000.0)  # the earlier failures have decayed
+    health.record_failure("a", V4, DialFailure.REFUSED, now + 600_000.0)  # the earlier failures have decayed
     assert health.get("a", V4).avoided_until_ms - now - 600_000.0 <= 130.0  # type: ignore[union-attr]
 
 
@@ -215,7 +217,7 @@
     health, _ = make_health(first_ms=500.0, max_ms=max_ms)
     now = longest = 0.0
     for _ in range(60):
-        health.record_failure("a", V4, DialEnd.REFUSED, now)
+        health.record_failure("a", V4, DialFailure.REFUSED, now)
         until = health.get("a", V4).avoided_until_ms  # type: ignore[union-attr]
         longest, now = max(longest, until - now), until
     return longest
@@ -228,16 +230,18 @@
 
 
 def test_address_recovers_by_one_health_check_at_a_time() -> None:
+    """An avoided address comes first again only after a successful check, and no second check starts while
+    one is in progress."""
     endpoints = Endpoints(random.Random(1), Options(pause_first_ms=100.0))
     endpoints.update([listing("a", "10.1.0.9:4100", addresses=(V6.text,))])
     endpoints.health.record_connect("b", V6, 1.0)  # the family is proven
     endpoints.health.record_connect("b", V4, 1.0)
-    endpoints.health.record_failure("a", V6, DialEnd.REFUSED, 0.0)
+    endpoints.health.record_failure("a", V6, DialFailure.REFUSED, 0.0)
     assert endpoints.plan("a", 50.0) == ((V4, V6), 20.0, None)
     assert endpoints.plan("a", 200.0).address_to_check == V6
     endpoints.health.record_check_start("a", V6)
     assert endpoints.plan("a", 201.0).address_to_check is None
-    endpoints.health.record_failure("a", V6, DialEnd.REFUSED, 210.0)
+    endpoints.health.record_failure("a", V6, DialFailure.REFUSED, 210.0)
     assert (
         endpoints.plan("a", 250.0).address_to_check is None
         and endpoints.plan("a", 900.0).address_to_check == V6
@@ -248,6 +252,8 @@
 
 
 def test_family_that_fails_at_few_servers_is_broken_and_recovers_by_one_check() -> None:
+    """A broken family must not delay connects at every server, and its checks must not run at all servers at
+    once."""
     health, log_calls = make_health(family_server_limit=3, first_ms=100.0)
     for n in range(3):
         assert health.may_dial_family_first(Family.V6, f"s{n}", 0.0)
@@ -256,13 +262,13 @@
         Family.V6, "s3", 0.0
     )  # an unproven family is limited to that many servers at once
     for n in range(3):
-        health.record_failure(f"s{n}", V6, DialEnd.OVERTAKEN, 20.0)
+        health.record_failure(f"s{n}", V6, DialFailure.OVERTAKEN, 20.0)
         health.record_family_failure(f"s{n}", Family.V6, 20.0)
     assert health.families[Family.V6].is_broken() and not health.may_dial_family_first(Family.V6, "s0", 20.0)
     assert not health.is_check_due("s9", V6, 21.0) and health.is_check_due("s9", V6, 200.0)
     health.record_check_start("s9", V6)
     assert not health.is_check_due("s8", V6, 200.0)
-    health.record_failure("s9", V6, DialEnd.TIMED_OUT, 300.0)
+    health.record_failure("s9", V6, DialFailure.TIMED_OUT, 300.0)
     assert not health.is_check_due("s8", V6, 400.0) and health.is_check_due("s8", V6, 800.0)
     health.record_check_start("s8", V6)
     health.record_connect("s8", V6, 2.0)
@@ -284,11 +290,15 @@
         Family.V6, "x", 200.0
     )
     for n in range(9):
-        health.record_failure(f"s{n}", V6, DialEnd.TIMED_OUT, 400.0)  # no other family connected there either
+        health.record_failure(
+            f"s{n}", V6, DialFailure.TIMED_OUT, 400.0
+        )  # no other family connected there either
     assert health.may_dial_family_first(Family.V6, "x", 400.0)
 
 
 def test_health_is_forgotten_when_the_server_restarts() -> None:
+    """A stall of an old process must not count against the new one. A repeated listing of the same process
+    changes nothing."""
     endpoints = Endpoints(random.Random(1))
     listed = listing("a", "10.1.0.9:4100", addresses=(UNIX.text,))
     endpoints.update([listed])
@@ -315,9 +325,9 @@
         elif outcome == "stall":
             endpoints.record_stall("a", address, now)
         else:
-            end = DialEnd.REFUSED if outcome == "fail" else DialEnd.OVERTAKEN
-            endpoints.health.record_failure("a", address, end, now)
-            if end is DialEnd.OVERTAKEN:
+            failure = DialFailure.REFUSED if outcome == "fail" else DialFailure.OVERTAKEN
+            endpoints.health.record_failure("a", address, failure, now)
+            if failure is DialFailure.OVERTAKEN:
                 endpoints.health.record_family_failure("a", address.family, now)
         cached = endpoints.plan("a", now)
         assert sorted(a.text for a in cached.addresses) == sorted(a.text for a in (V4, V6, UNIX))
--- a/tests/endpoints/test_dialing.py
+++ b/tests/endpoints/test_dialing.py
@@ -27,7 +27,7 @@
 from gladelane.endpoints.address import Family, parse
 from gladelane.endpoints.connect import Connect
 from gladelane.endpoints.dialer import Dialer
-from gladelane.endpoints.health import DialEnd
+from gladelane.endpoints.health import DialFailure
 from gladelane.endpoints.health_check import check_health
 from gladelane.endpoints.plan import Endpoints, Options, Plan
 from gladelane.endpoints.rules import Listing
@@ -92,6 +92,7 @@
 
 @trial
 async def test_stalled_keyed_request_is_not_sent_again_when_no_further_attempt_is_allowed() -> None:
+    """The dialer must not send a request to another address by itself after a server took it."""
     async with origin(V6_FIRST, max_attempts=1) as (fake_server, listed, _, client):
         await fake_server.set(listed[0], Fault.STALL)
         submit(client, 1, 1500)
@@ -102,6 +103,8 @@
 
 @trial
 async def test_unresponsive_address_delays_only_the_first_connect_until_it_recovers() -> None:
+    """The first connect waits for the delay before it dials the second address. Later ones dial the second
+    address first, until a health check shows that the first one works again."""
     async with origin(V6_FIRST) as (fake_server, listed, node, client):
         await fake_server.set(listed[0], Fault.BLACK_HOLE)
         submit(client, 1)
@@ -123,6 +126,7 @@
 
 @trial
 async def test_broken_family_is_detected_at_few_servers() -> None:
+    """If IPv6 is broken at all servers, only connects to the first few of them may lose time on it."""
     fake_servers = {f"c{n}": await start_fake_server(f"c{n}", V6_FIRST) for n in range(8)}
     for fake_server, listed in fake_servers.values():
         await fake_server.set(listed[0], Fault.BLACK_HOLE)
@@ -155,6 +159,8 @@
     "fault,family", DIAL_FAULTS, ids=[f"{case[1].value} {case[0].value}" for case in DIAL_FAULTS]
 )
 def test_failed_dial_does_not_count_as_an_attempt(fault: Fault, family: Family) -> None:
+    """If the first address cannot be dialled, the next one serves the same attempt of the request."""
+
     async def run() -> None:
         async with origin(ALL[ALL.index(family) :]) as (fake_server, listed, node, client):
             events = told(node.director)
@@ -215,6 +221,7 @@
 
 @trial
 async def test_refusal_by_all_addresses_fails_early_and_proves_that_nothing_ran() -> None:
+    """The client gets an answer that allows a retry, before the timeout of the connect."""
     async with origin(ALL) as (fake_server, listed, node, client):
         events = told(node.director)
         for address in listed:
@@ -259,14 +266,16 @@
 
 @trial
 async def test_of_two_dials_that_connect_at_once_one_wins_and_the_other_is_closed_unused() -> None:
+    """Both sockets are writable in the same iteration of the event loop. Nothing may be sent on the second
+    one."""
     fake_server, listed = await start_fake_server("r0", V6_FIRST)
     budget = ManualBudget()
     dialer = make_dialer(Endpoints(random.Random(1)), budget, listed, 0.0)
     dialer._wake()  # dials the second address before the event loop has handled the first
     assert budget.held == 1
     winner = await dialer.winner()
-    assert not isinstance(winner, DialEnd) and budget.held == 0
-    dialer.written()
+    assert not isinstance(winner, DialFailure) and budget.held == 0
+    dialer.start_writing()
     await until(lambda: sum(fake_server.accepted(a) for a in listed) == 2)
     await until(lambda: sum(fake_server.open(a) for a in listed) == 1)
     assert fake_server.open(winner[1].text) == 1 and not fake_server.seen
@@ -276,6 +285,8 @@
 
 @trial
 async def test_connect_without_spare_sockets_dials_one_address_at_a_time() -> None:
+    """Without a further socket, the next address is dialled only once the first dial has had its share of the
+    timeout."""
     fake_server, listed = await start_fake_server("r0", V6_FIRST)
     await fake_server.set(listed[0], Fault.BLACK_HOLE)
     budget = ManualBudget(spare=0)
@@ -287,13 +298,15 @@
     budget.now = 1500.0
     dialer._wake()
     winner = await dialer.winner()
-    assert not isinstance(winner, DialEnd) and winner[1].text == listed[1] and budget.held == 0
+    assert not isinstance(winner, DialFailure) and winner[1].text == listed[1] and budget.held == 0
     winner[0].close()
     await fake_server.close()
 
 
 @trial
 async def test_winner_closed_before_the_first_byte_is_replaced_once() -> None:
+    """A server that resets connections after accepting them must not fail the request if another address
+    works."""
     for faulty_count, code, status in ((1, 0, Status.OK), (2, 1, Status.CONNECT_FAILED)):
         async with origin(ALL, max_attempts=1) as (fake_server, listed, node, client):
             for address in listed[:faulty_count]:
@@ -321,6 +334,9 @@
     "lifecycle", [lifecycle for lifecycle, _ in LIFECYCLES], ids=[name for _, name in LIFECYCLES]
 )
 def test_connect_ends_at_once_when_its_server_drains_or_is_removed(lifecycle: str) -> None:
+    """The request is answered at once and does not wait for the timeout of the connect, and no socket is left
+    open."""
+
     async def run() -> None:
         async with origin(V6_FIRST) as (fake_server, listed, node, client):
             for address in listed:
@@ -352,6 +368,8 @@
 
 @trial
 async def test_next_address_is_dialled_when_the_dialled_one_is_removed() -> None:
+    """The delay before the next address does not apply when the endpoint list removes the address that is
+    being dialled."""
     async with origin(V6_FIRST, host_port_is_last=True, dial_timeout_ms=20_000.0) as (
         fake_server,
         listed,
@@ -371,6 +389,7 @@
 
 @trial
 async def test_connections_to_a_removed_address_close_once_their_requests_end() -> None:
+    """New requests use another address, but a pending request keeps its connection until it ends."""
     async with origin(ALL, host_port_is_last=True) as (fake_server, listed, node, client):
         fake_server.answer = lambda seen: None
         submit(client, 1)
@@ -385,6 +404,8 @@
 
 @trial
 async def test_new_owner_of_an_address_takes_over_neither_its_connections_nor_its_health() -> None:
+    """Otherwise requests for the previous owner would reach the new one, and a stall of the previous one
+    would count against it."""
     async with origin(ALL, host_port_is_last=True) as (fake_server, listed, node, client):
         submit(client, 1)
         assert (await client.next())[:3] == (17, 1, 0)
@@ -401,6 +422,7 @@
 
 @trial
 async def test_lack_of_descriptors_does_not_count_against_an_address() -> None:
+    """When this process has no descriptors left, that says nothing about the server."""
     endpoints = Endpoints(random.Random(1))
     with pytest.MonkeyPatch.context() as patch:
 
@@ -409,7 +431,7 @@
 
         patch.setattr(connect_module.socket, "socket", raise_emfile)
         dialer = make_dialer(endpoints, ManualBudget(), ["[::1]:9", "127.0.0.1:9"], 10.0)
-        assert await dialer.winner() is DialEnd.NO_SOCKET
+        assert await dialer.winner() is DialFailure.NO_SOCKET
     assert not endpoints.health.is_avoided("r0", parse("[::1]:9"))
 
 
@@ -418,14 +440,15 @@
     before = len(os.listdir("/proc/self/fd"))
     for text in ("[fe80::1%nosuchzone]:80", "unix:/nowhere/at/all.sock", "unix:@nobody-listens-here"):
         result: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        Connect(parse(text), lambda sock, end, result=result: result.set_result((sock, end)))  # type: ignore[misc]
-        sock, end = await result
-        assert sock is None and end in (DialEnd.UNREACHABLE, DialEnd.REFUSED)
+        Connect(parse(text), lambda sock, failure, result=result: result.set_result((sock, failure)))  # type: ignore[misc]
+        sock, failure = await result
+        assert sock is None and failure in (DialFailure.UNREACHABLE, DialFailure.REFUSED)
     assert len(os.listdir("/proc/self/fd")) == before
 
 
 @trial
 async def test_stalled_address_is_checked_by_a_request_that_executes_nothing() -> None:
+    """A stalled server still accepts connections, so a connect alone must not count as recovery."""
     async with origin(V6_FIRST) as (fake_server, listed, node, client):
         first = parse(listed[0])
         node.endpoints.health.record_stall("r0", first, node.clock.now())
@@ -444,6 +467,9 @@
 
 
 def test_sighup_applies_a_new_operator_file_under_load_and_ignores_an_invalid_one(tmp_path: Path) -> None:
+    """A rule that adds an address takes effect without closing a connection, and its removal closes the
+    connections to that address. No request fails or is sent twice."""
+
     async def run() -> None:
         fake_server, (tcp, unix) = await start_fake_server("r0", (Family.V4, Family.UNIX))
         file = tmp_path / "operator.json5"
--- a/tests/endpoints/test_happy_eyeballs.py
+++ b/tests/endpoints/test_happy_eyeballs.py
@@ -84,7 +84,7 @@
 
     __slots__ = ()
 
-    def written(self) -> None:
+    def start_writing(self) -> None:
         pass
 
 
--- a/tests/net/test_board_crossings.py
+++ b/tests/net/test_board_crossings.py
@@ -268,7 +268,7 @@
         clock[0] += steady_ms
         marks = len(vouched)
         await asyncio.sleep(0)
-        await asyncio.sleep(board_module.UNREAD_READ_S / 2)
+        await asyncio.sleep(board_module.BACKLOG_READ_S / 2)
         assert revisions == [2, 3] and feed.asked == [0]
         if steady_ms:
             await until(lambda: len(feed.asked) == 2)
--- a/tests/net/test_system_calls.py
+++ b/tests/net/test_system_calls.py
@@ -17,7 +17,7 @@
 from gladelane import sockets
 from gladelane.endpoints.address import parse
 from gladelane.endpoints.connect import Connect
-from gladelane.endpoints.health import DialEnd
+from gladelane.endpoints.health import DialFailure
 from gladelane.hot_restart.rendezvous_socket import LISTEN_RETRY_S, SOCKET_NAME
 from gladelane.lab.call_faults import Scene
 from gladelane.lab.preload.build import compile_library
@@ -169,7 +169,7 @@
 async def test_a_dial_that_a_signal_interrupts_goes_on() -> None:
     # it was given up as unreachable, and its address passed over
     with socket.create_server(("127.0.0.1", 0)) as server:
-        ended: asyncio.Future[tuple[socket.socket | None, DialEnd | None]] = (
+        ended: asyncio.Future[tuple[socket.socket | None, DialFailure | None]] = (
             asyncio.get_running_loop().create_future()
         )
 
