--- a/gladelane/admin/handler.py
+++ b/gladelane/admin/handler.py
@@ -60,7 +60,7 @@
     ) -> None:
         self._director, self._drain, self._clock = director, drain, clock
         self._on_drain, self._on_applied = on_drain, on_applied
-        self.takes_clients = False
+        self.accepts_clients = False
         #: Done once the last completed action is stored; None if nothing stores it.
         self.stored: Future[None] | None = None
         self._last_metrics = ""
@@ -69,7 +69,7 @@
         """Puts a request into effect. Returns a response that needs no serving loop, or None if `complete`
         must follow there."""
         if request.action is AdminAction.HEALTH:
-            return READY if self.takes_clients else NOT_READY
+            return READY if self.accepts_clients else NOT_READY
         if request.store and not self._director.has(request.store):
             return UNKNOWN_SERVER
         self._put_into_effect(request)
--- a/gladelane/discovery/client.py
+++ b/gladelane/discovery/client.py
@@ -65,12 +65,14 @@
     was_suspended: bool = False  # the process was stopped: bytes may be old, so a new watch is needed
 
     def add(self, now_ms: float) -> None:
+        """Records that bytes were read. A long gap since the last read means that the process was stopped."""
         if now_ms - self.sent_after_ms > IDLE_TIMEOUT_S * 1000.0:
             self.was_suspended = True
         elif not self.was_suspended:
             self.unapplied_ms, self.sent_after_ms = self.sent_after_ms, now_ms
 
     def take_unapplied(self) -> float | None:
+        """Returns `unapplied_ms` and resets it."""
         unapplied_ms, self.unapplied_ms = self.unapplied_ms, None
         return unapplied_ms
 
@@ -144,7 +146,7 @@
     async def run(self) -> None:
         """Keeps one watch open until cancelled."""
         while True:
-            before = self._last_revision()
+            previous_revision = self._last_revision()
             try:
                 await self._follow()
                 log.info("discovery watch ended by the service")
@@ -152,7 +154,7 @@
                 log.warning("discovery watch lost: %s %s", type(error).__name__, error)
             except Exception:  # if the watch ended here, the director would go on with an outdated list
                 log.exception("discovery watch failed")
-            await asyncio.sleep(self._backoff.after(self._last_revision() > before))
+            await asyncio.sleep(self._backoff.after(self._last_revision() > previous_revision))
 
     async def _follow(self) -> None:
         arrivals = _Arrivals(self.steady_clock())
@@ -161,7 +163,7 @@
             reader, writer = await asyncio.open_connection(self._host, self._port)
         try:
             http = h11.Connection(h11.CLIENT)
-            writer.write(self._request(http))
+            writer.write(self._encode_request(http))
             events = EventStream()
             progress = WatchProgress(self._timeouts, loop.time())
             while True:
@@ -182,7 +184,7 @@
         finally:
             writer.close()
 
-    def _request(self, http: h11.Connection) -> bytes:
+    def _encode_request(self, http: h11.Connection) -> bytes:
         """Encodes the request for all events after the last one that was applied."""
         headers = [
             ("Host", f"{self._host}:{self._port}"),
--- a/gladelane/operator_parts.py
+++ b/gladelane/operator_parts.py
@@ -76,7 +76,7 @@
 
     host, port = config.listen
     name = f"{config.name} {host}:{port}"
-    return Recovery(options, name, director, purges, clock.now, lambda: admin_handler.takes_clients)
+    return Recovery(options, name, director, purges, clock.now, lambda: admin_handler.accepts_clients)
 
 
 def open_audit(
--- a/gladelane/server.py
+++ b/gladelane/server.py
@@ -156,7 +156,7 @@
         self.port = await self.front.listen(host, port, listening_socket, shared=is_shared)
         if self.restart_coordinator is not None:
             self.restart_coordinator.listen()
-        self.admin_handler.takes_clients = True
+        self.admin_handler.accepts_clients = True
         return self.port
 
     def _connect_to_predecessor(self) -> socket.socket | None:
@@ -272,7 +272,7 @@
 
     async def drain(self) -> None:
         """Shuts down gracefully: lets clients leave and answers pending requests; see `shutdown.drain`."""
-        self.admin_handler.takes_clients = False
+        self.admin_handler.accepts_clients = False
         has_peer = self.restart_coordinator is not None and self.restart_coordinator.has_peers
         await shutdown.drain(self.director, self.front, has_peer)
 
--- a/tests/net/test_beyond_discovery.py
+++ b/tests/net/test_beyond_discovery.py
@@ -197,7 +197,7 @@
         while node.director.rev < 101:
             await asyncio.sleep(0)
             turns.append(0)
-        # an event may begin once the others have taken APPLY_S
+        # an event may begin once the others have taken APPLY_SLICE_S
         assert sum(turns) >= 100 and max(turns) <= board_module.APPLY_SLICE_S / 0.002 + 2
         await discovery.become(State.REFUSES)
 
--- a/tests/net/test_board_crossings.py
+++ b/tests/net/test_board_crossings.py
@@ -237,7 +237,7 @@
 def test_what_came_while_the_process_stood_still_is_applied_before_the_watch_is_given_up(
     steady_ms: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its timers run before its sockets are read. With an audit (`steady` has gone on) the watch is renewed
+    """Its timers run before its sockets are read. With an audit (`steady_clock` has gone on) the watch is renewed
     all the same, and what was applied vouches for nothing."""
     monkeypatch.setattr(board_module, "IDLE_TIMEOUT_S", 0.2)
 
