--- a/tests/net/test_discovery_outages.py
+++ b/tests/net/test_discovery_outages.py
@@ -175,7 +175,7 @@
             assert await fetch_code(client, 1) == 0
             assert len(other.seen) == fetches_before + 1 and "accept" in other.seen[-1][1]
             # two requests are a backoff apart, of which up to half is random
-            assert request_count < OUTAGE_S / (discovery_client_module.BACKOFF_MOST_S / 2)
+            assert request_count < OUTAGE_S / (discovery_client_module.BACKOFF_MAX_S / 2)
             client.writer.close()
             await discovery.set_state(DiscoveryState.REFUSES)
 
@@ -203,10 +203,10 @@
         while node.director.rev < 101:
             await asyncio.sleep(0)
             events_per_iteration.append(0)
-        # one more event may start when the earlier ones have taken almost APPLY_S
+        # one more event may start when the earlier ones have taken almost APPLY_SLICE_S
         assert (
             sum(events_per_iteration) >= 100
-            and max(events_per_iteration) <= discovery_client_module.APPLY_S / 0.002 + 2
+            and max(events_per_iteration) <= discovery_client_module.APPLY_SLICE_S / 0.002 + 2
         )
         await discovery.set_state(DiscoveryState.REFUSES)
 
@@ -225,7 +225,7 @@
         revisions.append(event.rev)
 
     client = DiscoveryClient(host, int(port), lambda: revisions[-1], apply_slowly, random.Random(1))
-    client.heard = lambda _: revisions_when_current.append(revisions[-1])
+    client.on_received = lambda _: revisions_when_current.append(revisions[-1])
     task = asyncio.create_task(client.run())
     await until(lambda: revisions_when_current and revisions[-1] == last)
     task.cancel()
--- a/tests/net/test_discovery_watch_races.py
+++ b/tests/net/test_discovery_watch_races.py
@@ -83,8 +83,8 @@
     async def scenario() -> None:
         discovery = FakeDiscovery(send_forever(start, piece), send_event_2)
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(discovery_client_module, "SILENT_S", 0.3)
-            patch.setattr(discovery_client_module, "ANSWER_S", 0.3)
+            patch.setattr(discovery_client_module, "IDLE_TIMEOUT_S", 0.3)
+            patch.setattr(discovery_client_module, "HEADER_TIMEOUT_S", 0.3)
             async with running(config({"r0": REFUSED})) as (node, _):
                 client = DiscoveryClient(
                     *await discovery.start(),
@@ -104,8 +104,10 @@
     # In the worst case a watch falls silent, a dial times out and a request is not answered before the next request is.
     # All of this has to fit in the 7 s of the protocol.
     c = discovery_client_module
-    backoffs_s = c.BACKOFF_S + 2 * c.BACKOFF_S + c.BACKOFF_MOST_S
-    assert c.SILENT_S + c.DIAL_S + c.DIAL_S + c.ANSWER_S + backoffs_s < 7.0
+    backoffs_s = c.BACKOFF_START_S + 2 * c.BACKOFF_START_S + c.BACKOFF_MAX_S
+    assert (
+        c.IDLE_TIMEOUT_S + c.CONNECT_TIMEOUT_S + c.CONNECT_TIMEOUT_S + c.HEADER_TIMEOUT_S + backoffs_s < 7.0
+    )
 
 
 async def follow_discovery_at(node: Server, address: tuple[str, int]) -> None:
@@ -211,7 +213,7 @@
 
         discovery = FakeDiscovery(send_partly, send_events)
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(discovery_client_module, "SILENT_S", 0.3)
+            patch.setattr(discovery_client_module, "IDLE_TIMEOUT_S", 0.3)
             async with running(config({"c0": REFUSED, "r0": REFUSED})) as (node, _):
                 await follow_discovery_at(node, await discovery.start())
                 await until(lambda: node.director.rev == 3)
@@ -239,9 +241,9 @@
 def test_events_received_while_the_process_was_suspended_are_applied_before_the_watch_is_closed(
     steady_ms: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """After a suspension the timers run before the sockets are read. If the steady clock shows the suspension, the watch
+    """After a suspension the timers run before the sockets are read. If the steady_clock clock shows the suspension, the watch
     is renewed all the same, and the events just applied do not count as current, since they may be old."""
-    monkeypatch.setattr(discovery_client_module, "SILENT_S", 0.2)
+    monkeypatch.setattr(discovery_client_module, "IDLE_TIMEOUT_S", 0.2)
 
     @trial
     async def scenario() -> None:
@@ -265,7 +267,7 @@
             random.Random(1),
         )
         clock_ms = [0.0]
-        client.steady, client.heard = lambda: clock_ms[0], sent_after_ms.append
+        client.steady_clock, client.on_received = lambda: clock_ms[0], sent_after_ms.append
         task = asyncio.create_task(client.run())
         await until(lambda: applied == [2])
         writer = discovery.writers[0]
@@ -274,7 +276,7 @@
         clock_ms[0] += steady_ms
         reports_before = len(sent_after_ms)
         await asyncio.sleep(0)
-        await asyncio.sleep(discovery_client_module.UNREAD_S / 2)
+        await asyncio.sleep(discovery_client_module.BACKLOG_READ_S / 2)
         assert applied == [2, 3] and discovery.requested_revisions == [0]
         if steady_ms:
             await until(lambda: len(discovery.requested_revisions) == 2)
--- a/tests/net/test_idle_cache_connections.py
+++ b/tests/net/test_idle_cache_connections.py
@@ -275,8 +275,8 @@
         assert await request_once(node.port, 1, "film") == SERVED
         await stay_idle(clock)
         cache.drop_connections(ConnectionFault.SILENT)
-        stalled: list[str] = []
-        node.endpoints.stalled = lambda store, *_: bool(stalled.append(store))  # type: ignore[method-assign, func-returns-value]
+        stalled_stores: list[str] = []
+        node.endpoints.record_stall = lambda store, *_: bool(stalled_stores.append(store))  # type: ignore[method-assign, func-returns-value]
         requests = []
         for number in range(2, 22):
             requests.append(asyncio.create_task(request_once(node.port, number, "film")))
@@ -284,4 +284,4 @@
         codes = await asyncio.gather(*requests)
         # of the requests in the first quarter of a second all but the first one wait until their deadline
         assert codes.count(SERVED) >= 18
-        assert not stalled and len(cache.conns) == 2
+        assert not stalled_stores and len(cache.conns) == 2
--- a/tests/net/test_requests_at_connection_end.py
+++ b/tests/net/test_requests_at_connection_end.py
@@ -47,7 +47,7 @@
         case CloseReason.NEVER_USED:
             conn.sweep(conn.born_ms + 2_100.0)
         case CloseReason.DRAIN:
-            node.front.drain.fail(now)
+            node.front.drain.request_drain(now)
             conn.goaway_ms = now - 400.0
             conn.sweep(now)
         case CloseReason.CONNECTION_LIMIT:
