--- a/benchmarks/addresses/requests.py
+++ b/benchmarks/addresses/requests.py
@@ -129,4 +129,4 @@
     await load.close()
     await director.close()
     await asyncio.sleep(LAST_CLOSES_S)
-    return director.upstream._count + director.upstream._extra
+    return director.upstream._count + director.upstream._extra_sockets
--- a/benchmarks/leaves/client.py
+++ b/benchmarks/leaves/client.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 
 from benchmarks.example_site import request_fields
-from gladelane.net.client_protocol import FrameDecoder, Type, encode_fields, encode_frame
+from gladelane.net.client_protocol import FrameDecoder, FrameType, encode_fields, encode_frame
 
 from .counts import Leaves
 from .places import WRITE, Place
@@ -69,7 +69,7 @@
             async with asyncio.timeout(ANSWERED_S):
                 while data := await asyncio.get_running_loop().sock_recv(self._sock, 65_536):
                     for frame in self._decoder.feed(data):
-                        if frame.type == Type.ANSWER:
+                        if frame.type == FrameType.ANSWER:
                             open_.pop(frame.stream, None)
         self.leaves.unanswered += len(open_)
         self._end()
@@ -91,10 +91,10 @@
         fields = request_fields(self.place.cls, id_, 2500, f"{self.rng.randrange(200):016x}")
         if self.place.cls == WRITE:
             fields["k"] = id_ * 2
-        return encode_frame(Type.REQUEST, self._stream, encode_fields(fields) + b"x" * self.place.body)
+        return encode_frame(FrameType.REQUEST, self._stream, encode_fields(fields) + b"x" * self.place.body)
 
     def _cancels(self) -> list[bytes]:
-        return [encode_frame(Type.GONE, stream) for stream in self._open]
+        return [encode_frame(FrameType.GONE, stream) for stream in self._open]
 
     async def _write(self, data: bytes) -> None:
         assert self._sock is not None
@@ -117,7 +117,7 @@
         try:
             while data := self._sock.recv(65_536):
                 for frame in self._decoder.feed(data):
-                    if frame.type == Type.ANSWER:
+                    if frame.type == FrameType.ANSWER:
                         self._open.pop(frame.stream, None)
         except BlockingIOError:
             return False
--- a/benchmarks/operations/newcomers.py
+++ b/benchmarks/operations/newcomers.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from gladelane.net.listener import open_listener, steer_away
+from gladelane.net.listener import open_listener, redirect_new_connections
 
 CLIENTS = 4
 BOTH_S, STEERED_S, NEW_S = 0.05, 0.02, 0.02
@@ -110,7 +110,7 @@
 
 def _give_way(old: socket.socket, listening: Listening, how: Change) -> None:
     if how is Change.STEERED:
-        steer_away(old)
+        redirect_new_connections(old)
         time.sleep(STEERED_S)
     listening.stop()
     if how is not Change.HANDED_OVER:
--- a/benchmarks/restarts/process.py
+++ b/benchmarks/restarts/process.py
@@ -15,7 +15,7 @@
 from benchmarks.process_usage import ProcessUsage
 from gladelane.lab.free_ports import free_port
 from gladelane.lab.processes import ROOT
-from gladelane.net.client_protocol import FrameDecoder, FramingError, Type, encode_fields, encode_frame
+from gladelane.net.client_protocol import FrameDecoder, FramingError, FrameType, encode_fields, encode_frame
 
 READY_S, GIVE_UP_S = 10.0, 60.0  # the operators' bound for nine in ten, and how long this benchmark waits
 PROBE_S = 0.02
@@ -92,7 +92,7 @@
         async with asyncio.timeout(ANSWER_S):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             try:
-                writer.write(encode_frame(Type.ASK_READY, 1, encode_fields({})))
+                writer.write(encode_frame(FrameType.ASK_READY, 1, encode_fields({})))
                 decoder = FrameDecoder()
                 while data := await reader.read(4096):
                     for frame in decoder.feed(data):
--- a/example/ask.py
+++ b/example/ask.py
@@ -9,7 +9,7 @@
 import secrets
 import sys
 
-from gladelane.net.client_protocol import FrameDecoder, Type, decode_fields, encode_fields, encode_frame
+from gladelane.net.client_protocol import FrameDecoder, FrameType, decode_fields, encode_fields, encode_frame
 
 CODES = {0: "served", 1: "refused", 2: "failed"}
 
@@ -20,7 +20,7 @@
     fields["m"] = "40"
     if cls == "answer-submit":
         fields["k"] = secrets.token_hex(16)
-    writer.write(encode_frame(Type.REQUEST, 1, encode_fields(fields)))
+    writer.write(encode_frame(FrameType.REQUEST, 1, encode_fields(fields)))
     decoder = FrameDecoder()
     while data := await reader.read(65_536):
         for frame in decoder.feed(data):
--- a/gladelane/hot_restart/coordinator.py
+++ b/gladelane/hot_restart/coordinator.py
@@ -120,7 +120,7 @@
         that are missing from the file arrive over the channel, if there is one.
         """
         retention_ms = self._director.keys.retention_ms
-        self._director.refuse_keyed_until(self._clock.now() + retention_ms)
+        self._director.reject_keys_until(self._clock.now() + retention_ms)
         log.warning(
             "upgrade: the former process %s; keyed requests are refused for ms=%.0f",
             failure,
--- a/gladelane/lab/client.py
+++ b/gladelane/lab/client.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from ..net.client_protocol import FrameDecoder, Type, decode_fields, encode_fields, encode_frame
+from ..net.client_protocol import FrameDecoder, FrameType, decode_fields, encode_fields, encode_frame
 
 
 class Answer(NamedTuple):
@@ -44,7 +44,7 @@
         self._stream += 1
         stream, future = self._stream, loop.create_future()
         self._waiting[stream] = future, loop.time()
-        self._writer.write(encode_frame(Type.REQUEST, stream, encode_fields(fields) + body))
+        self._writer.write(encode_frame(FrameType.REQUEST, stream, encode_fields(fields) + body))
         try:
             async with asyncio.timeout(patience_s):
                 answer: Answer = await future
@@ -63,8 +63,8 @@
         try:
             while data := await self._reader.read(65_536):
                 for frame in decoder.feed(data):
-                    self.no_more_requests = self.no_more_requests or frame.type == Type.NO_MORE
-                    if frame.type != Type.ANSWER:
+                    self.no_more_requests = self.no_more_requests or frame.type == FrameType.NO_MORE
+                    if frame.type != FrameType.ANSWER:
                         continue
                     self.answers[frame.stream] += 1
                     waiting = self._waiting.pop(frame.stream, None)
--- a/gladelane/lab/deployed_clients.py
+++ b/gladelane/lab/deployed_clients.py
@@ -115,7 +115,7 @@
     def _leave_early(self, handle: DirectorHandle, number: int, exchange: Exchange) -> None:
         if not exchange.done:
             self.monitor.withdrawn(handle.name, number)
-            handle.director.gone(exchange)
+            handle.director.handle_disconnect(exchange)
 
     def _deliver(self, handle: DirectorHandle, number: int, client: _Client, final: FinalAnswer) -> None:
         self._traced(handle.name, number, final.code)
--- a/gladelane/lab/deployed_clock_plants.py
+++ b/gladelane/lab/deployed_clock_plants.py
@@ -39,9 +39,9 @@
         clock: Callable[[], float],
         timers: TimerWheel,
         endpoints: Endpoints,
-        keys_most: int,
+        max_keys: int,
     ) -> None:
-        super().__init__(settings, seed, clock, timers, endpoints, keys_most)
+        super().__init__(settings, seed, clock, timers, endpoints, max_keys)
         self.copy_dates.platform = _AgeByOwnClock()
 
 
--- a/gladelane/lab/planted.py
+++ b/gladelane/lab/planted.py
@@ -10,7 +10,7 @@
 from ..discovery.events import Instance, WatchEvent
 from ..endpoints.plan import Endpoints
 from ..net.director import Director
-from ..net.exchange import ClientRequest, Exchange, FinalAnswer, never
+from ..net.exchange import ClientRequest, Exchange, FinalAnswer, never_gone
 from ..net.list_changes import ListChanges
 from ..routing.events import Effect, Member, Settings, State
 from ..routing.request_state import PendingRequest
@@ -76,7 +76,7 @@
     """Answers some requests twice."""
 
     def admit(
-        self, ask: ClientRequest, deliver: Callable[[FinalAnswer], None], has_left: Callable[[], bool] = never
+        self, ask: ClientRequest, deliver: Callable[[FinalAnswer], None], is_client_gone: Callable[[], bool] = never_gone
     ) -> Exchange:
         """Admits the request, and delivers the final answer of some requests twice."""
 
@@ -85,7 +85,7 @@
             if int(ask.id, 16) % ANSWERED_TWICE == 0:
                 deliver(final)
 
-        return super().admit(ask, twice, has_left)
+        return super().admit(ask, twice, is_client_gone)
 
 
 def _changed(change: Callable[[Director], None], make_director: MakeDirector = Director) -> MakeDirector:
@@ -97,9 +97,9 @@
         clock: Callable[[], float],
         timers: TimerWheel,
         endpoints: Endpoints,
-        keys_most: int,
+        max_keys: int,
     ) -> Director:
-        director = make_director(settings, seed, clock, timers, endpoints, keys_most)
+        director = make_director(settings, seed, clock, timers, endpoints, max_keys)
         change(director)
         return director
 
@@ -115,9 +115,9 @@
         clock: Callable[[], float],
         timers: TimerWheel,
         endpoints: Endpoints,
-        keys_most: int,
+        max_keys: int,
     ) -> Director:
-        return Director(misread(settings), seed, clock, timers, endpoints, keys_most)
+        return Director(misread(settings), seed, clock, timers, endpoints, max_keys)
 
     return make
 
--- a/gladelane/lab/virtual_sender.py
+++ b/gladelane/lab/virtual_sender.py
@@ -214,7 +214,7 @@
 
     def _write(self, connection: _Connection, attempt: Attempt) -> None:
         id_ = attempt.exchange.ask.id
-        end = self.owner.recheck(attempt)
+        end = self.owner.check_before_write(attempt)
         if end is not None:
             connection.open.pop(id_, None)
             self.owner.ended(attempt, end)
--- a/gladelane/net/attempt_checks.py
+++ b/gladelane/net/attempt_checks.py
@@ -1,5 +1,5 @@
-"""Checks of an attempt just before its first byte: a dial takes time, and clients, the endpoint list, purges,
-key windows and the clock go on meanwhile."""
+"""Checks an attempt again just before its first byte is written. A dial takes time, during which the client,
+the endpoint list, purges and key windows may have changed."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class AttemptChecks:
-    """Whether an attempt may still be written, and what is recorded when it is."""
+    """Decides whether an attempt may still be written, and records that it is."""
 
     def __init__(self, context: DirectorContext, endpoint_list: EndpointList) -> None:
         self._context = context
         self._endpoint_list = endpoint_list
 
     def rejection(self, attempt: Attempt, now: float) -> AttemptOutcome | None:
-        """How the attempt ends unwritten; None: it may be written."""
+        """The outcome with which the attempt ends unwritten; None if it may be written."""
         if attempt.exchange.done:
             return AttemptOutcome.SURPLUS
         if attempt.due_ms - now < 1.0:
@@ -35,7 +35,7 @@
         return None
 
     def record_start(self, attempt: Attempt, now: float) -> None:
-        """Records an attempt that is written next, with the audit and by its idempotency key."""
+        """Records an attempt that is about to be written, with the audit and under its idempotency key."""
         context, exchange = self._context, attempt.exchange
         if context.audit is not None:
             attempt.activity_interval = context.audit.record_attempt(exchange.request.cls)
@@ -46,18 +46,18 @@
                 context.key_observer.may_have_run(exchange.ask.key, now, attempt.store)
 
     def is_past_window(self, attempt: Attempt, now: float) -> bool:
-        """Whether the window of a request with an idempotency key is over. The router has checked that when
-        it decided, but a dial may take longer than a window."""
+        """Whether the window of a request with an idempotency key is over. The router checked this when it
+        decided on the attempt, but a dial may take longer than a window."""
         exchange = attempt.exchange
         if exchange.spec.effect is not Effect.KEYED:
             return False
-        ran = [other.written_ms for other in exchange.open.values() if other.written_ms]
+        ran_ms = [other.written_ms for other in exchange.open.values() if other.written_ms]
         if exchange.ran_ms:
-            ran.append(exchange.ran_ms)
-        if exchange.ask.key and (first := self._context.keys.first_attempt(exchange.ask.key, now)[0]):
-            ran.append(first)
+            ran_ms.append(exchange.ran_ms)
+        if exchange.ask.key and (first_ms := self._context.keys.first_attempt(exchange.ask.key, now)[0]):
+            ran_ms.append(first_ms)
         slack_ms = self._context.settings.tick_ms + TICK_MS
-        return is_past_window(ran, now, exchange.spec.window_ms, slack_ms)
+        return is_past_window(ran_ms, now, exchange.spec.window_ms, slack_ms)
 
     def _are_servers_ready(self, attempt: Attempt) -> bool:
         is_ready = self._endpoint_list.is_ready
--- a/gladelane/net/attempt_lifecycle.py
+++ b/gladelane/net/attempt_lifecycle.py
@@ -1,4 +1,4 @@
-"""Attempts from the router's decision to their end: sends them, gives them up, and takes in their outcome."""
+"""Sends attempts as the router decided, cancels them, and reports their outcomes to the router."""
 
 from __future__ import annotations
 
@@ -18,16 +18,17 @@
 
 log = logging.getLogger(__name__)
 
+#: Not reported to the guard, since these say nothing about how a fetch would have ended.
 UNREPORTED = (
     Status.CANCELLED,
     Status.MOOT,
     Status.MISS,
-)  # these say nothing about how a fetch would have ended
+)
 
 
 class AttemptLifecycle:
-    """The attempts of all exchanges. Each ends once, in `end`, the only place where its outcome becomes the
-    router's Status."""
+    """Handles the attempts of all exchanges. Each attempt ends once, in `end`, which is the only place where
+    its outcome is mapped to the router's Status."""
 
     def __init__(
         self,
@@ -45,7 +46,7 @@
         """Starts an attempt, which ends at once if it may not be sent."""
         context = self._context
         attempt = new_attempt(exchange, action, context.clock(), context.settings)
-        if exchange.done or exchange.sends > exchange.max_attempts:
+        if exchange.done or exchange.attempt_count > exchange.max_attempts:
             self.end(attempt, AttemptOutcome.SURPLUS)
         elif not self._endpoint_list.is_ready(action.store):
             self.end(attempt, AttemptOutcome.WITHDRAWN)
@@ -55,8 +56,8 @@
             context.sender.send(attempt)
 
     def check_before_write(self, attempt: Attempt) -> AttemptOutcome | None:
-        """Just before the first byte: how the attempt ends unwritten, or None once it is recorded and its
-        limits are up to date."""
+        """Checks an attempt just before its first byte is written. Returns the outcome with which it ends
+        unwritten; or None, after the attempt was recorded and its limits on copies were updated."""
         now = self._context.clock()
         rejection = self._checks.rejection(attempt, now)
         if rejection is None:
@@ -65,28 +66,28 @@
         return rejection
 
     def cancel(self, exchange: Exchange, action: Cancel) -> None:
-        """Gives up an attempt as the router decided."""
+        """Cancels an attempt as the router decided."""
         attempt = exchange.open.get(action.attempt)
         if attempt is not None:
-            # In the tick in which an attempt times out the router cancels it too. It must learn of the
-            # time-out: nothing else shows that a server drops requests.
+            # In the tick in which an attempt times out, the router may cancel it too. The router must learn
+            # of the timeout, since nothing else shows that a server drops requests.
             is_due = attempt.due_ms <= self._context.clock() + TICK_MS
             self.give_up(attempt, AttemptOutcome.TIMED_OUT if is_due else AttemptOutcome.CANCELLED)
 
     def give_up(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Ends an attempt from this side, and cancels it at its server."""
+        """Ends an attempt from this side and cancels it at its server."""
         if attempt.number in attempt.exchange.open:
             self._context.sender.abandon(attempt, outcome)
             self.end(attempt, outcome)
 
     def end(self, attempt: Attempt, outcome: AttemptOutcome, reply: Reply | None = None) -> None:
-        """Ends an attempt; only the first call for it counts."""
+        """Ends an attempt. Only the first call for an attempt has an effect."""
         exchange = attempt.exchange
         if exchange.open.pop(attempt.number, None) is None:
             return
         if attempt.timer is not None:
-            attempt.timer.cancel()  # until then it would keep the request and its body
-        outcome = self._judge(attempt, outcome, reply)
+            attempt.timer.cancel()  # otherwise the timer would keep the request and its body in memory
+        outcome = self._adjust_outcome(attempt, outcome, reply)
         status = STATUS[outcome]
         self._record_run(attempt, status)
         if status is Status.OK and reply is not None:
@@ -108,17 +109,19 @@
             )
         )
 
-    def _judge(self, attempt: Attempt, outcome: AttemptOutcome, reply: Reply | None) -> AttemptOutcome:
-        """The outcome in the light of purges and of the audit: a response may have come too late."""
+    def _adjust_outcome(
+        self, attempt: Attempt, outcome: AttemptOutcome, reply: Reply | None
+    ) -> AttemptOutcome:
+        """Corrects the outcome of a response that may not be used: by purges, or by the audit."""
         exchange, audit = attempt.exchange, self._context.audit
         if reply is not None and reply.dated_ms:
             self._copy_dates.record_reply(attempt, reply, self._is_origin(attempt.store))
-            if reply.dated_ms + DATE_SLACK_MS < attempt.oldest and STATUS[outcome] is Status.OK:
-                by_ms = attempt.oldest - reply.dated_ms
+            if reply.dated_ms + DATE_SLACK_MS < attempt.min_copy_date and STATUS[outcome] is Status.OK:
+                by_ms = attempt.min_copy_date - reply.dated_ms
                 log.warning("outdated answer store=%s by_ms=%.0f", attempt.store, by_ms)
                 outcome = AttemptOutcome.OUTDATED
         if audit is not None and exchange.spec.cacheable and STATUS[outcome] is Status.OK:
-            # a write that was answered has run, so its answer is forwarded in any case
+            # the answer to a write is always forwarded, since the write has run
             if not audit.may_answer(exchange.ask.cls):
                 outcome = AttemptOutcome.WITHHELD
         return outcome
@@ -128,7 +131,7 @@
         return listed is not None and listed.kind == self._context.settings.origin_kind
 
     def _record_run(self, attempt: Attempt, status: Status) -> None:
-        """Records whether an attempt may have run, for its idempotency key and for its exchange."""
+        """Records whether an attempt may have run, under its idempotency key and in its exchange."""
         exchange, context = attempt.exchange, self._context
         if status in NEVER_RAN:
             if attempt.ran_ms:
--- a/gladelane/net/attempt_outcomes.py
+++ b/gladelane/net/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""Every way an attempt or its connection can end, and the one table that maps each to the router's Status."""
+"""Every outcome of an attempt or its connection, and the one table that maps each to the router's Status."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 class AttemptOutcome(Enum):
     """How an attempt, or the connection that carried it, ended. The names appear in the log."""
 
-    # the server responded
+    # the server responded; the names are the words of the cache protocol
     SERVED = auto()
     STILL_GOOD = auto()
     NOT_HERE = auto()
@@ -23,27 +23,27 @@
     DIAL_TIMED_OUT = auto()
     UNREACHABLE = auto()
     LOST_UNSENT = auto()  # the connection ended before any byte of the request was written
-    CAPPED = auto()  # this director has as many connections as it may
+    CAPPED = auto()  # this director has reached its limit of connections
     EXPIRED = auto()  # its deadline passed before it could be written
     WITHDRAWN = auto()  # the store or its source left the list before it could be written
     SURPLUS = auto()  # sent after the end of its request, or beyond max_attempts
     SHUT_OUT = auto()  # this director may not act: its view of the fleet has expired or is too old
-    # the connection ended under the request
+    # the connection ended while it carried the request, or the response could not be used
     RESET = auto()
     CLOSED = auto()
     GARBLED = auto()
-    CUT_SHORT = auto()  # a response began and did not go on
-    OUTDATED = auto()  # the response has a copy older than a purge that was active at the time of writing
-    WITHHELD = auto()  # the response came when this director might no longer forward it
-    SILENT = auto()  # nothing came while the server answered later attempts on another connection
+    CUT_SHORT = auto()  # a response began and was not continued
+    OUTDATED = auto()  # the copy in the response is older than a purge that was active when it was requested
+    WITHHELD = auto()  # when the response arrived, this director was no longer permitted to forward it
+    SILENT = auto()  # no byte arrived, while the server answered later attempts on another connection
     # the director ended it
     TIMED_OUT = auto()
     CANCELLED = auto()
-    # a connection without requests
+    # the connection carried no requests
     IDLE = auto()
 
 
-#: CONNECT_FAILED, FULL, MISS and MOOT prove that the request did not run; otherwise it may have.
+#: CONNECT_FAILED, FULL, MISS and MOOT prove that the request did not run. With any other status it may have.
 STATUS: dict[AttemptOutcome, Status] = {
     AttemptOutcome.SERVED: Status.OK,
     AttemptOutcome.STILL_GOOD: Status.OK,
@@ -72,8 +72,8 @@
     AttemptOutcome.IDLE: Status.RESET,
 }
 
-#: How an attempt ends whose connection could not be dialled; no byte of it was written.
-DIAL_END: dict[DialEnd, AttemptOutcome] = {
+#: The outcome of an attempt whose connection could not be established. No byte of it was written.
+OUTCOME_BY_DIAL_END: dict[DialEnd, AttemptOutcome] = {
     DialEnd.REFUSED: AttemptOutcome.REFUSED,
     DialEnd.UNREACHABLE: AttemptOutcome.UNREACHABLE,
     DialEnd.TIMED_OUT: AttemptOutcome.DIAL_TIMED_OUT,
--- a/gladelane/net/carried_attempts.py
+++ b/gladelane/net/carried_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts that one connection carries: their writes, aborts and replies. Times are ms."""
+"""The attempts that one connection carries: their writes, aborts and replies. Times are in ms."""
 
 from __future__ import annotations
 
@@ -16,80 +16,83 @@
 
 log = logging.getLogger(__name__)
 
-MAX_COMPLETED_IDS = 256  # ids aborted or answered on a connection that are not used on it again
-#: Responses in a row that nobody waits for: more than can cross aborts or come twice.
+MAX_COMPLETED_IDS = 256  # latest aborted or answered ids of a connection, which are not used on it again
+#: Replies in a row that match no open attempt. Aborts that cross replies and duplicate replies cause fewer.
 MAX_UNEXPECTED_RESPONSES = 256
 
 
 class Owner(Protocol):
-    """Whose attempts these are."""
+    """The director, as the owner of attempts."""
 
-    def recheck(self, attempt: Attempt) -> AttemptOutcome | None:
-        """Just before the first byte: how the attempt ends unwritten; None: it may be written."""
+    def check_before_write(self, attempt: Attempt) -> AttemptOutcome | None:
+        """Called just before the first byte of an attempt is written. Returns the outcome if it may not be
+        written, else None."""
 
     def written(self) -> None:
-        """The last byte of an attempt has left."""
+        """Called when the last byte of an attempt has left the process."""
 
     def ended(self, attempt: Attempt, end: AttemptOutcome, reply: Reply | None = None) -> None:
-        """An attempt has ended."""
+        """Called when an attempt has ended."""
 
 
 class AttemptPool(Protocol):
-    """The pool, as far as attempts need it."""
+    """The part of the connection pool that attempts need."""
 
     timers: TimerWheel
     owner: Owner
 
     def clock(self) -> float:
-        """The time in ms."""
+        """The current time in ms."""
 
     def send(self, attempt: Attempt) -> None:
-        """Finds another connection for an attempt."""
+        """Sends an attempt on another connection."""
 
 
 class Carrier(Protocol):
-    """The connection itself."""
+    """The part of a connection that its attempts need."""
 
     @property
     def peer(self) -> str:
-        """The server, for the log."""
+        """The address or name of the server, for the log."""
 
     def reset(self) -> None:
-        """Ends the connection so that what has not left this machine never does."""
+        """Ends the connection so that bytes that have not left this machine are discarded."""
 
     def close_if_done(self) -> None:
-        """Ends the connection if it takes nothing new and carries nothing."""
+        """Ends the connection if it is retired and has no open attempts."""
 
 
 class CarriedAttempts:
-    """Attempts by the id of their request, which is all that replies carry. They wait while the connection is
-    dialled; `start` is called once it is up, `finish` once it has ended."""
+    """The attempts of a connection by request id, which is the only reference that replies carry. Attempts
+    wait while the connection is dialled. `start` is called once it is established, `finish` once it has
+    ended."""
 
     def __init__(self, pool: AttemptPool, carrier: Carrier) -> None:
         self.open: dict[str, Attempt] = {}
         self.queue = WriteQueue(self, pool.clock, pool.timers)
         self.responses = ResponseMonitor(pool.clock())
-        self.answered_ms = 0.0  # when the latest attempt that was answered here had been written
+        self.answered_ms = 0.0  # the latest write time of an attempt that was answered here
         self.unexpected_responses = 0  # in a row
         self.finished = False
         self._pool = pool
         self._carrier = carrier
         self._writer: asyncio.StreamWriter | None = None
-        self._completed_ids: dict[str, None] = {}  # the latest, oldest first
+        self._completed_ids: dict[str, None] = {}  # the latest ids, oldest first
 
-    def takes(self, id_: str) -> bool:
-        """Whether an attempt with this request id may be sent here. An id that is open, or was aborted or
-        answered, would make its next reply ambiguous: servers reply across an abort, and some twice."""
+    def accepts(self, id_: str) -> bool:
+        """Whether an attempt with this request id may be sent here. If the id is open, or was aborted or
+        answered here, the next reply with this id would be ambiguous: a reply may cross an abort, and some
+        servers reply twice."""
         return id_ not in self.open and id_ not in self._completed_ids and not self.queue.is_stuck()
 
     def add(self, attempt: Attempt) -> None:
-        """Writes the attempt as soon as possible."""
+        """Adds an attempt and writes it as soon as possible."""
         self.open[attempt.exchange.ask.id] = attempt
         if self._writer is not None:
             self.queue.add(attempt)
 
     def start(self, writer: asyncio.StreamWriter, out: Outgoing) -> None:
-        """The connection is up: writes the attempts that have waited for it."""
+        """Writes the waiting attempts, now that the connection is established."""
         self._writer, self.queue.out = writer, out
         self.queue.waiting.extend(self.open.values())
         self.queue.write_waiting()
@@ -99,23 +102,27 @@
         return self.open.get(attempt.exchange.ask.id) is attempt
 
     def write(self, attempt: Attempt) -> bool:
-        """Writes an attempt, or ends it if the owner says so; returns whether it was written."""
+        """Writes an attempt, or ends it if the owner does not permit it. Returns whether it was written."""
         assert self._writer is not None and self.queue.out is not None
-        ask, owner = attempt.exchange.ask, self._pool.owner
-        outcome = AttemptOutcome.LOST_UNSENT if self._writer.is_closing() else owner.recheck(attempt)
+        client_request, owner = attempt.exchange.ask, self._pool.owner
+        outcome = (
+            AttemptOutcome.LOST_UNSENT if self._writer.is_closing() else owner.check_before_write(attempt)
+        )
         if outcome is not None:
-            self.open.pop(ask.id, None)
+            self.open.pop(client_request.id, None)
             owner.ended(attempt, outcome)
             return False
         now = self._pool.clock()
         self.responses.record_write(now)
         attempt.written_ms = now
-        self.queue.out.begin(attempt, encode_fetch(ask.id, attempt.fields(now), ask.body))
+        self.queue.out.begin(
+            attempt, encode_fetch(client_request.id, attempt.fields(now), client_request.body)
+        )
         self.count_written()
         return True
 
     def send_elsewhere(self, attempts: list[Attempt]) -> None:
-        """Has the pool find other connections for unwritten attempts."""
+        """Has the pool send unwritten attempts on other connections."""
         for attempt in attempts:
             if self.is_open(attempt):
                 del self.open[attempt.exchange.ask.id]
@@ -123,17 +130,17 @@
         self._carrier.close_if_done()
 
     def reset(self) -> None:
-        """Ends the connection so that what has not left this machine never does."""
+        """Ends the connection so that bytes that have not left this machine are discarded."""
         self._carrier.reset()
 
     def count_written(self) -> None:
-        """Reports attempts that have left to the owner."""
-        for _ in range(self.queue.out.count_left() if self.queue.out is not None else 0):
+        """Reports to the owner each attempt whose last byte has left the process."""
+        for _ in range(self.queue.out.take_sent_count() if self.queue.out is not None else 0):
             self._pool.owner.written()
 
     def drop(self, attempt: Attempt) -> bool:
-        """The owner has ended an attempt that is carried here; returns whether it had been written, so that
-        it is aborted at the server."""
+        """Removes an attempt that the owner has ended, and aborts it at the server if it had been written.
+        Returns whether it had been written."""
         id_ = attempt.exchange.ask.id
         del self.open[id_]
         self.count_written()
@@ -141,10 +148,10 @@
             return False
         self._mark_completed(id_)
         if self.queue.is_stuck():
-            # the abort would not leave either, and the attempt would stay open: the connection ends, whose
-            # other attempts wait in vain too
+            # The abort would not leave this machine either, and the server would still run the attempt later.
+            # The other attempts on the connection get no reply either, so the connection is reset.
             self.reset()
-        elif not self._writer.is_closing():  # its end may not have been read yet
+        elif not self._writer.is_closing():  # the end of the connection may not have been read yet
             self.queue.out.write(encode_abort(id_))
             self.queue.cancel_unsent(attempt)
         return True
@@ -157,7 +164,7 @@
             self._count_unexpected(reply)
             return
         if reply.outcome is AttemptOutcome.STILL_GOOD and (not attempt.exchange.ask.known or reply.body):
-            raise MalformedReplyError("still_good for a copy that no client holds")
+            raise MalformedReplyError("still_good for a request without a copy to confirm, or with a body")
         del self.open[reply.id]
         self.unexpected_responses = 0
         self.answered_ms = max(self.answered_ms, attempt.written_ms)
@@ -165,20 +172,21 @@
         self._pool.owner.ended(attempt, reply.outcome, reply)
 
     def finish(self, outcome: AttemptOutcome) -> None:
-        """The connection has ended, and with it all open attempts."""
+        """Ends all open attempts after the connection has ended."""
         ended, self.open = list(self.open.values()), {}
         for attempt in ended:
-            # bytes passed to the system may have arrived: only an unwritten attempt surely never ran
-            unsent = self._writer is not None and not attempt.written_ms
-            self._pool.owner.ended(attempt, AttemptOutcome.LOST_UNSENT if unsent else outcome)
+            # written bytes may have arrived, so only an attempt that was not written surely never ran
+            is_unsent = self._writer is not None and not attempt.written_ms
+            self._pool.owner.ended(attempt, AttemptOutcome.LOST_UNSENT if is_unsent else outcome)
 
     def _count_unexpected(self, reply: Reply) -> None:
-        """Raises MalformedReplyError beyond a limit, since nothing else bounds what these cost."""
+        """Counts a reply that matches no open attempt. Raises MalformedReplyError beyond a limit, since
+        nothing else bounds the cost of such replies."""
         self.unexpected_responses += 1
         if self.unexpected_responses > MAX_UNEXPECTED_RESPONSES:
-            raise MalformedReplyError("answers that nobody waits for, without end")
-        if reply.id not in self._completed_ids:  # else it crossed our abort, or is a second one
-            log.warning("answer to nothing asked peer=%s id=%.32s", self._carrier.peer, reply.id)
+            raise MalformedReplyError("too many replies in a row that match no open attempt")
+        if reply.id not in self._completed_ids:  # otherwise it crossed the abort, or is a duplicate
+            log.warning("reply to an unknown request peer=%s id=%.32s", self._carrier.peer, reply.id)
 
     def _mark_completed(self, id_: str) -> None:
         self._completed_ids[id_] = None
--- a/gladelane/net/client_listener.py
+++ b/gladelane/net/client_listener.py
@@ -1,4 +1,4 @@
-"""The server side: accepts clients, keeps the set of their connections, limits what they use together."""
+"""The server side: accepts clients, keeps the set of their connections, and limits their total resources."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 log = logging.getLogger(__name__)
 
 # None of these depends on a deployment's settings.
-LINGERING_SHARE = 0.1  # lingering connections that may be open beyond the cap, as a share of it
-CROSSING_MS = 50.0  # the protocol's: a client resends a request that crossed a close by no more
-SPARE_MS = 100.0  # at the cap, a client that was idle for less is not closed for another
-CLOSE_S = 0.15  # for the last connections to end when the process stops
-CLOSE_LOOK_S = 0.005  # between checks of them
+LINGERING_SHARE = 0.1  # share of the cap by which lingering connections may exceed it
+MAX_CROSSING_MS = 50.0  # by the protocol, clients resend a request that crossed a close by at most this much
+MIN_IDLE_MS = 100.0  # at the cap, a connection that was idle for less is not closed to admit another client
+CLOSE_TIMEOUT_S = 0.15  # how long the last connections may take to end when the process stops
+CLOSE_POLL_S = 0.005  # interval between checks whether they have ended
 SWEEP_MS = 250.0
-STOP_DESCRIPTORS = (
-    8  # left free when the last connections are accepted: stopping opens files and imports modules
-)
-SHED_MS = 150.0  # with so much lag of the loop, requests are rejected until it has caught up
+#: Left free when the last queued connections are accepted, since stopping opens files and imports modules.
+RESERVED_DESCRIPTORS = 8
+MAX_LAG_MS = 150.0  # while the event loop lags by more than this, requests are rejected
 
 
 class ClientListener:
-    """The connections of all clients, `cap` at most; further clients wait in the system's queue."""
+    """Accepts clients and holds their connections, at most `cap`. Further clients wait in the system's accept
+    queue."""
 
     def __init__(
         self,
@@ -44,7 +44,8 @@
         max_buffered_bytes: float,
         descriptors: int = sys.maxsize,
     ) -> None:
-        """`descriptors` limits the whole process, `max_buffered_bytes` the bodies and unsent answers."""
+        """`descriptors` is the limit of the whole process. `max_buffered_bytes` limits the total size of
+        request bodies and unsent answers."""
         self.director = director
         self.clock = clock
         self.timers = timers
@@ -52,22 +53,23 @@
         self.max_buffered_bytes = max_buffered_bytes
         self._descriptors = descriptors
         self.drain = Drain()
-        self.buffered_bytes = 0  # added to as bytes arrive, recounted by each sweep
-        self.lingering = 0  # connections shut here that wait for the client's close
-        self.is_closing = False  # the process stops: requests are rejected while that can be sent
+        self.buffered_bytes = 0  # increased as bytes are buffered, recounted by each sweep
+        self.lingering = 0  # connections whose write side was shut down here and that wait for the close
+        self.is_closing = False  # the process stops; requests that still arrive are rejected
         self.connections: dict[ClientConnection, asyncio.Task[None]] = {}
         self._listener: Listener | None = None
-        self._arriving = 0  # accepted, without a stream yet
-        self._full_ms = 0.0  # since when new clients have waited for capacity; 0: none waits
-        self._has_found_capacity = False  # at the last check, and nobody has connected since
-        self._welcomes: set[asyncio.Task[None]] = set()
+        self._being_set_up = 0  # accepted connections without a stream yet
+        self._full_since_ms = 0.0  # since when new clients have waited for capacity; 0: no client waits
+        self._has_found_capacity = False  # at the last check, and no client has connected since
+        self._setup_tasks: set[asyncio.Task[None]] = set()
 
     async def listen(
-        self, host: str, port: int, given: socket.socket | None = None, shared: bool = False
+        self, host: str, port: int, inherited: socket.socket | None = None, shared: bool = False
     ) -> int:
-        """Starts to accept, on a predecessor's socket or on a new one, and returns the port. `shared` lets a
-        successor listen at the same address. Raises OSError."""
-        sock = given or open_listener(host, port, shared)
+        """Starts to accept clients and returns the port. Listens on `inherited`, the socket of a predecessor,
+        or else on a new socket. `shared` lets a successor process listen at the same address. Raises
+        OSError."""
+        sock = inherited or open_listener(host, port, shared)
         self._listener = Listener(sock, shared, self._has_capacity, self._accepted)
         self.timers.schedule(self.clock() + SWEEP_MS, self._sweep)
         return int(sock.getsockname()[1])
@@ -78,28 +80,29 @@
         return self._listener.sock if self._listener is not None else None
 
     def _has_capacity(self) -> bool:
-        """At the cap, whether an idle connection could be closed for a new client."""
+        """Whether a new client may be accepted. At the cap, closes an idle connection if there is one."""
         if self._has_found_capacity:
-            self._full_ms = 0.0  # the queue was empty then
-        self._has_found_capacity = self._connected() < self.cap or self._spare_one()
+            self._full_since_ms = 0.0  # no client connected after the last check, so the queue was empty
+        self._has_found_capacity = self._counted_connections() < self.cap or self._close_idle_connection()
         if not self._has_found_capacity:
-            self._full_ms = self._full_ms or self.clock()
-            log.warning("clients wait for room open=%d", len(self.connections))
+            self._full_since_ms = self._full_since_ms or self.clock()
+            log.warning("connection limit reached, new clients wait open=%d", len(self.connections))
         return self._has_found_capacity
 
     def _accepted(self, accepted: socket.socket) -> None:
-        self._arriving += 1
+        self._being_set_up += 1
         self._has_found_capacity = False
-        task = asyncio.get_running_loop().create_task(self._welcome(accepted, self._full_ms))
-        self._welcomes.add(task)
-        task.add_done_callback(self._welcomes.discard)
+        task = asyncio.get_running_loop().create_task(self._set_up(accepted, self._full_since_ms))
+        self._setup_tasks.add(task)
+        task.add_done_callback(self._setup_tasks.discard)
 
-    def _connected(self) -> int:
-        """Connections that count against the cap. Those shut here end soon, so some of them do not count."""
-        beside = min(self.lingering, max(int(self.cap * LINGERING_SHARE), 1))
-        return len(self.connections) + self._arriving - beside
+    def _counted_connections(self) -> int:
+        """The number of connections that count against the cap. Lingering connections end soon, so a limited
+        number of them does not count."""
+        uncounted = min(self.lingering, max(int(self.cap * LINGERING_SHARE), 1))
+        return len(self.connections) + self._being_set_up - uncounted
 
-    async def _welcome(self, accepted: socket.socket, queued_ms: float) -> None:
+    async def _set_up(self, accepted: socket.socket, queued_ms: float) -> None:
         try:
             reader, writer = await accept_stream(accepted)
         except OSError as error:
@@ -107,7 +110,7 @@
             accepted.close()
             return
         finally:
-            self._arriving -= 1
+            self._being_set_up -= 1
         conn = ClientConnection(self, reader, writer, accepted, queued_ms)
         self.connections[conn] = asyncio.create_task(self._serve(conn))
 
@@ -115,80 +118,89 @@
         try:
             await conn.serve()
             with suppress(OSError):
-                await conn.writer.wait_closed()  # until then it has a descriptor, and the sweep checks it
+                await conn.writer.wait_closed()  # until then it holds a descriptor and is swept
         except Exception:
             log.exception("connection failed")
             conn.writer.transport.abort()
         finally:
             self.connections.pop(conn, None)
-            self.lingering -= bool(conn.shut_ms)
-
-    def _spare_one(self) -> bool:
-        """Closes an idle connection for a new client, and returns whether that helped: first one that never
-        sent a request, then the one idle for longest. So clients that only connect cannot keep others out."""
-        latest = self.clock() - SPARE_MS
-        idle = [c for c in self.connections if c.active_ms < latest]
-        idle.sort(key=lambda c: (c.proven, c.active_ms))
-        spare = next((c for c in idle if not c.writer.is_closing() and c.is_idle()), None)
-        if spare is None:
+            self.lingering -= bool(conn.write_closed_ms)
+
+    def _close_idle_connection(self) -> bool:
+        """Closes an idle connection to make room for a new client, and returns whether there is room now. A
+        connection that never sent a valid frame is closed first, so that clients that only connect cannot
+        keep others out; otherwise the one that was idle for longest."""
+        idle_since_ms = self.clock() - MIN_IDLE_MS
+        idle = [c for c in self.connections if c.last_active_ms < idle_since_ms]
+        idle.sort(key=lambda c: (c.has_sent_valid_frame, c.last_active_ms))
+        victim = next((c for c in idle if not c.writer.is_closing() and c.is_idle()), None)
+        if victim is None:
             return False
-        spare.stop_taking()
-        if self._connected() >= self.cap:  # too many linger: those past CROSSING_MS are aborted
+        victim.close_gracefully()
+        if self._counted_connections() >= self.cap:  # too many linger: abort those past MAX_CROSSING_MS
             for conn in self.connections:
-                if conn.shut_ms and not conn.unsent() and self.clock() - conn.shut_ms > CROSSING_MS:
+                if (
+                    conn.write_closed_ms
+                    and not conn.unsent()
+                    and self.clock() - conn.write_closed_ms > MAX_CROSSING_MS
+                ):
                     conn.writer.transport.abort()
-        return self._connected() < self.cap
+        return self._counted_connections() < self.cap
 
     def rejects_requests(self) -> bool:
-        """Whether requests are rejected before they are decoded, to save memory and CPU time: over the limit
-        of buffered bytes, while the event loop lags, and once the process stops."""
-        return self.is_closing or self.buffered_bytes > self.max_buffered_bytes or self.timers.lag() > SHED_MS
+        """Whether requests are rejected before they are decoded, to save memory and CPU time. This is so
+        above the limit of buffered bytes, while the event loop lags, and once the process stops."""
+        return (
+            self.is_closing or self.buffered_bytes > self.max_buffered_bytes or self.timers.lag() > MAX_LAG_MS
+        )
 
     def send_goaway_to_all(self) -> None:
-        """Asks clients to use another director; requests that still arrive are served. A client without a
-        request so far is asked after its first one, or later by the sweep."""
+        """Asks all clients to use another director; requests that still arrive are served. A client that has
+        sent no request yet is asked after its first request, or later by the sweep."""
         for conn in self.connections:
-            if conn.proven or self.drain.should_notify(conn.born_ms, self.clock()):
+            if conn.has_sent_valid_frame or self.drain.should_notify(conn.accepted_ms, self.clock()):
                 conn.send_goaway()
 
-    def steer_away(self) -> None:
-        """Directs new connections to another process that listens at the same address, if there is one."""
+    def redirect_new_connections(self) -> None:
+        """Has the system queue new connections for another process that listens at the same address, if there
+        is one."""
         if self._listener is not None:
-            self._listener.steer_away()
+            self._listener.redirect_new_connections()
 
-    def stop_listening(self, queued: bool = True) -> None:
-        """Stops accepting. `queued`: no other process listens here, so all queued connections are accepted
-        first, beyond the cap but within the descriptors, since the close resets the others."""
+    def stop_listening(self, accept_queued: bool = True) -> None:
+        """Stops accepting. Closing the socket resets connections that are still queued. With `accept_queued`,
+        for when no other process listens here, they are accepted first, beyond the cap but within the limit
+        of descriptors."""
         listener = self._listener
         if listener is not None:
-            if queued:
-                free = self._descriptors - open_descriptors() - STOP_DESCRIPTORS
-                self.cap = max(self.cap, self._connected() + max(free, 0))
-                listener.accept_last()
+            if accept_queued:
+                free = self._descriptors - open_descriptors() - RESERVED_DESCRIPTORS
+                self.cap = max(self.cap, self._counted_connections() + max(free, 0))
+                listener.accept_remaining()
             self._listener = None
             listener.close()
 
     async def close(self) -> None:
-        """Shuts all connections and waits for their end. Requests that have arrived are read and rejected
-        first."""
+        """Closes all connections and waits for their end. Requests that have already arrived are read and
+        rejected first."""
         self.is_closing = True
         self.stop_listening()
         loop = asyncio.get_running_loop()
-        ends = loop.time() + CLOSE_S
-        while (self._arriving or self.connections) and loop.time() < ends:
+        deadline_s = loop.time() + CLOSE_TIMEOUT_S
+        while (self._being_set_up or self.connections) and loop.time() < deadline_s:
             for conn in list(self.connections):
                 if conn.is_settled():
-                    conn.stop_taking()
-            await asyncio.sleep(CLOSE_LOOK_S)
+                    conn.close_gracefully()
+            await asyncio.sleep(CLOSE_POLL_S)
         for conn in list(self.connections):
-            conn.stop_taking()
+            conn.close_gracefully()
             conn.writer.close()
 
-    def quiet(self) -> bool:
-        """Whether no client waits for an answer or may just have sent a request."""
+    def has_no_pending_requests(self) -> bool:
+        """Whether no client waits for an answer or may have sent a request that was not handled yet."""
         now = self.clock()
-        return not self._arriving and not any(
-            c.open or c.unsent() or c.arriving(now) for c in self.connections
+        return not self._being_set_up and not any(
+            c.open or c.unsent() or c.may_have_sent_request(now) for c in self.connections
         )
 
     def _sweep(self) -> None:
--- a/gladelane/net/client_protocol.py
+++ b/gladelane/net/client_protocol.py
@@ -1,4 +1,4 @@
-"""The codec of the client protocol, without I/O: frames, fields, requests and answers."""
+"""Encodes and decodes the client protocol, without I/O: frames, fields, requests and answers."""
 
 from __future__ import annotations
 
@@ -11,20 +11,19 @@
 from ..routing.events import Effect, Settings
 from .exchange import ClientRequest, FinalAnswer
 
-MAX_FRAME = 262_144
-HEAD = struct.Struct(">IBI")
-MAX_LOOK_AHEAD_FRAMES = 1024  # more than a client that reads its answers can have sent
-MIN_LENGTH = 5  # type and stream: the length does not count itself
+MAX_FRAME_BYTES = 262_144
+HEADER = struct.Struct(">IBI")
+MAX_LOOK_AHEAD_FRAMES = 1024  # more frames than a client that reads its answers can have unread here
+MIN_FRAME_LENGTH = 5  # the bytes of type and stream; a frame's length does not count its own four bytes
 HEX16 = re.compile(r"[0-9a-fA-F]{16}")
-AMOUNT = re.compile(r"[0-9]{1,9}(\.[0-9]{1,20})?")  # float() also takes signs, nan, inf, 1_0, 1e999
-MAX_DEADLINES = 10.0  # a longer wait, in deadlines of the class, is out of range
-TOKEN = re.compile(
-    r"[!-+\--<>-~]{1,256}"
-)  # printable, without the separators of the cache protocol: space , =
+AMOUNT = re.compile(r"[0-9]{1,9}(\.[0-9]{1,20})?")  # float() would also accept signs, nan, inf, 1_0 and 1e999
+MAX_DEADLINES = 10.0  # longest wait that a client may state, as a multiple of its class's deadline
+#: Printable ASCII without space, comma and equals sign, the separators of the cache protocol.
+TOKEN = re.compile(r"[!-+\--<>-~]{1,256}")
 
 
-class Type(IntEnum):
-    """Types of frames."""
+class FrameType(IntEnum):
+    """The type byte of a frame."""
 
     REQUEST = 16
     ANSWER = 17
@@ -35,7 +34,7 @@
 
 
 class FramingError(Exception):
-    """A frame's length is out of range, so the next frame cannot be found."""
+    """The length of a frame is out of range, so the start of the next frame is unknown."""
 
 
 class InvalidRequestError(Exception):
@@ -43,7 +42,7 @@
 
 
 class Frame(NamedTuple):
-    """A frame; `type` may be one that `Type` does not have."""
+    """A decoded frame. Its type may be one that `FrameType` does not list."""
 
     type: int
     stream: int
@@ -51,55 +50,56 @@
 
 
 class FrameDecoder:
-    """Decodes the frames on one connection from its bytes, however they are split."""
+    """Decodes the frames of one connection from its bytes, which may arrive in pieces of any size."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def pending(self) -> int:
-        """Bytes of the frame that has begun and not ended."""
+        """The number of bytes received of an incomplete frame."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """The frames that these bytes complete. Raises FramingError."""
+        """Adds received bytes and yields the frames that they complete. Raises FramingError."""
         buffer = self._buffer
         buffer += data
         while len(buffer) >= 4:
             length = int.from_bytes(buffer[:4], "big")
-            if not MIN_LENGTH <= length <= MAX_FRAME:
+            if not MIN_FRAME_LENGTH <= length <= MAX_FRAME_BYTES:
                 raise FramingError(f"frame length {length}")
             if len(buffer) < 4 + length:
                 return
-            _, type_, stream = HEAD.unpack_from(buffer)
-            payload = bytes(buffer[HEAD.size : 4 + length])
+            _, type_, stream = HEADER.unpack_from(buffer)
+            payload = bytes(buffer[HEADER.size : 4 + length])
             del buffer[: 4 + length]
             yield Frame(type_, stream, payload)
 
-    def given_up(self, unread: bytes) -> set[int]:
-        """The streams of which the client cancelled the request, as far as complete frames say so in what is
-        buffered here and in `unread`, which follows it. Consumes nothing."""
+    def find_cancelled_streams(self, unread: bytes) -> set[int]:
+        """The streams whose request is cancelled by a complete frame in the buffered bytes or in `unread`,
+        the bytes that follow them. Consumes no bytes."""
         data = bytes(self._buffer) + unread
         found: set[int] = set()
         at = 0
         for _ in range(MAX_LOOK_AHEAD_FRAMES):
-            if len(data) - at < HEAD.size:
+            if len(data) - at < HEADER.size:
                 break
-            length, type_, stream = HEAD.unpack_from(data, at)
+            length, type_, stream = HEADER.unpack_from(data, at)
             at += 4 + length
-            if not MIN_LENGTH <= length <= MAX_FRAME or at > len(data):
+            if not MIN_FRAME_LENGTH <= length <= MAX_FRAME_BYTES or at > len(data):
                 break
-            if type_ == Type.GONE:
+            if type_ == FrameType.GONE:
                 found.add(stream)
         return found
 
 
-def encode_frame(type_: Type, stream: int, payload: bytes = b"") -> bytes:
-    """A frame as bytes."""
-    return HEAD.pack(MIN_LENGTH + len(payload), type_, stream) + payload
+def encode_frame(type_: FrameType, stream: int, payload: bytes = b"") -> bytes:
+    """Encodes a frame."""
+    return HEADER.pack(MIN_FRAME_LENGTH + len(payload), type_, stream) + payload
 
 
 def decode_fields(payload: bytes) -> tuple[dict[str, str], bytes]:
-    """The fields at the start of a payload, and the rest of it. Raises InvalidRequestError."""
+    """Returns the fields at the start of a payload, and the rest of the payload. Raises
+    InvalidRequestError."""
     fields: dict[str, str] = {}
     try:
         at = 1
@@ -119,7 +119,7 @@
 
 
 def encode_fields(fields: Mapping[str, str]) -> bytes:
-    """Fields as they stand at the start of a payload: 255 at most, names up to 255 bytes."""
+    """Encodes the fields at the start of a payload: at most 255 fields, with names of at most 255 bytes."""
     parts = [bytes([len(fields)])]
     for name, value in fields.items():
         raw, text = name.encode(), value.encode()
@@ -128,7 +128,7 @@
 
 
 def peek_class(payload: bytes, settings: Settings) -> str | None:
-    """The class that a payload names, if the settings have it."""
+    """The class that a payload names; None if it names no class of the settings."""
     try:
         name = decode_fields(payload)[0].get("c")
     except InvalidRequestError:
@@ -136,29 +136,30 @@
     return name if name in settings.classes else None
 
 
-def _integer(fields: Mapping[str, str], name: str, most: int) -> int:
+def _integer(fields: Mapping[str, str], name: str, max_value: int) -> int:
     text = fields[name]
-    if not (text.isascii() and text.isdecimal() and len(text) <= 10 and int(text) <= most):
+    if not (text.isascii() and text.isdecimal() and len(text) <= 10 and int(text) <= max_value):
         raise InvalidRequestError(f"field {name!r} is unusable")
     return int(text)
 
 
-def _amount(fields: Mapping[str, str], name: str, most: float) -> float:
+def _amount(fields: Mapping[str, str], name: str, max_value: float) -> float:
     if not AMOUNT.fullmatch(fields[name]):
         raise InvalidRequestError(f"field {name!r} is unusable")
-    if (value := float(fields[name])) > most:
+    if (value := float(fields[name])) > max_value:
         raise InvalidRequestError(f"field {name!r} is out of range")
     return value
 
 
-def _token(fields: Mapping[str, str], name: str, form: re.Pattern[str]) -> str:
-    if not form.fullmatch(fields[name]):
+def _token(fields: Mapping[str, str], name: str, pattern: re.Pattern[str]) -> str:
+    if not pattern.fullmatch(fields[name]):
         raise InvalidRequestError(f"field {name!r} is unusable")
     return fields[name]
 
 
 def decode_request(payload: bytes, settings: Settings) -> ClientRequest:
-    """A request, checked so that its texts may be forwarded as they are. Raises InvalidRequestError."""
+    """Decodes a request and checks its fields, so that their texts may be forwarded unaltered. Raises
+    InvalidRequestError."""
     fields, body = decode_fields(payload)
     try:
         spec = settings.classes.get(fields["c"])
@@ -182,15 +183,15 @@
 
 
 def encode_answer(stream: int, final: FinalAnswer) -> bytes:
-    """The frame of a final answer."""
+    """Encodes the frame of a final answer."""
     fields = {}
     if final.valid:
         fields["valid"] = "1"
     if final.retry_after_ms >= 1.0:
         fields["w"] = str(int(final.retry_after_ms))
-    return encode_frame(Type.ANSWER, stream, bytes([final.code]) + encode_fields(fields) + final.body)
+    return encode_frame(FrameType.ANSWER, stream, bytes([final.code]) + encode_fields(fields) + final.body)
 
 
 def encode_ready(stream: int, ready: bool) -> bytes:
-    """The frame that answers whether this director is ready."""
-    return encode_frame(Type.READY, stream, bytes([0 if ready else 1]) + encode_fields({}))
+    """Encodes the frame that states whether this director is ready."""
+    return encode_frame(FrameType.READY, stream, bytes([0 if ready else 1]) + encode_fields({}))
--- a/gladelane/net/client_requests.py
+++ b/gladelane/net/client_requests.py
@@ -1,4 +1,4 @@
-"""The requests of one client's connection: checked, admitted and answered, each once. Times are ms."""
+"""The requests of one client connection: checks, admits and answers each of them once. Times are in ms."""
 
 from __future__ import annotations
 
@@ -21,153 +21,170 @@
 
 log = logging.getLogger(__name__)
 
-MOST_OPEN = 32  # requests on one connection, by the protocol
-OUT_OF_ORDER = 1024  # stream numbers that came ahead of their turn on one connection
+MAX_OPEN_REQUESTS = 32  # on one connection, by the protocol
+MAX_OUT_OF_ORDER_STREAMS = 1024  # stream numbers used on one connection before a lower one was used
 
 FAILED = FinalAnswer(AnswerCode.FAILED)
 REFUSED = FinalAnswer(AnswerCode.REFUSED)
 
 
-class Shared(Protocol):
-    """What the requests of all clients share."""
+class RequestContext(Protocol):
+    """What the requests of all client connections share."""
 
     director: Director
     drain: Drain
     buffered_bytes: int
 
     def clock(self) -> float:
-        """The time in ms."""
+        """The current time in ms."""
 
     def rejects_requests(self) -> bool:
         """Whether requests are rejected before they are decoded."""
 
 
 class RequestOwner(Protocol):
-    """The connection, as its requests use it."""
+    """The part of a client connection that its requests use."""
 
     goaway_ms: float  # when the client was asked to send no more requests; 0: it was not
-    active_ms: float  # when the client last sent something
-    proven: bool  # the client has sent a usable frame
+    last_active_ms: float  # when the client last sent something
+    has_sent_valid_frame: bool  # by the client
 
-    def has_left(self, stream: int) -> bool:
-        """Whether the client waits no longer for an answer on this stream."""
+    def is_client_gone(self, stream: int) -> bool:
+        """Whether the client no longer waits for an answer on this stream."""
 
     def send(self, data: bytes) -> None:
         """Sends a frame."""
 
     def answered(self) -> None:
-        """A request was answered."""
+        """Called after a request was answered."""
 
 
 class StreamNumbers:
-    """The stream numbers that a connection has used: all up to one, and a few above it."""
+    """The stream numbers that were used on a connection: all numbers up to a limit, and a few above it."""
 
     def __init__(self) -> None:
-        self._upto = 0
-        self._ahead: set[int] = set()
+        self._used_until = 0
+        self._used_out_of_order: set[int] = set()
 
     def use(self, stream: int) -> bool:
-        """Marks a number as used; returns whether it was new."""
-        if stream <= self._upto or stream in self._ahead or len(self._ahead) >= OUT_OF_ORDER:
+        """Marks a stream number as used. Returns False if it was used before or is too far out of order."""
+        if (
+            stream <= self._used_until
+            or stream in self._used_out_of_order
+            or len(self._used_out_of_order) >= MAX_OUT_OF_ORDER_STREAMS
+        ):
             return False
-        self._ahead.add(stream)
-        while self._upto + 1 in self._ahead:
-            self._upto += 1
-            self._ahead.remove(self._upto)
+        self._used_out_of_order.add(stream)
+        while self._used_until + 1 in self._used_out_of_order:
+            self._used_until += 1
+            self._used_out_of_order.remove(self._used_until)
         return True
 
 
 class ClientRequests:
-    """The requests of one connection by their stream."""
+    """The open requests of one connection by stream number."""
 
-    def __init__(self, shared: Shared, owner: RequestOwner) -> None:
+    def __init__(self, context: RequestContext, owner: RequestOwner) -> None:
         self.open: dict[int, Exchange] = {}
-        self._shared = shared
+        self._context = context
         self._owner = owner
         self._streams = StreamNumbers()
 
     def buffered_bytes(self) -> int:
-        """Bytes of the bodies of open requests."""
+        """The total size of the bodies of open requests."""
         return sum(len(exchange.ask.body) for exchange in self.open.values())
 
     def cancel(self, stream: int) -> None:
-        """The client has given a request up."""
+        """Ends a request that the client has cancelled."""
         exchange = self.open.pop(stream, None)
         if exchange is not None:
-            self._shared.director.gone(exchange)
+            self._context.director.handle_disconnect(exchange)
 
-    def end_all(self) -> None:
-        """The client sends nothing more. Whether it closed, or only shut its sending side down, shows once it
-        is written to: so nothing goes on for its requests, and each is answered at once all the same."""
+    def end_open_requests(self) -> None:
+        """Ends and answers all open requests, after the client has stopped sending. A client that closed its
+        connection cannot be told from one that shut down only its sending side and still reads. Therefore no
+        attempt for its requests goes on, and each request is still answered, at once."""
         while self.open:
             stream, exchange = self.open.popitem()
             final = FAILED if exchange.may_have_run() else REFUSED
-            self._shared.director.gone(exchange)
+            self._context.director.handle_disconnect(exchange)
             self._owner.send(encode_answer(stream, final))
 
     def reject_unless_cancelled(self, stream: int, is_cancelled: bool) -> None:
-        """A request that the client no longer waits for, as far as has been received."""
+        """Rejects a request of a client that has closed its sending side. A request that the client has
+        cancelled gets no answer."""
         if self._streams.use(stream) and not is_cancelled:
             self._owner.send(encode_answer(stream, REFUSED))
 
-    def take(self, frame: Frame, is_slow: bool, came_ms: float) -> None:
-        """Takes in a request, which arrived at `came_ms`. `is_slow`: its client does not read its answers."""
+    def handle(self, frame: Frame, is_slow: bool, received_ms: float) -> None:
+        """Checks a request that arrived at `received_ms`, and admits, rejects or fails it. `is_slow` means
+        that the client does not read its answers."""
         if not self._streams.use(frame.stream):
-            log.warning("stream used twice stream=%d", frame.stream)
+            log.warning("stream number reused or out of range stream=%d", frame.stream)
             self._owner.send(encode_answer(0, FAILED))
             return
-        if len(self.open) >= MOST_OPEN:
-            log.warning("more than %d requests open", MOST_OPEN)
+        if len(self.open) >= MAX_OPEN_REQUESTS:
+            log.warning("more than %d requests open", MAX_OPEN_REQUESTS)
             self._answer_undecoded(frame, FAILED)
             return
         if is_slow or self._is_rejected():
-            self._owner.proven = True  # as far as can be seen: it was not decoded, which is not its fault
+            # the frame was not decoded, for reasons that are not the client's fault, so it counts as valid
+            self._owner.has_sent_valid_frame = True
             self._answer_undecoded(frame, REFUSED)
             return
-        ask = self._decode(frame)
-        if ask is None:
+        client_request = self._decode(frame)
+        if client_request is None:
             self._answer_undecoded(frame, FAILED)
             return
-        self._owner.proven = True
-        passed_ms = self._shared.clock() - came_ms
-        if passed_ms >= 1.0:
-            ask = msgspec.structs.replace(ask, wait_ms=max(ask.wait_ms - passed_ms, 0.0))
-        self._admit(frame.stream, ask)
+        self._owner.has_sent_valid_frame = True
+        elapsed_ms = self._context.clock() - received_ms
+        if elapsed_ms >= 1.0:
+            client_request = msgspec.structs.replace(
+                client_request, wait_ms=max(client_request.wait_ms - elapsed_ms, 0.0)
+            )
+        self._admit(frame.stream, client_request)
 
     def _is_rejected(self) -> bool:
         owner = self._owner
-        return self._shared.rejects_requests() or self._shared.drain.rejects(owner.goaway_ms, owner.active_ms)
+        return self._context.rejects_requests() or self._context.drain.rejects(
+            owner.goaway_ms, owner.last_active_ms
+        )
 
     def _decode(self, frame: Frame) -> ClientRequest | None:
-        director = self._shared.director
+        director = self._context.director
         try:
-            ask = decode_request(frame.payload, director.settings)
+            client_request = decode_request(frame.payload, director.settings)
         except InvalidRequestError as error:
-            log.warning("bad request stream=%d: %s", frame.stream, error)
+            log.warning("invalid request stream=%d: %s", frame.stream, error)
             return None
-        if director.disputes(ask):
-            log.warning("open id asks for something else stream=%d id=%s", frame.stream, ask.id)
+        if director.conflicts_with_open_request(client_request):
+            log.warning(
+                "id is in use by an open request for another object stream=%d id=%s",
+                frame.stream,
+                client_request.id,
+            )
             return None
-        return ask
+        return client_request
 
-    def _admit(self, stream: int, ask: ClientRequest) -> None:
-        self._shared.buffered_bytes += len(ask.body)
+    def _admit(self, stream: int, client_request: ClientRequest) -> None:
+        self._context.buffered_bytes += len(client_request.body)
         answered: list[FinalAnswer] = []
         try:
-            exchange = self._shared.director.admit(
-                ask,
+            exchange = self._context.director.admit(
+                client_request,
                 lambda final: self._answer(stream, final, answered),
-                partial(self._owner.has_left, stream),
+                partial(self._owner.is_client_gone, stream),
             )
-        except Exception:  # an error ends this request only
-            log.exception("request failed id=%s", ask.id)
+        except Exception:  # an error fails this request only
+            log.exception("request failed id=%s", client_request.id)
             self._answer(stream, FAILED, answered)
             return
         if not answered:
             self.open[stream] = exchange
 
     def _answer(self, stream: int, final: FinalAnswer, answered: list[FinalAnswer]) -> None:
-        """Answers a request once; `answered` may be filled before `admit` returns."""
+        """Answers a request unless `answered` already has its answer. Called perhaps before `admit`
+        returns."""
         if answered:
             return
         answered.append(final)
@@ -176,7 +193,7 @@
         self._owner.answered()
 
     def _answer_undecoded(self, frame: Frame, final: FinalAnswer) -> None:
-        """Answers a request that the director has not seen."""
-        director = self._shared.director
+        """Answers a request that was not passed to the director."""
+        director = self._context.director
         director.metrics.answered(peek_class(frame.payload, director.settings), final.code)
         self._owner.send(encode_answer(frame.stream, final))
--- a/gladelane/net/config.py
+++ b/gladelane/net/config.py
@@ -1,6 +1,6 @@
-"""The configuration file that GW_CONFIG names, checked once and decoded into values.
+"""Checks and decodes the configuration file that GW_CONFIG names.
 
-A file that cannot be used is reported in one line: the key as the file has it, its value, what was expected.
+An invalid file is reported in one line: the key as it is in the file, its value, and what was expected.
 Unknown keys are ignored.
 """
 
@@ -27,20 +27,20 @@
 from ..discovery.events import KnownEvents
 from ..routing.events import Settings
 
-OPTIONAL_KEYS = frozenset({"ops"})  # GW_OPS names it too
-SEED = re.compile(r"[0-9a-fA-F]{1,64}")  # int() also takes signs, 0x and 1_0
-MOST_SOCKETS = 10_000_000  # more than any system gives a process
-MOST_MEMORY_MB = 100_000_000.0  # a hundred terabytes: the value is in bytes, or a slip
-MOST_STREAMS = 1_000_000  # attempts on one connection
-MOST_MS = 31_536_000_000.0  # a year
+OPTIONAL_KEYS = frozenset({"ops"})  # GW_OPS may name the admin endpoint instead
+SEED = re.compile(r"[0-9a-fA-F]{1,64}")  # int() would also accept signs, 0x and 1_0
+MAX_SOCKETS = 10_000_000  # more than any system permits to a process
+MAX_MEMORY_MB = 100_000_000.0  # a hundred terabytes; a larger value is in bytes, or a typing error
+MAX_STREAMS = 1_000_000  # attempts on one connection
+MAX_MS = 31_536_000_000.0  # a year
 
 
 class ConfigError(Exception):
-    """A configuration that cannot be used, in one line; `setting` has the facts where one key is wrong."""
+    """An invalid configuration, described in one line. `setting` has the details if one key is wrong."""
 
-    def __init__(self, why: str | BadSetting) -> None:
-        super().__init__(str(why))
-        self.setting = why if isinstance(why, BadSetting) else None
+    def __init__(self, reason: str | BadSetting) -> None:
+        super().__init__(str(reason))
+        self.setting = reason if isinstance(reason, BadSetting) else None
 
     def in_file(self, path: str) -> ConfigError:
         """The same error with the file's name."""
@@ -50,22 +50,22 @@
 
 
 class Limits(msgspec.Struct):
-    """Resources of the process: memory in MB, open file descriptors."""
+    """Limits on the resources of the process."""
 
     memory_mb: float
-    sockets: int
+    sockets: int  # open file descriptors
 
 
 class ConnLimits(msgspec.Struct):
-    """Limits of a connection to a server: attempts that share it, ms until a dial fails or it is idle."""
+    """Limits of a connection to a server."""
 
-    max_streams: int
+    max_streams: int  # attempts that may share it
     dial_timeout_ms: float
-    conn_idle_ms: float
+    conn_idle_ms: float  # the server closes the connection after being idle for this long
 
 
 class Config(msgspec.Struct):
-    """The complete configuration. Addresses are pairs of host and port."""
+    """The decoded configuration file. Addresses are pairs of host and port."""
 
     name: str
     listen: tuple[str, int]
@@ -79,7 +79,7 @@
 
 
 def host_port(text: str) -> tuple[str, int]:
-    """Raises ValueError."""
+    """Splits an address of the form `host:port`. Raises ValueError."""
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdecimal()) or not 0 <= int(port[:6]) < 65536:
         raise ValueError(f"{text!r} is no address; expected host:port")
@@ -103,18 +103,19 @@
     ),
 }
 _LIMITS = {
-    "memory_mb": Field(Number(0, MOST_MEMORY_MB, exclusive_min=True)),
-    "sockets": Field(Number(1, MOST_SOCKETS, integer=True)),
+    "memory_mb": Field(Number(0, MAX_MEMORY_MB, exclusive_min=True)),
+    "sockets": Field(Number(1, MAX_SOCKETS, integer=True)),
 }
 _CONN_LIMITS = {
-    "max_streams": Field(Number(1, MOST_STREAMS, integer=True)),
-    "dial_timeout_ms": Field(Number(0, MOST_MS, exclusive_min=True)),
-    "conn_idle_ms": Field(Number(0, MOST_MS, exclusive_min=True)),
+    "max_streams": Field(Number(1, MAX_STREAMS, integer=True)),
+    "dial_timeout_ms": Field(Number(0, MAX_MS, exclusive_min=True)),
+    "conn_idle_ms": Field(Number(0, MAX_MS, exclusive_min=True)),
 }
 
 
 def read_config(data: bytes, used: bytes | None = None) -> Config:
-    """`used` is the file in use, whose keys the new one must have too. Raises ConfigError."""
+    """Decodes the file `data`. `used` is the file in use, if there is one; the new file must have all of its
+    keys. Raises ConfigError."""
     if not data.strip():
         raise ConfigError("the whole file is empty; expected a JSON object")
     try:
@@ -140,16 +141,16 @@
 
 
 def _decode(data: bytes) -> Any:
-    """Raises ConfigError. NaN and infinities, which some writers produce, are accepted here although they are
-    no JSON, so that the check of their key can name it."""
+    """Decodes JSON. NaN and infinities, which are not JSON but are produced by some writers, are accepted
+    here, so that the check of their key can report it. Raises ConfigError."""
     try:
         return msgspec.json.decode(data)
     except msgspec.MsgspecError as error:
-        why = " ".join(str(error).split())
+        reason = " ".join(str(error).split())
     try:
         return json.loads(data)
     except ValueError:
-        raise ConfigError(f"the whole file is no JSON: {why}; expected a JSON object") from None
+        raise ConfigError(f"the whole file is no JSON: {reason}; expected a JSON object") from None
 
 
 def _read_settings(raw: Any) -> Settings:
@@ -159,15 +160,15 @@
         raise error.within("settings") from None
 
 
-#: Kinds of the required fields of a watch event; all others are texts.
-_EVENT_FIELDS = {
+#: The kinds of the required fields of a watch event, for error messages. All other fields are texts.
+_EVENT_FIELD_DESCRIPTIONS = {
     "rev": "a whole number",
     "notices": "a list",
     "instances": "a list",
     "ms": "a number",
 }
-#: Kinds by msgspec's names.
-_KINDS = {
+#: The kinds of values by msgspec's names for them, for error messages.
+_KIND_DESCRIPTIONS = {
     "int": "a whole number",
     "float": "a number",
     "str": "a text",
@@ -180,35 +181,38 @@
 
 
 def _read_known(raw: Any) -> KnownEvents:
-    """The watch events up to the start. Raises BadSetting."""
+    """Decodes the watch events up to the start. Raises BadSetting."""
     read_object(raw, "known")
     try:
         return msgspec.convert(raw, KnownEvents)
     except msgspec.ValidationError as error:
-        raise _worded(str(error), raw) from None
+        raise _describe_validation_error(str(error), raw) from None
 
 
-def _worded(message: str, raw: Any) -> BadSetting:
-    """The error for a message such as ``Expected `int`, got `str` - at `$.notices[0].rev` ``."""
-    what, _, place = message.partition(" - at `$")
-    path = place.rstrip("`")
-    if missing := _MISSING.fullmatch(what):
+def _describe_validation_error(message: str, raw: Any) -> BadSetting:
+    """Converts a message of msgspec, such as ``Expected `int`, got `str` - at `$.notices[0].rev` ``, to an
+    error that names the key."""
+    description, _, location = message.partition(" - at `$")
+    path = location.rstrip("`")
+    if missing := _MISSING.fullmatch(description):
         name = missing[1]
-        return BadSetting(f"known{path}.{name}", MISSING, _EVENT_FIELDS.get(name, "a text"))
-    wrong = _WRONG_KIND.fullmatch(what)
-    expected = _KINDS.get(wrong[1], wrong[1]) if wrong else f"{what[:1].lower()}{what[1:]}"
-    return BadSetting(f"known{path}", _found_at(raw, path), expected)
+        return BadSetting(f"known{path}.{name}", MISSING, _EVENT_FIELD_DESCRIPTIONS.get(name, "a text"))
+    wrong = _WRONG_KIND.fullmatch(description)
+    expected = (
+        _KIND_DESCRIPTIONS.get(wrong[1], wrong[1]) if wrong else f"{description[:1].lower()}{description[1:]}"
+    )
+    return BadSetting(f"known{path}", _value_at(raw, path), expected)
 
 
-def _found_at(raw: Any, path: str) -> Any:
+def _value_at(raw: Any, path: str) -> Any:
     """The value at a path such as `.notices[0].rev`."""
-    for name, place in re.findall(r"\.(\w+)|\[(\d+)\]", path):
-        raw = raw[name] if name else raw[int(place)]
+    for name, index in re.findall(r"\.(\w+)|\[(\d+)\]", path):
+        raw = raw[name] if name else raw[int(index)]
     return raw
 
 
 def _check_no_key_is_missing(new: Any, used: Any, where: str = "") -> None:
-    """Raises BadSetting for a key of `used` that `new` lacks. Lists may be shorter: they are not compared."""
+    """Raises BadSetting for a key of `used` that `new` lacks. Lists are not compared and may be shorter."""
     if not isinstance(used, Mapping):
         return
     if not isinstance(new, Mapping):
--- a/gladelane/net/connection_pool.py
+++ b/gladelane/net/connection_pool.py
@@ -16,18 +16,20 @@
 from .config import ConnLimits
 from .exchange import Attempt
 
-# How attempts are spread depends on how many one silent connection may delay, not on classes or loads, so it
-# is no setting.
+# These limits bound how many attempts one unresponsive connection can delay. They depend neither on request
+# classes nor on load, so they are not settings.
 SWEEP_MS = 100.0
-QUIET_MOST = 4  # quiet connections to a server, above which no further one is dialled
-SPREAD, SPREAD_MOST = 6, 4  # attempts on each connection from which a further one is dialled, and how many
-SPREAD_CAP_SHARE = 0.75  # of the cap, up to which that is done
-CLOSING_TURNS = 4  # iterations of the event loop, more than an aborted connection needs to be closed
+MAX_SUSPECT_CONNECTIONS = 4  # to one server; above this no further connection to it is dialled
+#: A further connection is dialled, up to 4 to one server, if each of them carries at least 6 attempts.
+SPREAD_ATTEMPTS, MAX_SPREAD_CONNECTIONS = 6, 4
+SPREAD_CAP_SHARE = 0.75  # share of the cap above which no connection is dialled only to spread attempts
+MAX_CLOSING_TURNS = 4  # iterations of the event loop; an aborted connection needs fewer to be closed
 
 
 class ConnectionPool:
-    """Connections by server, `cap` sockets in all, each shared by up to `max_streams` attempts. A server that
-    takes over another's address does not take over its connections."""
+    """The connections to all servers, with at most `cap` sockets in total. Each connection is shared by up to
+    `max_streams` attempts. A server that takes over the address of another does not take over its
+    connections."""
 
     def __init__(
         self,
@@ -44,10 +46,10 @@
         self.timers = timers
         self.owner: Owner
         self._pool: dict[str, list[Connection]] = {}
-        self._count = 0  # connections, each with one socket at least
-        self._closing: list[socket.socket] = []  # of ended connections, until they are closed
-        self._extra = 0  # further sockets, of dials in parallel and of health checks
-        self._trials: set[asyncio.Task[None]] = set()
+        self._count = 0  # connections; each has at least one socket
+        self._closing: list[socket.socket] = []  # sockets of ended connections, until they are closed
+        self._extra_sockets = 0  # further sockets, for parallel dials and for health checks
+        self._health_checks: set[asyncio.Task[None]] = set()
         self.sweep()
 
     # --- for dials and health checks (`endpoints.dialer.Budget`)
@@ -58,57 +60,62 @@
 
     def spare_sockets(self) -> int:
         """How many sockets may be opened now; closes an idle connection if there is no other."""
-        if self._sockets_in_use() < self.cap or self._spare_one():
+        if self._sockets_in_use() < self.cap or self._close_idle_connection():
             return self.cap - self._sockets_in_use()
         return 0
 
     def hold(self, sockets: int) -> None:
-        """Counts sockets beside those of connections; negative: they were closed."""
-        self._extra += sockets
+        """Counts sockets other than the first one of each connection. A negative number stands for sockets
+        that were closed."""
+        self._extra_sockets += sockets
 
     async def wait_for_descriptor(self) -> None:
-        """Returns once connections that were closed for this dial have given back their descriptors."""
-        for _ in range(CLOSING_TURNS):
+        """Returns once the connections that were closed to make room for this dial have released their
+        descriptors."""
+        for _ in range(MAX_CLOSING_TURNS):
             self._closing = [sock for sock in self._closing if sock.fileno() >= 0]
             if not self._closing or self._sockets_in_use() + len(self._closing) <= self.cap:
                 return
             await asyncio.sleep(0)
 
     def _sockets_in_use(self) -> int:
-        return self._count + self._extra
+        return self._count + self._extra_sockets
 
     def start_health_check(self, store: str, address: Address) -> None:
-        """Dials an ejected address to see whether it works again, unless sockets are short."""
+        """Dials an ejected address to see whether it works again, unless few sockets are left."""
         if self._sockets_in_use() < self.cap * SPREAD_CAP_SHARE:
-            trial = check_health(store, address, self.endpoints, self, self.limits.dial_timeout_ms)
-            task = asyncio.ensure_future(trial)
-            self._trials.add(task)
-            task.add_done_callback(self._trials.discard)
+            check = check_health(store, address, self.endpoints, self, self.limits.dial_timeout_ms)
+            task = asyncio.ensure_future(check)
+            self._health_checks.add(task)
+            task.add_done_callback(self._health_checks.discard)
 
     # --- for the director
 
     def send(self, attempt: Attempt) -> None:
-        """Writes the attempt to a connection, or lets it wait for a dial. At the cap it ends as CAPPED."""
+        """Writes the attempt to a connection, or queues it until a dial completes. If the cap permits
+        neither, the attempt ends as CAPPED."""
         conns = self._pool.setdefault(attempt.store, [])
         now = self.clock()
-        able = [c for c in conns if c.takes(attempt.exchange.ask.id)]
-        conn = min((c for c in able if not c.is_quiet(now)), key=lambda c: len(c.open), default=None)
-        full = conn is not None and len(conn.open) >= SPREAD and len(conns) < SPREAD_MOST
-        if full and self._sockets_in_use() < self.cap * SPREAD_CAP_SHARE:
+        available = [c for c in conns if c.accepts(attempt.exchange.ask.id)]
+        conn = min((c for c in available if not c.is_suspect(now)), key=lambda c: len(c.open), default=None)
+        is_busy = (
+            conn is not None and len(conn.open) >= SPREAD_ATTEMPTS and len(conns) < MAX_SPREAD_CONNECTIONS
+        )
+        if is_busy and self._sockets_in_use() < self.cap * SPREAD_CAP_SHARE:
             conn = None
         if (
             conn is None
-            and len(able) <= QUIET_MOST
-            and (self._sockets_in_use() < self.cap or self._spare_one())
+            and len(available) <= MAX_SUSPECT_CONNECTIONS
+            and (self._sockets_in_use() < self.cap or self._close_idle_connection())
         ):
             conn = Connection(self, attempt.store)
             conns.append(conn)
             self._count += 1
         elif conn is None:
-            if not able:
+            if not available:
                 self.owner.ended(attempt, AttemptOutcome.CAPPED)
                 return
-            conn = able[-1]
+            conn = available[-1]
         conn.attempts.add(attempt)
 
     def abandon(self, attempt: Attempt, end: AttemptOutcome) -> None:
@@ -117,31 +124,33 @@
             conn.drop(attempt, end)
 
     def cancel_unsent(self, attempt: Attempt) -> None:
-        """Keeps an attempt that may not be cancelled from being sent if it has not left this machine yet."""
+        """Keeps an attempt that may not be cancelled at its server from being sent, if it has not left this
+        machine yet."""
         for conn in list(self._pool.get(attempt.store, ())):
             conn.attempts.queue.cancel_unsent(attempt)
 
     def drop_server(self, store: str) -> None:
-        """The server left, restarted or drains: attempts that wait for a dial end, those written finish."""
+        """Retires the connections to a server that left, restarted or drains: attempts that wait for a dial
+        end, and attempts that were written finish."""
         for conn in list(self._pool.get(store, ())):
             conn.drain()
 
     def remove_address(self, store: str, address: Address) -> None:
-        """The server no longer has this address."""
+        """Retires the connections to an address that the server no longer has."""
         for conn in list(self._pool.get(store, ())):
             conn.remove_address(address)
 
     def close(self) -> None:
         """Ends all connections and health checks."""
-        for trial in self._trials:
-            trial.cancel()
+        for check in self._health_checks:
+            check.cancel()
         for conn in [c for conns in self._pool.values() for c in conns]:
             conn.close()
 
     def shrink(self, cap: int) -> None:
         """Changes the cap and closes idle connections above it."""
         self.cap = cap
-        while self._sockets_in_use() > cap and self._spare_one():
+        while self._sockets_in_use() > cap and self._close_idle_connection():
             pass
 
     def remove(self, conn: Connection) -> None:
@@ -155,20 +164,20 @@
         if not conns:
             self._pool.pop(conn.store, None)
 
-    def _spare_one(self) -> bool:
-        """Closes an idle connection for one that is needed, and returns whether there was one."""
-        every = (c for conns in self._pool.values() for c in conns)
-        idle = next((c for c in every if c.writer and not c.open and not c.retired), None)
+    def _close_idle_connection(self) -> bool:
+        """Closes an idle connection to make room for another one. Returns whether there was one."""
+        all_connections = (c for conns in self._pool.values() for c in conns)
+        idle = next((c for c in all_connections if c.writer and not c.open and not c.retired), None)
         if idle is not None:
             idle.close()
             self.remove(idle)
         return idle is not None
 
     def sweep(self) -> None:
-        """Checks all connections, periodically."""
+        """Checks all connections and schedules the next sweep."""
         now = self.clock()
-        self.timers.schedule(now + SWEEP_MS, self.sweep)  # first, so that an error does not end the period
+        self.timers.schedule(now + SWEEP_MS, self.sweep)  # first, so that an error does not end the sweeps
         for conns in list(self._pool.values()):
-            answered = max(conn.attempts.answered_ms for conn in conns) if conns else 0.0
+            answered_ms = max(conn.attempts.answered_ms for conn in conns) if conns else 0.0
             for conn in list(conns):
-                conn.sweep(now, answered)
+                conn.sweep(now, answered_ms)
--- a/gladelane/net/descriptors.py
+++ b/gladelane/net/descriptors.py
@@ -1,56 +1,56 @@
-"""Shares of a process's file descriptors: how many each part may have, so that none starves another.
+"""Divides the file descriptors of a process between its parts, so that none of them starves another.
 
-Pure: the limit and what is open at the start are arguments. Counts are descriptors throughout.
+Pure: the limit and the number of descriptors that are open at the start are arguments. All counts are
+numbers of descriptors.
 
 What the process needs for itself (the event loop, its listeners, the discovery client's stream, files that
-are open for a moment) does not shrink with the limit. So it is set aside first; clients and caches share the
-rest.
+are open for a moment) does not shrink with the limit. Therefore it is set aside first, and clients and caches
+share the rest.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-CLIENT_SHARE = 0.6  # clients by the protocol take a third at most; the rest is for others
+CLIENT_SHARE = 0.6  # clients that follow the protocol need a third at most; the rest is for other clients
 UPSTREAM_SHARE = 0.25
-LINGERING_SHARE = 0.1  # of the clients' cap: shut connections that may be open beside it
-EVENT_LOOP = (
-    10  # uvloop on Linux: epoll, its ring, two pipes, an eventfd, a socket pair for signals, /dev/null
-)
+LINGERING_SHARE = 0.1  # share of the clients' cap by which lingering connections may exceed it
+EVENT_LOOP = 10  # uvloop on Linux: epoll, io_uring, two pipes, an eventfd, a signal socket pair, /dev/null
 SERVING = 3  # the listener; the discovery client's stream, and a new one dialled while the old one closes
-ADMIN = 5  # the admin endpoint's listener, its thread's loop of three, and the meeting place of an upgrade
-PER_PURGE_SERVER = 3  # the stream of a purge log server; a report and a lease request there meanwhile
-# A socket counts as free as soon as its close is requested, which is one iteration of the loop too early, and
-# files are open for a moment: the handover, a module imported late, a socket handed over. With 8, accepting
-# reached the limit in 5 of 78 runs with 120 clients that reconnect at once.
-IN_MOTION = 16
-CALLERS_LEAST, CALLERS_MOST = 6, 24  # at the admin endpoint: a few that say nothing, and those who call
-CLIENTS_LEAST, UPSTREAM_LEAST = 4, 2  # with less nothing is served; so tiny a limit is overrun then
+ADMIN = 5  # the admin endpoint's listener, three of its thread's event loop, and a hot restart's socket
+PER_PURGE_SERVER = 3  # the stream of a purge log server, and meanwhile a report and a lease request there
+#: Descriptors that are open for a moment: files of a hot restart, a module imported late, a socket that is
+#: passed on. Also, a socket counts as free as soon as its close is requested, which is one iteration of the
+#: event loop too early. With 8, accepting reached the limit in 5 of 78 runs with 120 clients that reconnect
+#: at once.
+TRANSIENT = 16
+MIN_CALLERS, MAX_CALLERS = 6, 24  # at the admin endpoint: connections in use, and a few that send nothing
+MIN_CLIENTS, MIN_UPSTREAM = 4, 2  # with fewer nothing could be served; a limit too small for them is exceeded
 
 
 class Shares(msgspec.Struct, frozen=True):
-    """The most that each part may have open."""
+    """The maximum number of descriptors that each part may have open."""
 
-    clients: int  # without those that linger beside, LINGERING_SHARE of it
+    clients: int  # lingering connections may exceed it by LINGERING_SHARE
     upstream: int
-    callers: int
+    callers: int  # of the admin endpoint
 
 
 def share_descriptors(limit: int, inherited: int, purge_servers: int) -> Shares:
-    """`limit` is the whole process's, `inherited` are open when it starts, `purge_servers` are the purge
-    log servers that it subscribes to."""
-    own = inherited + EVENT_LOOP + SERVING + ADMIN + IN_MOTION + PER_PURGE_SERVER * purge_servers
+    """Divides the descriptors. `limit` is the limit of the whole process, `inherited` is how many are open
+    when it starts, and `purge_servers` is the number of purge log servers that it subscribes to."""
+    own = inherited + EVENT_LOOP + SERVING + ADMIN + TRANSIENT + PER_PURGE_SERVER * purge_servers
     clients_share = CLIENT_SHARE * (1.0 + LINGERING_SHARE)
-    # both halves shrink alike where what the process needs for itself takes more than their shares leave
-    shareable = max(limit - own - CALLERS_LEAST, 0)
+    # both shares shrink in proportion if they and the process's own needs exceed the limit
+    shareable = max(limit - own - MIN_CALLERS, 0)
     scale = min(1.0, shareable / (limit * (clients_share + UPSTREAM_SHARE))) if limit > 0 else 0.0
-    clients = max(int(limit * CLIENT_SHARE * scale), CLIENTS_LEAST)
-    upstream = max(int(limit * UPSTREAM_SHARE * scale), UPSTREAM_LEAST)
-    rest = limit - own - clients - lingering_most(clients) - upstream
-    callers = min(max(rest, CALLERS_LEAST), CALLERS_MOST)
+    clients = max(int(limit * CLIENT_SHARE * scale), MIN_CLIENTS)
+    upstream = max(int(limit * UPSTREAM_SHARE * scale), MIN_UPSTREAM)
+    rest = limit - own - clients - max_lingering(clients) - upstream
+    callers = min(max(rest, MIN_CALLERS), MAX_CALLERS)
     return Shares(clients, upstream, callers)
 
 
-def lingering_most(clients: int) -> int:
-    """Shut connections of clients that may be open beside a cap."""
+def max_lingering(clients: int) -> int:
+    """How many lingering connections may be open in addition to a cap of `clients`."""
     return max(int(clients * LINGERING_SHARE), 1)
--- a/gladelane/net/director.py
+++ b/gladelane/net/director.py
@@ -1,8 +1,8 @@
-"""The director: turns what happens into events for the router, and the router's decisions into actions.
+"""The director: turns input into events for the router, and the router's decisions into actions.
 
-It has no socket and decides nothing. `Director` connects its parts and dispatches between them: `admission`
-(requests), `open_exchanges` (requests in flight), `attempt_lifecycle` (attempts), `list_changes` (discovery),
-`copy_dates` (purges and dates of copies).
+It has no sockets and makes no routing decisions. `Director` connects its parts and dispatches between them:
+`admission` (new requests), `open_exchanges` (requests in flight), `attempt_lifecycle` (attempts),
+`list_changes` (discovery), `copy_dates` (purges and dates of copies).
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 from .cache_protocol import Reply
 from .copy_dates import CopyDates
 from .endpoint_list import EndpointList
-from .exchange import AnswerCode, Attempt, ClientRequest, Exchange, FinalAnswer, never
+from .exchange import AnswerCode, Attempt, ClientRequest, Exchange, FinalAnswer, never_gone
 from .interfaces import Audit, Guard, KeyObserver, Sender
 from .list_changes import ListChanges
 from .open_exchanges import OVERDUE_MS, OpenExchanges
@@ -56,8 +56,8 @@
 
 
 class Director:
-    """One director. Times are ms of `clock`, which `timers` share; `keys_most` is how many idempotency keys
-    are remembered. `sender` must be set before the first event."""
+    """One director. Times are ms of `clock`, which `timers` uses too. At most `max_keys` idempotency keys are
+    remembered. `sender` must be set before the first event."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         clock: Callable[[], float],
         timers: TimerWheel,
         endpoints: Endpoints,
-        keys_most: int,
+        max_keys: int,
     ) -> None:
         self.endpoints = endpoints
         self.settings = settings
@@ -74,15 +74,16 @@
         self.clock = clock
         self.timers = timers
         self.sender: Sender
-        self.guard: Guard | None = None  # where the deployment has control servers for purges
-        self.audit: Audit | None = None  # where an operator's file has it
-        self.key_observer: KeyObserver | None = None  # the other process during a hot restart
-        self.more: Callable[[], list[tuple[str, int]]] = list  # metrics of parts that operators switched on
-        self.rev = 0  # of the latest watch event that was applied
+        self.guard: Guard | None = None  # set if the deployment has control servers for purges
+        self.audit: Audit | None = None  # set if an operator's file switches it on
+        self.key_observer: KeyObserver | None = None  # replicates keys to the other process of a hot restart
+        # returns the metrics of parts that operators switched on
+        self.extra_metrics: Callable[[], list[tuple[str, int]]] = list
+        self.rev = 0  # revision of the latest watch event that was applied
         self.metrics = Metrics()
         self.metrics.know(settings.classes)
         self.register = MaintenanceRegister()
-        self.keys = KeyWindows(retention_for(settings.classes.values()), keys_most)
+        self.keys = KeyWindows(retention_for(settings.classes.values()), max_keys)
         self.endpoint_list = EndpointList(self.register)
         self.copy_dates = CopyDates(self)
         self.attempt_checks = AttemptChecks(self, self.endpoint_list)
@@ -92,7 +93,7 @@
         self._exchanges = OpenExchanges()
         self._events: deque[Event] = deque()
         self._is_handling = False
-        self._sweep()
+        self._end_overdue()
 
     @property
     def live(self) -> Mapping[int, Exchange]:
@@ -102,20 +103,23 @@
     # --- from the client side
 
     def admit(
-        self, ask: ClientRequest, deliver: Callable[[FinalAnswer], None], has_left: Callable[[], bool] = never
+        self,
+        client_request: ClientRequest,
+        deliver: Callable[[FinalAnswer], None],
+        is_client_gone: Callable[[], bool] = never_gone,
     ) -> Exchange:
-        """Admits or rejects a request whose last byte has been read. `deliver` is called with its one final
-        answer, perhaps before this returns; `has_left` is called just before each attempt for it."""
+        """Admits or rejects a request that was read completely. `deliver` is called with its one final
+        answer, possibly before this returns. `is_client_gone` is called just before each attempt."""
         now = self.clock()
-        request = self._admission.request_of(ask, now, self.timers.margin())
+        request = self._admission.create_request(client_request, now, self.timers.margin())
         exchange = Exchange(
-            ask,
+            client_request,
             request,
             deliver,
-            self.settings.classes[ask.cls],
+            self.settings.classes[client_request.cls],
             self.settings.max_attempts,
             metrics=self.metrics,
-            has_left=has_left,
+            is_client_gone=is_client_gone,
         )
         self.metrics.inflight += 1
         rejection = self._admission.rejection(exchange, now)
@@ -126,17 +130,17 @@
         self.post(request)
         return exchange
 
-    def refuse_keyed_until(self, until_ms: float) -> None:
-        """Rejects all requests with an idempotency key until then."""
+    def reject_keys_until(self, until_ms: float) -> None:
+        """Rejects all requests with an idempotency key until `until_ms`."""
         self._admission.reject_keys_until(until_ms)
 
-    def disputes(self, ask: ClientRequest) -> bool:
-        """Whether the request's id is open for another object part."""
-        return self._exchanges.disputes(ask)
+    def conflicts_with_open_request(self, client_request: ClientRequest) -> bool:
+        """Whether an open request with the same id is for another object part."""
+        return self._exchanges.conflicts_with_open_request(client_request)
 
-    def gone(self, exchange: Exchange) -> None:
-        """The client has gone. Attempts that wait for a dial are given up, also those that the router may not
-        cancel, since nothing was sent yet."""
+    def handle_disconnect(self, exchange: Exchange) -> None:
+        """Ends a request whose client has disconnected. Attempts that were not written yet are ended too,
+        even if the router may not cancel them, since nothing was sent."""
         if exchange.done:
             return
         exchange.finish(None)
@@ -151,36 +155,36 @@
         """Whether a request is unanswered."""
         return self._exchanges.has_pending()
 
-    def end_all(self) -> None:
-        """Answers all requests that are open as failed."""
+    def fail_open_requests(self) -> None:
+        """Answers all open requests as failed."""
         for exchange in self._exchanges.pending():
             self._abort(exchange)
 
     # --- from discovery and from operators
 
     def apply_watch_event(self, event: WatchEvent) -> None:
-        """Applies an event of discovery; one that was applied before changes nothing."""
+        """Applies an event of discovery. An event that was applied before has no effect."""
         self.list_changes.apply(event)
 
     def watch_events(self) -> list[WatchEvent]:
-        """What a successor has to know of discovery."""
+        """The events that pass the known state of discovery on to a successor."""
         return self.list_changes.events()
 
     def take_over(self, rev: int, events: list[WatchEvent]) -> None:
-        """Applies the watch events of a predecessor up to revision `rev`, if it is later than ours."""
+        """Applies the watch events of a predecessor up to `rev`, if that is later than `self.rev`."""
         self.list_changes.take_over(rev, events)
 
     def latest_date(self) -> UnixMs:
-        """The platform's date now, rather too late than too early. Called from the admin endpoint's thread
-        too."""
+        """The platform's current date, or a later one if it is not known exactly. Also called from the thread
+        of the admin endpoint."""
         return self.copy_dates.latest()
 
     def known_endpoints(self) -> Mapping[str, tuple[Instance, Member]]:
-        """The endpoint list as discovery has it, without maintenance."""
+        """The endpoint list as discovery sent it, without the operators' maintenance."""
         return self.endpoint_list.known
 
     def has(self, store: str) -> bool:
-        """Whether operators may name this server. Called from the admin endpoint's thread too."""
+        """Whether operators may name this server. Also called from the thread of the admin endpoint."""
         return self.endpoint_list.has(store)
 
     def relay(self, store: str) -> None:
@@ -194,12 +198,12 @@
             member.state is not State.READY or (name in stores and stores[name].resting(now))
             for name, member in listed.items()
         )
-        return self.metrics.lines(len(listed), down, self.more())
+        return self.metrics.lines(len(listed), down, self.extra_metrics())
 
     def retune(self, settings: Settings) -> None:
-        """Changes the settings for requests that come from now on; open ones keep theirs."""
+        """Changes the settings for new requests. Open requests keep theirs."""
         self.settings = settings
-        # an attempt under the old settings may be open: never shorter than was promised for it
+        # the retention never shrinks, since attempts under the old settings may still be open
         self.keys.retention_ms = max(self.keys.retention_ms, retention_for(settings.classes.values()))
         self.metrics.know(settings.classes)
         self.list_changes.refresh_view()
@@ -211,25 +215,27 @@
 
     # --- from the connections to servers
 
-    def recheck(self, attempt: Attempt) -> AttemptOutcome | None:
-        """Just before an attempt's first byte: how it ends unwritten; None: it may be written."""
+    def check_before_write(self, attempt: Attempt) -> AttemptOutcome | None:
+        """Called just before the first byte of an attempt is written. Returns the outcome with which the
+        attempt ends unwritten; None if it may be written."""
         exchange = attempt.exchange
-        if not exchange.done and exchange.has_left():
-            self.gone(exchange)
+        if not exchange.done and exchange.is_client_gone():
+            self.handle_disconnect(exchange)
         return self._attempts.check_before_write(attempt)
 
     def written(self) -> None:
-        """The last byte of an attempt has left."""
+        """Counts an attempt whose last byte has left the process."""
         self.metrics.backend_calls += 1
 
     def ended(self, attempt: Attempt, end: AttemptOutcome, reply: Reply | None = None) -> None:
-        """An attempt has ended; only the first call for it counts."""
+        """Ends an attempt. Only the first call for an attempt has an effect."""
         self._attempts.end(attempt, end, reply)
 
     # --- the router
 
     def post(self, event: Event) -> None:
-        """Passes an event to the router. Events that arise while one is handled follow it, in order."""
+        """Passes an event to the router. Events that arise while one is handled are handled after it, in
+        order."""
         self._events.append(event)
         if self._is_handling:
             return
@@ -247,15 +253,15 @@
             event = replace(event, over=exchange is None or exchange.done)
         try:
             for action in self.router.handle(self.clock(), event):
-                self._act(action)
-        except Exception:  # an error ends the request that it concerns, and no other
-            log.exception("module failed on %s", type(event).__name__)
+                self._execute(action)
+        except Exception:  # an error ends only the request that it concerns
+            log.exception("the router failed to handle %s", type(event).__name__)
             if isinstance(event, (Request, Outcome)) and event.id in self.live:
                 self._abort(self.live[event.id])
         if isinstance(event, (Outcome, ClientGone)) and event.id in self.live:
             self._exchanges.remove_if_settled(self.live[event.id])
 
-    def _act(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case Fetch() | Lookup():
                 self._send(action)
@@ -269,14 +275,14 @@
             case SetTimer():
                 self.timers.schedule(action.due_ms, partial(self.post, Timer(action.token)))
             case Log():
-                log.info("module: %s", action.text)
-            case _:  # discovery sends everything unasked; health checks and messages are not available here
-                log.debug("passed over %s", type(action).__name__)
+                log.info("router: %s", action.text)
+            case _:  # discovery needs no polling; health checks and messages are not available here
+                log.debug("ignored an action of the router: %s", type(action).__name__)
 
     def _send(self, action: Fetch | Lookup) -> None:
         exchange = self.live.get(action.id)
         if exchange is None:
-            log.warning("module sent for a request that is over")
+            log.warning("the router sent an attempt for a request that has ended")
         else:
             self._attempts.send(exchange, action)
 
@@ -284,19 +290,20 @@
         exchange = self.live.get(number)
         if exchange is not None:
             exchange.finish(final)
-            # not while attempts are open: what the router sends before it learns of the end must end as moot
+            # not while attempts are open: an attempt that the router sends before it learns of the end must
+            # still find the exchange and end as moot
             self._exchanges.remove_if_settled(exchange)
 
-    def _sweep(self) -> None:
-        """Ends requests that the router failed to end in time."""
+    def _end_overdue(self) -> None:
+        """Ends requests that the router failed to end in time, and schedules the next check."""
         now = self.clock()
         for exchange in self._exchanges.take_overdue(now):
             log.error("overdue id=%s class=%s", exchange.ask.id, exchange.ask.cls)
             self._abort(exchange)
-        self.timers.schedule(now + OVERDUE_MS, self._sweep)
+        self.timers.schedule(now + OVERDUE_MS, self._end_overdue)
 
     def _abort(self, exchange: Exchange) -> None:
         exchange.finish(FinalAnswer(AnswerCode.FAILED))
-        self.post(ClientGone(exchange.request.id))  # the router forgets it and cancels its attempts
+        self.post(ClientGone(exchange.request.id))  # the router drops the request and cancels its attempts
         for attempt in list(exchange.open.values()):
             self._attempts.give_up(attempt, AttemptOutcome.CANCELLED)
--- a/gladelane/net/endpoint_list.py
+++ b/gladelane/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as this director knows it, and as the operators' maintenance changes it. Pure."""
+"""The endpoint list, as discovery sent it and with the operators' maintenance applied. Pure."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ListUpdate(NamedTuple):
-    """What a change of the list means for the addresses of servers."""
+    """The consequences of a list change for the addresses of servers."""
 
     listings: list[Listing]
     gone: list[str]
@@ -25,7 +25,8 @@
 
 
 def member_of(instance: Instance, zones: Collection[str]) -> Member | None:
-    """The server as the router knows it; None if its lifecycle or its zone is unknown, which is logged."""
+    """Converts an instance to the router's type. Logs it and returns None if its lifecycle or zone is
+    unknown."""
     state = STATES.get(instance.lifecycle)
     if state is None or instance.zone not in zones:
         log.error(
@@ -47,16 +48,16 @@
 
 
 class EndpointList:
-    """The servers by name: as discovery has them, and with the operators' maintenance applied."""
+    """The servers by name, as discovery sent them and with the operators' maintenance applied."""
 
     def __init__(self, register: MaintenanceRegister) -> None:
-        self.known: dict[str, tuple[Instance, Member]] = {}  # as discovery has them
+        self.known: dict[str, tuple[Instance, Member]] = {}  # as discovery sent them
         self.listed: dict[str, Member] = {}  # with maintenance applied
-        self._seen: set[str] = set()
+        self._seen: set[str] = set()  # all names that were ever listed
         self._register = register
 
     def record(self, servers: Iterable[tuple[Instance, Member]], is_complete: bool) -> None:
-        """Takes over what discovery has sent; `is_complete`: all other servers are gone."""
+        """Records servers as discovery sent them. `is_complete` means that all other servers are gone."""
         if is_complete:
             self.known.clear()
         for instance, member in servers:
@@ -67,7 +68,7 @@
                 self.known[member.store] = instance, member
 
     def apply(self, servers: Iterable[tuple[Instance, Member]], is_complete: bool) -> ListUpdate:
-        """Takes over the same with maintenance applied."""
+        """Records the same servers with maintenance applied. Returns the consequences for addresses."""
         if is_complete:
             self.listed.clear()
         gone: list[str] = []
@@ -83,23 +84,23 @@
         return ListUpdate(list(listings.values()), gone, is_complete)
 
     def is_ready(self, store: str) -> bool:
-        """Whether a server may be sent attempts. Reads the operators' register too, since an operator's
-        request is in force before the list has been changed by it."""
+        """Whether attempts may be sent to a server. Reads the operators' maintenance register too, since an
+        operator's request is in force before it has changed the list."""
         if store in self._register.out:
             return False
         return store in self.listed and self.listed[store].state is State.READY
 
     def has(self, store: str) -> bool:
-        """Whether a server is listed, was listed or is out of service. Called from the admin endpoint's
-        thread too."""
+        """Whether a server is listed, was listed or is out of service. Also called from the thread of the
+        admin endpoint."""
         return store in self._seen or store in self._register.out
 
     def instances(self) -> list[Instance]:
-        """All servers as discovery has them."""
+        """All servers as discovery sent them."""
         return [instance for instance, _ in self.known.values()]
 
     def runs(self) -> dict[str, tuple[str, float]]:
-        """Kind and start time of each server."""
+        """The kind and start time of each server by name."""
         return {store: (member.kind, member.came_up_ms) for store, member in self.listed.items()}
 
 
--- a/gladelane/net/exchange.py
+++ b/gladelane/net/exchange.py
@@ -1,6 +1,6 @@
-"""One client request: its attempts and its one final answer.
+"""One client request with its attempts and its one final answer.
 
-`Exchange` is the only type that both sides of the director know, that of clients and that of servers.
+`Exchange` is the only type that both the client side and the server side of the director use.
 """
 
 from __future__ import annotations
@@ -26,58 +26,57 @@
 
 
 class ClientRequest(msgspec.Struct, frozen=True, gc=False):
-    """A request as the client sent it; its texts are forwarded to servers unaltered. Times are ms."""
+    """A request as the client sent it. Its texts are forwarded to servers unaltered."""
 
     id: str
     cls: str
-    wait_ms: float
+    wait_ms: float  # how long the client waits for the answer
     object: str
     part: int
     group: int
     size_kb: float = 0.0
-    key: str = ""
-    known: str = ""
+    key: str = ""  # idempotency key
+    known: str = ""  # version of the client's own copy
     body: bytes = b""
 
 
 class FinalAnswer(msgspec.Struct, frozen=True, gc=False):
-    """What a client is answered. `retry_after_ms` 0: none."""
+    """The answer to a client."""
 
     code: AnswerCode
     body: bytes = b""
     valid: bool = False  # the client's own copy is still valid, so no body is sent
-    retry_after_ms: float = 0.0
+    retry_after_ms: float = 0.0  # 0: not stated
 
 
-def never() -> bool:
-    """For a request whose client cannot leave: False."""
+def never_gone() -> bool:
+    """Returns False; for a request whose client cannot disconnect."""
     return False
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """A client's request from its admission until it is answered and all its attempts have ended."""
+    """A client's request, from its admission until it is answered and all its attempts have ended."""
 
     ask: ClientRequest
-    request: Request  # the same as an event for the router
+    request: Request  # the same request as an event for the router
     deliver: Callable[[FinalAnswer], None]
-    spec: ClassSpec  # at admission: settings may change while it is open
-    max_attempts: int  # likewise
-    sends: int = 0  # attempts, as the router counts them: also those never written
-    open: dict[int, Attempt] = field(default_factory=dict)
-    done: bool = False
-    ran_ms: float = (
-        0.0  # when the first of the ended attempts that may have run was written; 0: there is none
-    )
+    spec: ClassSpec  # as of admission, since settings may change while the exchange is open
+    max_attempts: int  # as of admission
+    attempt_count: int = 0  # as the router counts attempts, which includes those that were never written
+    open: dict[int, Attempt] = field(default_factory=dict)  # attempts by number
+    done: bool = False  # answered, or the client has disconnected
+    ran_ms: float = 0.0  # earliest write time of the ended attempts that may have run; 0: there are none
     metrics: Metrics | None = None
-    has_left: Callable[[], bool] = never  # whether its client has gone, as far as has been received
+    is_client_gone: Callable[[], bool] = never_gone  # judges by the bytes received so far
 
     def may_have_run(self) -> bool:
-        """Whether a byte of any attempt, ended ones included, may have reached a server."""
+        """Whether a byte of any attempt, including ended ones, may have reached a server."""
         return bool(self.ran_ms) or any(attempt.written_ms for attempt in self.open.values())
 
     def finish(self, final: FinalAnswer | None) -> None:
-        """Ends the request with its first call. None: its client has gone and needs no answer."""
+        """Ends the request; only the first call has an effect. `final` is None if the client has disconnected
+        and needs no answer."""
         if self.done:
             return
         self.done = True
@@ -93,31 +92,32 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of a request to one server. Times are ms of the director's clock."""
+    """One attempt to have a request answered by one server. Times are ms of the director's clock."""
 
     exchange: Exchange
     number: int
     store: str
     sent_ms: float
     due_ms: float
-    source: str = ""  # the server from which a miss is filled; empty: it is not filled
+    source: str = ""  # the server from which a miss is filled; empty: a miss is not filled
     rank: int = 0
     max_age_ms: float = 0.0
     hints: tuple[str, ...] = ()
     objective_ms: float = 0.0  # latency objective
     timer: TimerHandle | None = None
-    oldest: UnixMs = UnixMs(0.0)  # no older copy may answer it, by the purges active when it was written
-    ran_ms: float = 0.0  # with an idempotency key: since when it may have run; 0: it has not
+    min_copy_date: UnixMs = UnixMs(0.0)  # of a copy that answers it, by the purges active when it was written
+    ran_ms: float = 0.0  # set only with an idempotency key: since when it may have run; 0: it has not run
     written_ms: float = 0.0  # 0 until a byte of it may have left this process
-    activity_interval: int = 0  # of the activity log, in which it was sent; 0: no log is kept
+    activity_interval: int = 0  # interval of the activity log in which it was sent; 0: no log is kept
 
     def fields(self, now_ms: float) -> dict[str, str]:
-        """The fields of the command to a server. Ages are whole ms, at least 1, since 0 means no limit."""
-        ask = self.exchange.ask
-        fields = {"profile": ask.cls, "thing": ask.object, "nth": str(ask.part)}
+        """The fields of the command to a server. Ages are rounded to ms and are at least 1, since 0 means no
+        limit."""
+        request = self.exchange.ask
+        fields = {"profile": request.cls, "thing": request.object, "nth": str(request.part)}
         fields["max"] = str(max(int(self.due_ms - now_ms), 1))
-        if ask.key:
-            fields["replay"] = ask.key
+        if request.key:
+            fields["replay"] = request.key
         if self.source:
             fields["parent"] = self.source
         if self.rank:
@@ -126,6 +126,6 @@
             fields["accept"] = str(max(int(self.max_age_ms), 1))
         if self.hints:
             fields["hints"] = "+".join(self.hints)
-        if ask.known:
-            fields["got"] = ask.known
+        if request.known:
+            fields["got"] = request.known
         return fields
--- a/gladelane/net/interfaces.py
+++ b/gladelane/net/interfaces.py
@@ -1,4 +1,4 @@
-"""Protocols: what the director is connected to, and what its parts share."""
+"""Protocols of what the director is connected to, and of what its parts share."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Sender(Protocol):
-    """The connections to servers, as the director uses them."""
+    """The part of the connections to servers that the director uses."""
 
     def send(self, attempt: Attempt) -> None:
         """Sends an attempt, or ends it if that is not possible."""
@@ -26,33 +26,34 @@
         """Cancels an attempt at its server."""
 
     def cancel_unsent(self, attempt: Attempt) -> None:
-        """Keeps an attempt from being sent if that has not happened yet."""
+        """Keeps an attempt from being sent if it has not been sent yet."""
 
     def drop_server(self, store: str) -> None:
-        """A server left, moved or restarted: nothing new goes to its connections."""
+        """Sends no new attempts on the connections to a server that left, moved, restarted or drains."""
 
     def remove_address(self, store: str, address: Address) -> None:
-        """A server no longer has this address."""
+        """Stops using an address that a server no longer has."""
 
 
 class Guard(Protocol):
-    """Limits from purges of control servers, known or possibly missed."""
+    """Limits that follow from the purges of control servers, including purges that may have been missed."""
 
     def max_copy_age_ms(self, cls: str) -> float:
-        """The age that copies of a class may have; `inf`: any."""
+        """The maximum age of copies of a class; `inf` means any age."""
 
     def admits(self, cls: str, part: tuple[int, int], worth: float) -> float:
         """0 if a request for (object, part) is admitted; otherwise its Retry-After in ms."""
 
     def answered(self, cls: str, part: tuple[int, int], dated_ms: float, in_time: bool) -> None:
-        """An attempt for (object, part) ended; `dated_ms` is the date of the copy, 0: there is none."""
+        """Records that an attempt for (object, part) ended. `dated_ms` is the date of its copy; 0: it has
+        none."""
 
     def listed(self, runs: Mapping[str, tuple[str, float]]) -> None:
-        """The servers in the endpoint list: kind and start time by name."""
+        """Takes the servers of the endpoint list: kind and start time by name."""
 
 
 class Audit(Protocol):
-    """Whether this director's view of the fleet permits it to act, and the record of its actions."""
+    """Decides whether this director's view of the fleet permits it to act, and records its actions."""
 
     def retry_after_ms(self, cls: str) -> float:
         """0 if a request of this class is admitted; otherwise its Retry-After in ms."""
@@ -70,22 +71,22 @@
         """Records an answer to an attempt of the activity interval `number`."""
 
     def refresh_view(self) -> None:
-        """The endpoint list, purges or settings have changed."""
+        """Called when the endpoint list, purges or settings have changed."""
 
 
 class KeyObserver(Protocol):
     """Is notified of attempts with an idempotency key. Times are ms of the director's clock."""
 
     def may_have_run(self, key: str, at_ms: float, store: str) -> None:
-        """An attempt is about to be written."""
+        """Called when an attempt is about to be written."""
 
     def never_ran(self, key: str, at_ms: float, store: str) -> None:
-        """That attempt is proven not to have run."""
+        """Called when that attempt is proven not to have run."""
 
 
 class DirectorContext(Protocol):
-    """What the director's parts share. Settings, router and sender may be replaced at any time; the guard,
-    the audit and the key observer are present only where the deployment has them."""
+    """What the director's parts share. Settings, router and sender may be replaced at any time. The guard,
+    the audit and the key observer are present only if the deployment has them."""
 
     settings: Settings
     router: Router
@@ -95,7 +96,7 @@
     endpoints: Endpoints
     keys: KeyWindows
     register: MaintenanceRegister
-    rev: int  # of the latest watch event that was applied
+    rev: int  # revision of the latest watch event that was applied
     guard: Guard | None
     audit: Audit | None
     key_observer: KeyObserver | None
--- a/gladelane/net/list_changes.py
+++ b/gladelane/net/list_changes.py
@@ -1,4 +1,4 @@
-"""Applies watch events of discovery: changes of the endpoint list, and purges."""
+"""Applies the watch events of discovery: changes of the endpoint list, and purges."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ListChanges:
-    """Passes watch events on to the endpoint list, the addresses of servers, the guard and the router."""
+    """Applies watch events to the endpoint list, the addresses of servers, the guard and the router."""
 
     def __init__(self, context: DirectorContext, endpoint_list: EndpointList, copy_dates: CopyDates) -> None:
         self._context = context
@@ -24,8 +24,9 @@
         self._copy_dates = copy_dates
 
     def apply(self, event: WatchEvent) -> None:
-        """Applies an event, once: after a reconnect discovery may send again what is known. What is invalid
-        is logged and ignored by itself, without losing the rest of the list or the later events."""
+        """Applies an event unless it was applied before, since discovery may send known events again after a
+        reconnect. Only the invalid parts of an event are logged and ignored; the rest of the list and later
+        events are applied."""
         if event.rev <= self._context.rev:
             return
         self._context.rev = event.rev
@@ -35,8 +36,8 @@
             self._apply_purge(event.flush, event)
 
     def take_over(self, rev: int, events: list[WatchEvent]) -> None:
-        """Applies the events of a predecessor that has followed discovery for longer than this process's
-        configuration file has. Purges may come twice, which changes nothing."""
+        """Applies the events of a predecessor if it knows a later revision than this process, which started
+        from its configuration file. A purge may be applied twice, which has no further effect."""
         if rev <= self._context.rev:
             return
         for event in events:
@@ -46,7 +47,7 @@
         self._context.rev = rev
 
     def events(self) -> list[WatchEvent]:
-        """What a successor has to know: the active purges, then the complete list."""
+        """The events for a successor: the active purges, then the complete endpoint list."""
         rev = self._context.rev
         instances = self._endpoint_list.instances()
         purges = [
@@ -56,12 +57,13 @@
         return [*purges, WatchEvent(rev, ListChange(instances, reset=True))] if instances else purges
 
     def relay(self, store: str) -> None:
-        """Applies a server's changed maintenance state."""
+        """Applies the changed maintenance state of a server."""
         if (known := self._endpoint_list.known.get(store)) is not None:
             self.apply_list([known], False)
 
     def apply_list(self, servers: list[tuple[Instance, Member]], is_complete: bool) -> None:
-        """Applies servers as discovery has them, `is_complete`: all of them, with maintenance on top."""
+        """Applies servers as discovery sent them, with the operators' maintenance on top. `is_complete` means
+        that all other servers are gone."""
         context = self._context
         now = context.clock()
         for instance, _ in servers:
@@ -79,14 +81,14 @@
         context.post(Members(kind, tuple(member for _, member in maintained)))
 
     def apply_address_change(self, change: Change) -> None:
-        """Drops connections to servers that left, moved or restarted, and to addresses that went."""
+        """Drops connections to servers that left, moved or restarted, and to removed addresses."""
         for store in dict.fromkeys((*change.renewed, *change.gone)):
             self._context.sender.drop_server(store)
         for store, address in change.lost:
             self._context.sender.remove_address(store, address)
 
     def refresh_view(self) -> None:
-        """Notifies the audit that the basis of decisions has changed, before any decision on the new one."""
+        """Notifies the audit of a changed list, purge or setting, before any decision is based on it."""
         if self._context.audit is not None:
             self._context.audit.refresh_view()
 
@@ -94,8 +96,8 @@
         zones = self._context.settings.zones
         servers = [(i, m) for i in pool.instances if (m := member_of(i, zones)) is not None]
         if pool.reset and not servers:
-            # one bad list, sent to all directors, would stop the fleet: the last good one stays
-            log.error("bad event: rev=%d is a whole list without a usable store", rev)
+            # one invalid list, sent to all directors, would stop the fleet, so the last valid list is kept
+            log.error("bad event: rev=%d is a complete list without a valid store", rev)
             self.refresh_view()
         else:
             self.apply_list(servers, pool.reset)
@@ -103,7 +105,7 @@
     def _apply_purge(self, flush: PurgeEvent, event: WatchEvent) -> None:
         asset, group = flush.asset, flush.collection
         if (asset is None) == (group is None) or (asset is not None and not HEX16.fullmatch(asset)):
-            log.error("bad event: rev=%d purges neither an object nor a group", event.rev)
+            log.error("bad event: rev=%d does not purge exactly one object or one group", event.rev)
             return
         object_ = 0 if asset is None else int(asset, 16) + 1
         age_ms = self._copy_dates.record_purge(object_, group or 0, flush.ms, event)
--- a/gladelane/net/listener.py
+++ b/gladelane/net/listener.py
@@ -1,4 +1,4 @@
-"""The listening socket. While its owner has no capacity, new connections wait in the system's queue."""
+"""The listening socket. While its owner has no capacity, new connections wait in the accept queue."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
 
 log = logging.getLogger(__name__)
 
-SO_ATTACH_REUSEPORT_CBPF = 51  # asm-generic/socket.h; the socket module has no name for it
-ACCEPT_AT_ONCE = 1100  # connections in one iteration of the loop: more than the queue has
-BACKLOG = 512  # connections that the system queues
-CAPACITY_POLL_S = 0.005  # between checks for capacity while there is none
-#: Errors of accept that concern one connection, which has gone; others wait behind it.
-GONE = frozenset({errno.ECONNABORTED, errno.EPROTO})
-GONE_MOST = 64  # of these in one iteration of the loop
-LAST_TRIES, LAST_APART_S = 10, 0.005  # of the last accept, while the system lacks resources
+SO_ATTACH_REUSEPORT_CBPF = 51  # from asm-generic/socket.h; Python's socket module has no constant for it
+MAX_ACCEPTS_PER_TURN = 1100  # in one iteration of the event loop; more than the accept queue holds
+BACKLOG = 512  # length of the accept queue
+CAPACITY_POLL_S = 0.005  # interval between checks for capacity while there is none
+#: Errors of accept() that concern one connection whose client has gone. Other connections wait behind it.
+CLIENT_GONE_ERRORS = frozenset({errno.ECONNABORTED, errno.EPROTO})
+MAX_CLIENT_GONE_ERRORS = 64  # such errors that are skipped in one iteration of the event loop
+FINAL_ACCEPT_TRIES, FINAL_ACCEPT_INTERVAL_S = 10, 0.005  # before closing, while the system lacks resources
 
 
 def open_listener(host: str, port: int, shared: bool) -> socket.socket:
-    """A listening socket. `shared` lets another process listen at the same address, for a hot restart;
-    without it an address in use is an error. Raises OSError."""
+    """Opens a listening socket. `shared` lets another process listen at the same address, for a hot restart;
+    without it an address that is in use is an error. Raises OSError."""
     return open_listening(host, port, BACKLOG, reuse_port=shared)
 
 
-def steer_away(listener: socket.socket) -> None:
-    """Directs new connections to the second process that listens here, the new version (SO_REUSEPORT orders
-    them by age): those queued here between the last accept and the close would be reset. Without a second
-    process nothing changes."""
+def redirect_new_connections(listener: socket.socket) -> None:
+    """Has the system queue new connections for the second process that listens at this address, which is the
+    new version, since SO_REUSEPORT orders the sockets by age. Otherwise connections that are queued here
+    between the last accept and the close would be reset. Without a second process nothing changes."""
     try:
         import ctypes  # needed here only
-    except (ImportError, OSError) as error:  # loading it takes descriptors
-        log.warning("newcomers are not steered away: %s", error)
+    except (ImportError, OSError) as error:  # loading the module takes file descriptors
+        log.warning("cannot redirect new connections to the new process: %s", error)
         return
     return_second = ctypes.create_string_buffer(struct.pack("=HBBI", 0x06, 0, 0, 1))  # BPF_RET | BPF_K, 1
     program = struct.pack("@HP", 1, ctypes.addressof(return_second))
@@ -48,16 +48,17 @@
 
 
 class Stopped(Enum):
-    """Why no further connection is accepted in this iteration of the loop."""
+    """Why no further connection is accepted in this iteration of the event loop."""
 
-    DONE = auto()  # none is queued, or enough were accepted
+    DONE = auto()  # no connection is queued, or MAX_ACCEPTS_PER_TURN were accepted
     NO_CAPACITY = auto()
     FAILED = auto()
 
 
 class Listener:
-    """Accepts connections. `has_capacity` is called before each, `accepted` with each in the same iteration
-    of the loop: a task that was cancelled in between would lose it."""
+    """Accepts connections. `has_capacity` is called before each accept, and `accepted` with each connection
+    in the same iteration of the event loop: if a task did this later, its cancellation would lose the
+    connection."""
 
     def __init__(
         self,
@@ -74,44 +75,44 @@
         sock.setblocking(False)
         self._accept_more()
 
-    def steer_away(self) -> None:
-        """Directs new connections to another process, if each has a queue of its own."""
+    def redirect_new_connections(self) -> None:
+        """Has the system queue new connections for another process, if the address is shared."""
         if self._shared:
-            steer_away(self.sock)
+            redirect_new_connections(self.sock)
 
     def accept_all(self) -> None:
-        """Accepts as many as there is capacity for."""
+        """Accepts as many queued connections as there is capacity for."""
         if self._accept_waiting() is not Stopped.DONE:
             self._accept_later()
 
-    def accept_last(self) -> None:
-        """Accepts all that are queued, since the close resets the others. Blocks for up to 50 ms while the
-        system lacks resources."""
-        for _ in range(LAST_TRIES):
+    def accept_remaining(self) -> None:
+        """Accepts all queued connections before the socket is closed, since closing it resets them. Blocks
+        for up to 50 ms while the system lacks resources."""
+        for _ in range(FINAL_ACCEPT_TRIES):
             if self._accept_waiting() is not Stopped.FAILED:
                 return
-            time.sleep(LAST_APART_S)
+            time.sleep(FINAL_ACCEPT_INTERVAL_S)
 
     def _accept_waiting(self) -> Stopped:
-        gone = 0
-        for _ in range(ACCEPT_AT_ONCE):
+        client_gone_errors = 0
+        for _ in range(MAX_ACCEPTS_PER_TURN):
             if not self._has_capacity():
                 return Stopped.NO_CAPACITY
             try:
                 accepted, _ = self.sock.accept()
             except BlockingIOError:
                 return Stopped.DONE
-            except OSError as error:  # the client has gone already, or descriptors are out
+            except OSError as error:  # the client has gone already, or there are no free descriptors
                 log.warning("accept failed: %s", error)
-                gone += error.errno in GONE
-                if error.errno in GONE and gone < GONE_MOST:
+                client_gone_errors += error.errno in CLIENT_GONE_ERRORS
+                if error.errno in CLIENT_GONE_ERRORS and client_gone_errors < MAX_CLIENT_GONE_ERRORS:
                     continue
                 return Stopped.FAILED
             self._accepted(accepted)
         return Stopped.DONE
 
     def close(self) -> None:
-        """Stops listening; connections still queued are reset."""
+        """Stops listening. Connections that are still queued are reset."""
         self._closed = True
         asyncio.get_running_loop().remove_reader(self.sock.fileno())
         close_socket(self.sock)
--- a/gladelane/net/new_attempt.py
+++ b/gladelane/net/new_attempt.py
@@ -1,15 +1,15 @@
-"""Turns a decision of the router to fetch or to look up into an attempt. Pure."""
+"""Creates attempts from the router's decisions to fetch or to look up. Pure."""
 
 from __future__ import annotations
 
 from ..routing.events import Fetch, Lookup, Settings
 from .exchange import Attempt, Exchange
 
-REFRESH_HINT = "freshen"  # a server is to ask the origin whether its copy is still valid
+REFRESH_HINT = "freshen"  # the server shall ask the origin whether its copy is still valid
 
 
 def new_attempt(exchange: Exchange, action: Fetch | Lookup, now: float, settings: Settings) -> Attempt:
-    """The next attempt of an exchange, which counts it and lists it as open from now on."""
+    """Creates the next attempt of an exchange, counts it and adds it to the open attempts."""
     deadline = exchange.request.deadline_ms
     due = min(now + action.timeout_ms, deadline) if action.timeout_ms else deadline
     objective_ms = exchange.spec.aim_for(exchange.request.size_kb, settings.flow_kb_per_s)
@@ -19,19 +19,28 @@
     else:
         source, rank, max_age_ms, hints = "", 0, 0.0, ()
     attempt = Attempt(
-        exchange, exchange.sends, action.store, now, due, source, rank, max_age_ms, hints, objective_ms
+        exchange,
+        exchange.attempt_count,
+        action.store,
+        now,
+        due,
+        source,
+        rank,
+        max_age_ms,
+        hints,
+        objective_ms,
     )
-    exchange.sends += 1
+    exchange.attempt_count += 1
     exchange.open[attempt.number] = attempt
     return attempt
 
 
 def hints_of(fetch: Fetch) -> tuple[str, ...]:
-    """The hints on the wire for the flags of a fetch."""
+    """The hints in the cache protocol for the flags of a fetch."""
     flags = (
         ("coalesce", fetch.join),
         ("shallow", fetch.source_holds_only),
         ("transit", fetch.parent_keeps_none),
         (REFRESH_HINT, fetch.renew),
     )
-    return tuple(word for word, is_set in flags if is_set)
+    return tuple(hint for hint, is_set in flags if is_set)
--- a/gladelane/net/open_exchanges.py
+++ b/gladelane/net/open_exchanges.py
@@ -1,38 +1,43 @@
-"""The requests that are open at this director, by number and by the client's id. Pure."""
+"""The open requests of this director, by number and by the id that the client chose. Pure."""
 
 from __future__ import annotations
 
 from .exchange import ClientRequest, Exchange
 
-OVERDUE_MS = 20.0  # an exchange so long past its deadline, at two checks, is ended by the director itself
+OVERDUE_MS = 20.0  # the director itself ends an exchange this long past its deadline, at the second check
 
 
 class OpenExchanges:
-    """Exchanges from their admission until they are answered and all their attempts have ended."""
+    """The exchanges that are unanswered or have open attempts."""
 
     def __init__(self) -> None:
         self.by_number: dict[int, Exchange] = {}
-        self._by_id: dict[str, Exchange] = {}  # the latest with each client's id
-        self._overdue: list[int] = []  # at the last check
+        self._by_id: dict[str, Exchange] = {}  # the latest exchange with each id
+        self._overdue: list[int] = []  # numbers of those that were overdue at the last check
 
     def add(self, exchange: Exchange) -> None:
-        """Adds an exchange that was admitted."""
+        """Adds an admitted exchange."""
         self.by_number[exchange.request.id] = self._by_id[exchange.ask.id] = exchange
 
     def remove_if_settled(self, exchange: Exchange) -> None:
-        """Removes an exchange without anything pending."""
+        """Removes an exchange if it is answered and has no open attempts."""
         if exchange.done and not exchange.open:
             self.by_number.pop(exchange.request.id, None)
             if self._by_id.get(exchange.ask.id) is exchange:
                 del self._by_id[exchange.ask.id]
 
-    def disputes(self, ask: ClientRequest) -> bool:
-        """Whether the request's id is open for another object part. Ids are new with each request, and a
-        server accepts one request for each; a client repeats the same request if its connection broke."""
-        other = self._by_id.get(ask.id)
+    def conflicts_with_open_request(self, client_request: ClientRequest) -> bool:
+        """Whether an open request with the same id is for another object part. Clients use a new id for each
+        request, and repeat a request with its id only if their connection broke. Servers accept one request
+        per id."""
+        other = self._by_id.get(client_request.id)
         if other is None or other.done:
             return False
-        return (other.ask.cls, other.ask.object, other.ask.part) != (ask.cls, ask.object, ask.part)
+        return (other.ask.cls, other.ask.object, other.ask.part) != (
+            client_request.cls,
+            client_request.object,
+            client_request.part,
+        )
 
     def has_pending(self) -> bool:
         """Whether a request is unanswered."""
@@ -43,8 +48,8 @@
         return [exchange for exchange in self.by_number.values() if not exchange.done]
 
     def take_overdue(self, now_ms: float) -> list[Exchange]:
-        """Unanswered requests that were past their deadline at the last check too. One check is not enough:
-        after the event loop was blocked it may come before the router's own timer."""
+        """Returns the unanswered requests that were already past their deadline at the last check. One check
+        is not enough: after the event loop was blocked, it may run before the timer of the router."""
         found = [self.by_number.get(number) for number in self._overdue]
         self._overdue = [
             number
--- a/gladelane/net/outgoing.py
+++ b/gladelane/net/outgoing.py
@@ -1,4 +1,4 @@
-"""Bytes written to one connection to a server, and whether they have left this machine."""
+"""Writes to one connection to a server, and tracks whether the bytes have left this machine."""
 
 from __future__ import annotations
 
@@ -11,25 +11,26 @@
 
 
 class Outgoing:
-    """Writes to the transport, which passes on at once what the system accepts. What the server does not read
-    waits in the system's buffer, then in the transport's. Times are ms of `clock`."""
+    """Writes to the transport, which passes on at once what the operating system accepts. Bytes that the
+    server does not read wait in the system's send buffer, and once that is full in the transport's. Times
+    are ms of `clock`."""
 
     def __init__(self, writer: asyncio.StreamWriter, sock: socket.socket, clock: Callable[[], float]) -> None:
-        self.latest: Attempt | None = None  # the latest written, until all of it has left
-        self._latest_bytes = 0  # written since it began, including its own
-        self._own_bytes = 0  # its own alone
-        self._in_transport = 0  # attempts of which the transport may have bytes
-        self._backed_ms = 0.0  # since when bytes have been unsent; 0: all have left
+        self.latest: Attempt | None = None  # the latest written attempt, until all of it has left
+        self._latest_bytes = 0  # written since the start of the latest attempt, including its own bytes
+        self._own_bytes = 0  # of the latest attempt alone
+        self._in_transport = 0  # attempts of which the transport may still hold bytes
+        self._unsent_since_ms = 0.0  # since when bytes have been unsent; 0: all bytes have left
         self._writer, self._sock, self._clock = writer, sock, clock
 
     def write(self, data: bytes) -> None:
-        """Writes bytes that belong to no attempt."""
+        """Writes bytes, such as an abort, that start no new attempt."""
         self._writer.write(data)
         self._latest_bytes += len(data)
         if not self._unsent():
             self.latest = None
-        elif not self._backed_ms:
-            self._backed_ms = self._clock()
+        elif not self._unsent_since_ms:
+            self._unsent_since_ms = self._clock()
 
     def begin(self, attempt: Attempt, data: bytes) -> None:
         """Writes all bytes of an attempt."""
@@ -37,31 +38,32 @@
         self._in_transport += 1
         self.write(data)
 
-    def backed_since_ms(self) -> float:
-        """Since when bytes have been unsent; 0: all have left."""
-        if not self._backed_ms and not self._writer.transport.get_write_buffer_size():
+    def unsent_since_ms(self) -> float:
+        """Since when bytes have been unsent; 0: all bytes have left."""
+        if not self._unsent_since_ms and not self._writer.transport.get_write_buffer_size():
             return 0.0
-        self._backed_ms = (self._backed_ms or self._clock()) if self._unsent() else 0.0
-        return self._backed_ms
+        self._unsent_since_ms = (self._unsent_since_ms or self._clock()) if self._unsent() else 0.0
+        return self._unsent_since_ms
 
     def is_entirely_unsent(self, attempt: Attempt) -> bool:
         """Whether no byte of the attempt has left this machine."""
         return self.latest is attempt and self._unsent() >= self._latest_bytes
 
     def is_partly_unsent(self, attempt: Attempt) -> bool:
-        """Whether a part of the attempt has not left this machine, so the server cannot have begun it."""
+        """Whether a part of the attempt has not left this machine, so that the server cannot have started
+        it."""
         return self.latest is attempt and self._unsent() > self._latest_bytes - self._own_bytes
 
-    def count_left(self) -> int:
-        """How many attempts have left the transport since the last call. It keeps their order, so an empty
-        buffer means all of them."""
+    def take_sent_count(self) -> int:
+        """How many attempts have left the transport since the last call. Only an empty buffer shows that, and
+        then all of them have left."""
         if self._writer.transport.get_write_buffer_size():
             return 0
-        left, self._in_transport = self._in_transport, 0
-        return left
+        sent, self._in_transport = self._in_transport, 0
+        return sent
 
     def reset(self) -> None:
-        """Ends the connection at once; bytes that have not left are discarded."""
+        """Resets the connection; bytes that have not left this machine are discarded."""
         reset(self._sock)
         self._writer.transport.abort()
 
--- a/gladelane/net/streams.py
+++ b/gladelane/net/streams.py
@@ -1,4 +1,4 @@
-"""asyncio's streams over connected sockets, with a reader that counts the bytes it has buffered."""
+"""asyncio streams over connected sockets, with readers that count the bytes they have buffered."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 from contextlib import suppress
 from typing import SupportsIndex
 
-ADOPT_TRIES, ADOPT_APART_S = 20, 0.05  # of a client's socket, while the system refuses the calls
-READ_BYTES = 65_536  # in one read, and half of the buffer at which a transport stops reading
+SETUP_TRIES, SETUP_RETRY_INTERVAL_S = 20, 0.05  # of a stream for a client, while system calls fail
+READ_BYTES = 65_536  # read at once; a transport stops reading when twice as much is buffered
 
 
 class Reader(asyncio.StreamReader):
-    """Counts what it has buffered: a connection with unread bytes is not idle."""
+    """A stream reader that counts its buffered bytes, since a connection with unread bytes is not idle."""
 
     def __init__(self, limit: int) -> None:
         super().__init__(limit=limit)
-        self.waiting = 0
-        self.fed = 0  # bytes received in total
+        self.buffered_bytes = 0  # received and not read yet
+        self.received_bytes = 0  # in total
 
     def feed_data(self, data: Iterable[SupportsIndex]) -> None:
         """Called by the transport with received bytes."""
         size = len(bytes(data))
-        self.waiting += size
-        self.fed += size
+        self.buffered_bytes += size
+        self.received_bytes += size
         super().feed_data(data)
 
     async def read(self, n: int = -1) -> bytes:
         """As asyncio's."""
         data = await super().read(n)
-        self.waiting -= len(data)
+        self.buffered_bytes -= len(data)
         return data
 
 
 class ClientReader(Reader):
-    """Has a copy of what it has buffered, which `peek` returns without consuming it."""
+    """A reader whose buffered bytes can be inspected by `peek` without consuming them."""
 
     def __init__(self, limit: int) -> None:
         super().__init__(limit)
@@ -53,12 +53,12 @@
         return data
 
     def peek(self) -> bytes:
-        """What it has buffered."""
+        """Returns the buffered bytes without consuming them."""
         return bytes(self._copy)
 
 
 async def open_stream(sock: socket.socket) -> tuple[Reader, asyncio.StreamWriter]:
-    """A stream over a connected socket, which belongs to it from now on, also if this fails."""
+    """Creates a stream over a connected socket and takes ownership of the socket, also if it fails."""
     loop, reader = asyncio.get_running_loop(), Reader(READ_BYTES)
     protocol = asyncio.StreamReaderProtocol(reader)
     try:
@@ -73,24 +73,25 @@
 
 
 async def accept_stream(accepted: socket.socket) -> tuple[ClientReader, asyncio.StreamWriter]:
-    """A stream over an accepted socket. Raises OSError; then the socket remains the caller's.
+    """Creates a stream over an accepted socket. Raises OSError; then the caller still owns the socket.
 
-    The system may fail the calls for a moment, and a request may have been received already, which a close
-    would lose: so it retries for a second.
+    The system calls may fail for a moment, for lack of resources. The socket may already have received a
+    request, which closing it would lose. Therefore this retries for a second.
     """
     accepted.setblocking(False)
-    with suppress(OSError):  # else the system delays small answers, and a reset discards them
+    # without TCP_NODELAY the system delays small answers, and a reset of the connection discards them
+    with suppress(OSError):
         accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    for _ in range(ADOPT_TRIES - 1):
+    for _ in range(SETUP_TRIES - 1):
         try:
-            return await _adopt(accepted)
+            return await _create_stream(accepted)
         except OSError:
-            await asyncio.sleep(ADOPT_APART_S)
-    return await _adopt(accepted)
+            await asyncio.sleep(SETUP_RETRY_INTERVAL_S)
+    return await _create_stream(accepted)
 
 
-async def _adopt(accepted: socket.socket) -> tuple[ClientReader, asyncio.StreamWriter]:
-    """Raises OSError, and leaves the socket unchanged then."""
+async def _create_stream(accepted: socket.socket) -> tuple[ClientReader, asyncio.StreamWriter]:
+    """Creates the stream. Raises OSError; then the socket is unchanged."""
     loop, reader = asyncio.get_running_loop(), ClientReader(READ_BYTES)
     protocol = asyncio.StreamReaderProtocol(reader)
     transport, _ = await loop.connect_accepted_socket(lambda: protocol, accepted)
--- a/gladelane/server.py
+++ b/gladelane/server.py
@@ -112,7 +112,7 @@
             self.recovery = parts.open_recovery(
                 operator.recovery, self.config, self.director, self.purges, self.clock, self.admin_handler
             )
-            self.director.more = self.recovery.lines
+            self.director.extra_metrics = self.recovery.lines
         if self.purges is None:
             return
         if operator.fleet is not None:
@@ -126,7 +126,7 @@
                 self.follow_discovery,
             )
             self.purges.on_change = self.audit.refresh_view
-            self.director.more = self._operator_metrics
+            self.director.extra_metrics = self._operator_metrics
         if operator.owners is not None:
             self.lease_client = parts.open_leases(operator.owners, self.purges, self.config)
 
--- a/gladelane/shutdown.py
+++ b/gladelane/shutdown.py
@@ -30,7 +30,7 @@
     front.drain.shut_down()
     front.send_goaway_to_all()
     if has_peer:
-        front.stop_listening(queued=False)
+        front.stop_listening(accept_queued=False)
     else:
         await _linger(front)
     longest_ms = max(spec.deadline_ms for spec in director.settings.classes.values())
@@ -40,10 +40,10 @@
             while not _is_drained(director, front, has_peer):  # noqa: ASYNC110  many sources
                 await asyncio.sleep(POLL_S)
     front.is_closing = True
-    director.end_all()
+    director.fail_open_requests()
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(FLUSH_S):
-            while not front.quiet():  # noqa: ASYNC110  the same
+            while not front.has_no_pending_requests():  # noqa: ASYNC110  the same
                 await asyncio.sleep(POLL_S)
 
 
@@ -51,7 +51,7 @@
     """Accepts clients for LINGER_S longer, then those in the accept queue, and stops listening."""
     await asyncio.sleep(LINGER_S)
     with contextlib.suppress(OSError):  # an import in it needs a free descriptor
-        front.steer_away()
+        front.redirect_new_connections()
     await asyncio.sleep(STEER_S)
     front.stop_listening()
 
@@ -59,6 +59,6 @@
 def _is_drained(director: Director, front: ClientListener, has_peer: bool) -> bool:
     """Whether nothing is pending or unsent. With a peer process the clients must also have left: there is
     time for them to leave by themselves, or to be closed once they are idle."""
-    if director.has_pending() or not front.quiet():
+    if director.has_pending() or not front.has_no_pending_requests():
         return False
     return not (has_peer and front.connections)
--- a/tests/endpoints/test_address_measure.py
+++ b/tests/endpoints/test_address_measure.py
@@ -9,7 +9,7 @@
 
 from benchmarks.addresses import clients
 from benchmarks.addresses.clients import ReconnectingClient
-from gladelane.net.client_protocol import FrameDecoder, Type, encode_fields, encode_frame
+from gladelane.net.client_protocol import FrameDecoder, FrameType, encode_fields, encode_frame
 
 FIELDS = {"c": "film", "i": "0" * 16}
 
@@ -34,7 +34,7 @@
             for frame in decoder.feed(data):
                 self.requests += 1
                 if what != CLOSE:
-                    writer.write(encode_frame(Type.ANSWER, frame.stream, b"\x00" + encode_fields({})))
+                    writer.write(encode_frame(FrameType.ANSWER, frame.stream, b"\x00" + encode_fields({})))
             if what != ANSWER:
                 break
         writer.close()
--- a/tests/endpoints/test_sockets.py
+++ b/tests/endpoints/test_sockets.py
@@ -118,7 +118,7 @@
         submit(client, 2)
         assert (await client.next())[:3] == (17, 2, 0)
         await until(lambda: not node.endpoints.health.is_avoided("r0", parse(listed[0])))
-        assert standin.seen[1].address == listed[1] and node.upstream._extra == 0
+        assert standin.seen[1].address == listed[1] and node.upstream._extra_sockets == 0
         assert [a.text for a in node.endpoints.plan("r0", node.clock.now()).addresses] == listed
 
 
@@ -321,7 +321,7 @@
             events = told(node.director)
             submit(client, 1)
             await until(
-                lambda: [c.dialling for conns in node.upstream._pool.values() for c in conns if c.dialling]
+                lambda: [c.dialer for conns in node.upstream._pool.values() for c in conns if c.dialer]
             )
             leaving = {
                 "instanceId": "r0",
@@ -355,7 +355,7 @@
         await standin.set(listed[0], Fault.BLACK_HOLE)
         submit(client, 1)
         await until(
-            lambda: [c.dialling for conns in node.upstream._pool.values() for c in conns if c.dialling]
+            lambda: [c.dialer for conns in node.upstream._pool.values() for c in conns if c.dialer]
         )
         node.director.apply_watch_event(relisted(2, listed[1], []))
         assert (await client.next(1.0))[:3] == (17, 1, 0)
--- a/tests/golden/test_client_frames.py
+++ b/tests/golden/test_client_frames.py
@@ -8,7 +8,7 @@
 from gladelane.deployment.wire import settings_from_wire
 from gladelane.net.client_protocol import (
     FrameDecoder,
-    Type,
+    FrameType,
     decode_fields,
     decode_request,
     encode_answer,
@@ -76,7 +76,7 @@
 
 
 def test_the_types_are_six_numbers() -> None:
-    assert sorted(Type) == [16, 17, 18, 32, 33, 48]
+    assert sorted(FrameType) == [16, 17, 18, 32, 33, 48]
 
 
 def test_the_codes_of_an_answer_are_three_numbers() -> None:
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("number", BARE)
 def test_a_frame_without_a_payload_is_written_so(number: int) -> None:
-    assert encode_frame(Type(number), STREAM).hex() == BARE[number]
+    assert encode_frame(FrameType(number), STREAM).hex() == BARE[number]
 
 
 @pytest.mark.parametrize("number", BARE)
@@ -98,7 +98,7 @@
 
 
 def test_the_frame_of_a_request_is_written_so() -> None:
-    assert encode_frame(Type(16), STREAM, bytes.fromhex(FULL_REQUEST)).hex() == REQUEST_FRAME
+    assert encode_frame(FrameType(16), STREAM, bytes.fromhex(FULL_REQUEST)).hex() == REQUEST_FRAME
 
 
 def test_the_frame_of_a_request_is_read_so() -> None:
@@ -134,6 +134,6 @@
 
 
 def test_the_largest_frame_is_262144_bytes_behind_its_length() -> None:
-    largest = encode_frame(Type(17), STREAM, b"x" * 262_139)
+    largest = encode_frame(FrameType(17), STREAM, b"x" * 262_139)
     assert largest[:9].hex() == "00040000" "11" "01020304"
     assert [len(frame[2]) for frame in FrameDecoder().feed(largest)] == [262_139]
--- a/tests/hot_restart/test_handover_faults.py
+++ b/tests/hot_restart/test_handover_faults.py
@@ -123,7 +123,7 @@
             keys=SimpleNamespace(
                 retention_ms=RETENTION_MS, snapshot=lambda now: {}, take_over=lambda keys: None
             ),
-            refuse_keyed_until=self._refuse_keyed_until,
+            reject_keys_until=self._reject_keys_until,
         )
         self.client_listener: Any = SimpleNamespace(
             cap=1, max_buffered_bytes=1.0, drain=SimpleNamespace(failed_ms=0.0), listener=listener
@@ -134,7 +134,7 @@
             str(folder), NAME, self.clock, director, pool, self.client_listener, admin_handler
         )
 
-    def _refuse_keyed_until(self, until_ms: float) -> None:
+    def _reject_keys_until(self, until_ms: float) -> None:
         self.refused_until_ms = until_ms
 
     @property
--- a/tests/net/test_beyond_crossing.py
+++ b/tests/net/test_beyond_crossing.py
@@ -14,7 +14,7 @@
 
 import gladelane.net.client_listener as front_module
 from gladelane.net.client_connection import ClientConnection
-from gladelane.net.client_protocol import Type
+from gladelane.net.client_protocol import FrameType
 from gladelane.server import Server
 
 REFUSED = "127.0.0.1:1"
@@ -39,21 +39,21 @@
     now = node.clock.now()
     match ending:
         case Ending.IDLE:
-            conn.sweep(conn.active_ms + 4_300.0)
+            conn.sweep(conn.last_active_ms + 4_300.0)
         case Ending.NEVER_ASKED:
-            conn.sweep(conn.born_ms + 2_100.0)
+            conn.sweep(conn.accepted_ms + 2_100.0)
         case Ending.DRAIN:
             node.front.drain.fail(now)
             conn.goaway_ms = now - 400.0
             conn.sweep(now)
         case Ending.CAP:
-            conn.active_ms = now - 1_000.0
+            conn.last_active_ms = now - 1_000.0
             node.front.cap = 1
-            node.front._spare_one()
+            node.front._close_idle_connection()
         case Ending.SHUTDOWN:
             node.front.stop_listening()
             conn.is_settled()  # the last look before the close, as `ClientListener.close` takes it
-            conn.stop_taking()
+            conn.close_gracefully()
         case Ending.ERROR:
             raw.send(struct.pack(">I", 3))
 
@@ -67,7 +67,7 @@
     async def scene() -> None:
         cache = Cache(hit)
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(front_module, "CLOSE_S", 1.0)
+            patch.setattr(front_module, "CLOSE_TIMEOUT_S", 1.0)
             async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, other):
                 raw = Raw(node)
                 conn = await connected(node, raw)
@@ -78,17 +78,17 @@
                 if moment is Moment.BEFORE and ending is not Ending.ERROR:
                     raw.send(crossing)
                 elif moment is Moment.AT:
-                    conn.unread = once(conn.unread, lambda: raw.send(crossing))  # type: ignore[method-assign]
+                    conn.has_unread_bytes = once(conn.has_unread_bytes, lambda: raw.send(crossing))  # type: ignore[method-assign]
                 end(node, conn, raw, ending)
                 if moment is Moment.AFTER or ending is Ending.ERROR:
-                    await until(lambda: conn.shut_ms or not conn.is_idle() or conn.open)
+                    await until(lambda: conn.write_closed_ms or not conn.is_idle() or conn.open)
                     raw.send(crossing)
                 await asyncio.sleep(0.05)
-                conn.stop_taking()  # where it was not ended, since the request was seen
+                conn.close_gracefully()  # where it was not ended, since the request was seen
                 frames, how = await raw.rest()
                 raw.sock.close()
                 answers = [
-                    payload for type_, stream, payload in frames if (type_, stream) == (Type.ANSWER, 2)
+                    payload for type_, stream, payload in frames if (type_, stream) == (FrameType.ANSWER, 2)
                 ]
                 assert how == "end of file" and len(answers) <= 1
                 sent_on = [command for command in cache.seen if command[0] == f"{2:016x}"]
--- a/tests/net/test_beyond_short.py
+++ b/tests/net/test_beyond_short.py
@@ -8,7 +8,7 @@
 from harness import Cache, Client, Command, config, hit, running
 from virtual_time import VirtualClock, virtual
 
-from gladelane.net.client_protocol import Type
+from gladelane.net.client_protocol import FrameType
 
 REFUSED = "127.0.0.1:1"
 SHORT_MS = 60
@@ -31,7 +31,7 @@
                 asked_s = clock.elapsed_s
                 client.ask(left_ms, c=cls, k=f"{left_ms:032x}", d=str(left_ms))
                 type_, stream, code, *_ = await client.next()
-                assert (type_, stream) == (Type.ANSWER, left_ms) and code in (1, 2)
+                assert (type_, stream) == (FrameType.ANSWER, left_ms) and code in (1, 2)
                 assert clock.elapsed_s - asked_s < left_ms / 1000.0 + LATE_S
             assert await client.silent() and not node.director.live
 
--- a/tests/net/test_beyond_signals.py
+++ b/tests/net/test_beyond_signals.py
@@ -20,7 +20,7 @@
 from test_beyond_discovery import Discovery, State
 
 from gladelane.lab.free_ports import free_port
-from gladelane.net.client_protocol import Type
+from gladelane.net.client_protocol import FrameType
 
 ROOT = Path(__file__).parent.parent.parent
 REFUSED = "127.0.0.1:1"
@@ -95,7 +95,7 @@
     """Of the answer on a stream, past what it is told meanwhile."""
     while True:
         type_, answered, code, *_ = await client.next(wait)
-        if (type_, answered) == (Type.ANSWER, stream):
+        if (type_, answered) == (FrameType.ANSWER, stream):
             return code
 
 
@@ -136,7 +136,7 @@
     with contextlib.suppress(EOFError):
         while True:
             type_, stream, *_ = await client.next()
-            if type_ == Type.ANSWER:
+            if type_ == FrameType.ANSWER:
                 streams.append(stream)
     client.writer.close()
     return streams
--- a/tests/net/test_beyond_together.py
+++ b/tests/net/test_beyond_together.py
@@ -17,7 +17,7 @@
 from test_beyond_idle import ForgetfulCache, Trouble, three_classes
 from virtual_time import VirtualClock, virtual
 
-from gladelane.net.client_protocol import Type
+from gladelane.net.client_protocol import FrameType
 from gladelane.net.config import read_config
 from gladelane.server import Server
 
@@ -132,7 +132,7 @@
             self.client.ask(self.stream, i=id_, c=cls, k=id_, o=id_, d=str(wait_ms))
             while True:
                 type_, stream, code, _, body = await self.client.next(10.0)
-                if type_ != Type.ANSWER:
+                if type_ != FrameType.ANSWER:
                     continue
                 if stream != self.stream or (code == SERVED and body != id_.encode()):
                     self.day.broken.append(f"{id_} got another's answer, or one more")
--- a/tests/net/test_cache_crossings.py
+++ b/tests/net/test_cache_crossings.py
@@ -93,9 +93,9 @@
         sock = await asked(peer, client)
         conn = only(node, "c0")
         sock.send(b"%016x served - 8\r\nxxxx" % 1)
-        await until(lambda: conn.decoder.under_way()[1] == 0.4)
-        conn.attempts.responses.begun_ms -= 400.0  # half of it in 0.4 s, and 2 s to go
-        conn.sweep(conn.attempts.responses.heard_ms + 1.0, 0.0)
+        await until(lambda: conn.decoder.reply_in_progress()[1] == 0.4)
+        conn.attempts.responses.reply_started_ms -= 400.0  # half of it in 0.4 s, and 2 s to go
+        conn.sweep(conn.attempts.responses.received_ms + 1.0, 0.0)
         sock.send(b"xxxx\r\n")
         assert (await client.next())[:3] == (17, 1, 0)
         sock.close()
@@ -111,12 +111,12 @@
             node.director.keys.take_over({"aa": [(node.clock.now() - 1000.0, "r0")]})
             send, clock = node.upstream.send, node.director.clock
 
-            def sends(attempt: Attempt) -> None:
+            def send_delayed(attempt: Attempt) -> None:
                 send(attempt)
                 if late:
                     node.director.clock = lambda: clock() + 1100.0
 
-            node.upstream.send = sends  # type: ignore[method-assign]
+            node.upstream.send = send_delayed  # type: ignore[method-assign]
             client.ask(1, c="sheet", k="aa", d="3000")
             assert (await client.next())[:3] == (17, 1, 1 if late else 0)
             assert len(origin.seen) == (0 if late else 1)
@@ -133,9 +133,9 @@
         now = node.clock.now()
         exchange.ran_ms = now - 1500.0
         attempt = Attempt(exchange, 5, "r0", now, now + 2000.0)
-        assert node.director.recheck(attempt) is None
+        assert node.director.check_before_write(attempt) is None
         exchange.ran_ms = now - 2000.0
-        assert node.director.recheck(attempt) is AttemptOutcome.EXPIRED
+        assert node.director.check_before_write(attempt) is AttemptOutcome.EXPIRED
 
 
 @trial
@@ -148,7 +148,7 @@
         exchange = next(iter(node.director.live.values()))
         now = node.clock.now()
         second = Attempt(exchange, 1, "c0", now, now + 1000.0)
-        exchange.sends, exchange.open[1] = 2, second
+        exchange.attempt_count, exchange.open[1] = 2, second
         node.upstream.send(second)  # its id is open there: a further connection is dialled
         cache.conns[0].write(OK % (b"%016x" % 1, 2, b"ok"))
         await cache.conns[0].drain()
--- a/tests/net/test_client_crossings.py
+++ b/tests/net/test_client_crossings.py
@@ -48,14 +48,14 @@
     async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
         raw = Raw(node)
         conn = await connected(node, raw)
-        look = conn.unread
+        look = conn.has_unread_bytes
 
         def looked() -> bool:
             seen = look()
             raw.send(request(1))
             return seen
 
-        conn.unread = looked  # type: ignore[method-assign]
+        conn.has_unread_bytes = looked  # type: ignore[method-assign]
         conn.sweep(node.clock.now() + 5000.0)
         assert await raw.rest() == ([], "end of file")
         raw.send(request(2))  # nor does one that comes after the end of file
@@ -70,7 +70,7 @@
     # a plain close over them resets the connection, and what the system holds of an answer goes with it
     cache = Cache(big)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(front_module, "CLOSE_S", 5.0)
+        patch.setattr(front_module, "CLOSE_TIMEOUT_S", 5.0)
         async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
             raw = Raw(node, takes=4096)
             raw.send(request(1))
@@ -102,11 +102,11 @@
                 conn = await connected(node, raw)
                 if half:
                     raw.send(whole[:20])
-                    await until(lambda: conn.partial_ms)
+                    await until(lambda: conn.incomplete_since_ms)
                 else:
                     conn.writer.transport.pause_reading()  # type: ignore[attr-defined]
                     raw.send(whole)
-                assert not node.front.quiet()
+                assert not node.front.has_no_pending_requests()
                 draining = asyncio.create_task(node.drain())
                 await until(lambda: node.front.listener is None)
                 if half:
@@ -129,8 +129,8 @@
         raw = Raw(node)
         raw.send(request(1)[:20])
         conn = await connected(node, raw)
-        await until(lambda: conn.partial_ms)
-        assert conn.arriving(conn.active_ms + 200.0) and not conn.arriving(conn.active_ms + 400.0)
+        await until(lambda: conn.incomplete_since_ms)
+        assert conn.may_have_sent_request(conn.last_active_ms + 200.0) and not conn.may_have_sent_request(conn.last_active_ms + 400.0)
 
 
 @trial
@@ -153,10 +153,10 @@
             conn = await connected(node, raw)
             await until(lambda: cache.seen)
             raw.send(struct.pack(">I", 3) if bad == "length" else raw_frame(50_000, 16, 2, b"x" * 30_000))
-            await until(lambda: conn.discards_input or conn.partial_ms)
-            conn.sweep(conn.active_ms + 2600.0)
+            await until(lambda: conn.discards_input or conn.incomplete_since_ms)
+            conn.sweep(conn.last_active_ms + 2600.0)
             raw.send(request(3))  # nothing after it can be trusted
-            await until(lambda: conn.discards_input and not conn.unread())
+            await until(lambda: conn.discards_input and not conn.has_unread_bytes())
             cache.conns[0].write(b"0000000000000001 served digest=aa,dated=1,remark=h 2\r\nok\r\n")
             frames, end = await raw.rest()
             raw.sock.close()
@@ -243,7 +243,7 @@
     @trial
     async def scene() -> None:
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(client_module, "UNSENT_BYTES", 50_000)
+            patch.setattr(client_module, "MAX_UNSENT_BYTES", 50_000)
             async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
                 raw, conn = await narrow(node)
                 raw.send(request(1, d="20000"))
@@ -251,7 +251,7 @@
                 raw.send(request(2, chunk="7"))
                 await until(lambda: conn.unsent() > 50_000)
                 raw.send(request(3))  # more work for it would lie here: refused
-                await until(lambda: conn._over == 1)
+                await until(lambda: conn._frames_while_blocked == 1)
                 if how == "close":
                     raw.sock.close()
                 else:
@@ -268,8 +268,8 @@
 async def test_a_client_that_takes_nothing_and_asks_on_is_cut_off_and_harms_nobody() -> None:
     cache = Cache(big)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(client_module, "UNSENT_BYTES", 50_000)
-        patch.setattr(client_module, "OVER_MOST", 40)
+        patch.setattr(client_module, "MAX_UNSENT_BYTES", 50_000)
+        patch.setattr(client_module, "MAX_FRAMES_WHILE_BLOCKED", 40)
         async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
             raw, conn = await narrow(node)
             raw.send(request(1))
@@ -301,7 +301,7 @@
         while conn in node.front.connections:
             await asyncio.sleep(0)
             counts.append(0)
-        assert max(counts) == client_module.FRAMES_AT_ONCE
+        assert max(counts) == client_module.MAX_FRAMES_PER_TURN
         client.send(32, 5, encode_fields({}))
         assert (await client.next())[:3] == (33, 5, 0)
 
@@ -341,12 +341,12 @@
     # only requests were counted, and each other frame left an answer that nobody took
     cache = Cache(big)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(client_module, "UNSENT_BYTES", 50_000)
+        patch.setattr(client_module, "MAX_UNSENT_BYTES", 50_000)
         async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
             raw, conn = await narrow(node)
             raw.send(request(1))
             await until(lambda: conn.unsent() > 50_000)
-            raw.send(struct.pack(">IBI", 5, 32, 0) * (client_module.OVER_MOST + 1))
+            raw.send(struct.pack(">IBI", 5, 32, 0) * (client_module.MAX_FRAMES_WHILE_BLOCKED + 1))
             await until(lambda: conn not in node.front.connections)
             client.ask(1)
             assert (await client.next())[:3] == (17, 1, 0)
@@ -358,13 +358,13 @@
     # its connection was closed 2 s after it was made, and made room at the cap before all others
     async with running(config({"c0": await Cache(hit).start(), "r0": REFUSED})) as (node, client):
         (conn,) = node.front.connections
-        node.timers.lag = lambda: 2 * front_module.SHED_MS  # type: ignore[method-assign]
+        node.timers.lag = lambda: 2 * front_module.MAX_LAG_MS  # type: ignore[method-assign]
         client.ask(1)
         assert (await client.next())[:3] == (17, 1, 1)
-        conn.sweep(conn.active_ms + client_module.IDLE_MS)
-        assert conn.proven and not conn.shut_ms
-        conn.sweep(conn.active_ms + client_module.IDLE_MS + 1.0)
-        assert conn.shut_ms
+        conn.sweep(conn.last_active_ms + client_module.IDLE_TIMEOUT_MS)
+        assert conn.has_sent_valid_frame and not conn.write_closed_ms
+        conn.sweep(conn.last_active_ms + client_module.IDLE_TIMEOUT_MS + 1.0)
+        assert conn.write_closed_ms
 
 
 @trial
@@ -373,5 +373,5 @@
         (conn,) = node.front.connections
         client.ask(1, drop="c")
         assert (await client.next())[:3] == (17, 1, 2)
-        conn.sweep(conn.born_ms + client_module.FIRST_MS + 1.0)
-        assert not conn.proven and conn.shut_ms
+        conn.sweep(conn.accepted_ms + client_module.FIRST_FRAME_TIMEOUT_MS + 1.0)
+        assert not conn.has_sent_valid_frame and conn.write_closed_ms
--- a/tests/net/test_client_reader.py
+++ b/tests/net/test_client_reader.py
@@ -18,11 +18,11 @@
             if data:
                 reader.feed_data(data)
             expected += data
-            assert reader.peek() == expected and reader.waiting == len(expected)
+            assert reader.peek() == expected and reader.buffered_bytes == len(expected)
             if count and expected:
                 read = await reader.read(count)
                 assert read == expected[:count]
                 expected = expected[count:]
-        assert reader.peek() == expected and reader.fed == sum(len(data) for data, _ in steps)
+        assert reader.peek() == expected and reader.received_bytes == sum(len(data) for data, _ in steps)
 
     asyncio.run(scene())
--- a/tests/net/test_deadlines.py
+++ b/tests/net/test_deadlines.py
@@ -21,7 +21,7 @@
 import gladelane.net.client_connection as client_module
 import gladelane.net.client_listener as front_module
 import gladelane.net.outgoing as outgoing_module
-from gladelane.net.client_protocol import Type, encode_fields, encode_frame
+from gladelane.net.client_protocol import FrameType, encode_fields, encode_frame
 from gladelane.net.exchange import AnswerCode, Attempt
 from gladelane.sockets import last_data_ms, unsent_bytes
 
@@ -52,7 +52,7 @@
             raw = Raw(node)
             raw.send(request(2, d=str(WAIT_MS)))
             await asyncio.sleep(HELD_UP_MS / 1000.0)
-            client.send(Type.GONE, 1)
+            client.send(FrameType.GONE, 1)
             node.front.cap = 9
             await until(lambda: len(cache.seen) == 2)
             assert is_honest(cache.seen[1])
@@ -80,14 +80,14 @@
                 handle(frames)
 
             conn._handle_all = handled  # type: ignore[method-assign]
-            ping = encode_frame(Type.ASK_READY, 0, encode_fields({}))
+            ping = encode_frame(FrameType.ASK_READY, 0, encode_fields({}))
             raw.send(ping * 20 + request(1, d=str(WAIT_MS)))
             await until(lambda: cache.seen)
             assert is_honest(cache.seen[0])
             raw.sock.close()
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(client_module, "FRAMES_AT_ONCE", 1)
+        patch.setattr(client_module, "MAX_FRAMES_PER_TURN", 1)
         patch.setattr(client_module, "READ_BYTES", read_bytes)
         scene()
 
@@ -96,7 +96,7 @@
 async def test_the_time_of_a_loop_that_was_held_up_counts() -> None:
     cache = Cache(hit)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(front_module, "SHED_MS", 1e9)  # else so late a request is refused at sight
+        patch.setattr(front_module, "MAX_LAG_MS", 1e9)  # else so late a request is refused at sight
         async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
             del node.timers.lag, node.timers.margin  # type: ignore[misc]
             raw = Raw(node)
@@ -212,7 +212,7 @@
             frame = await asyncio.wait_for(loop.sock_recv(raw.sock, 65_536), ANSWERED_S)
             took_s = loop.time() - waited_for_core_s() - began
             assert took_s <= float(wait_ms) / 1000.0 + LATEST_S
-            assert frame[4] == Type.ANSWER and frame[9] in (AnswerCode.REFUSED, AnswerCode.FAILED)
+            assert frame[4] == FrameType.ANSWER and frame[9] in (AnswerCode.REFUSED, AnswerCode.FAILED)
             await until(lambda: not any(e.ask.id == f"{1:016x}" for e in node.director.live.values()))
             assert all(
                 stated_ms(command) <= float(wait_ms) for command in cache.seen if command[0] == f"{1:016x}"
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -19,9 +19,9 @@
 from gladelane.lab.fake_discovery import FakeDiscovery
 from gladelane.lab.processes import Load, Processes
 from gladelane.net import descriptors
-from gladelane.net.descriptors import Shares, lingering_most, share_descriptors
+from gladelane.net.descriptors import Shares, max_lingering, share_descriptors
 
-OWN = descriptors.EVENT_LOOP + descriptors.SERVING + descriptors.ADMIN + descriptors.IN_MOTION
+OWN = descriptors.EVENT_LOOP + descriptors.SERVING + descriptors.ADMIN + descriptors.TRANSIENT
 CACHES, CROWD, CALLERS = 32, 120, 8
 
 
@@ -47,9 +47,9 @@
 ) -> None:
     shares = share_descriptors(limit, inherited, feeds)
     own = OWN + inherited + descriptors.PER_PURGE_SERVER * feeds
-    held = shares.clients + lingering_most(shares.clients) + shares.upstream + shares.callers
+    held = shares.clients + max_lingering(shares.clients) + shares.upstream + shares.callers
     # the least of each is given whatever the limit
-    assert held + own <= max(limit, own + held if shares.upstream == descriptors.UPSTREAM_LEAST else 0)
+    assert held + own <= max(limit, own + held if shares.upstream == descriptors.MIN_UPSTREAM else 0)
 
 
 def test_a_dial_waits_until_the_connection_that_makes_room_for_it_is_really_closed(
@@ -135,7 +135,7 @@
             tasks += [asyncio.create_task(crowd(director.ops[0], b"GET /he")) for _ in range(CALLERS)]
             # every cache has been dialled, all callers have come, and more clients than there is room for
             await until(lambda: sum(bool(cache.conns) for cache in caches) >= 16, wait=20.0)
-            await until(lambda: "clients wait for room" in director.log() or load.served > 300, wait=20.0)
+            await until(lambda: "new clients wait" in director.log() or load.served > 300, wait=20.0)
             for _ in range(5):
                 assert (await director.call("GET", "/healthcheck"))[0] == 200
 
--- a/tests/net/test_final_answers.py
+++ b/tests/net/test_final_answers.py
@@ -17,13 +17,13 @@
 from raw_cache import Peer
 from raw_client import Raw, request
 
-from gladelane.net.client_protocol import Type, encode_fields, encode_frame
+from gladelane.net.client_protocol import FrameType, encode_fields, encode_frame
 from gladelane.server import Server
 
 WAIT_MS = 600
 LATEST_S = WAIT_MS / 1000.0 + 0.5  # later, the request is lost
 HONEST, REQUESTS = 4, 6
-PING = encode_frame(Type.ASK_READY, 0, encode_fields({}))
+PING = encode_frame(FrameType.ASK_READY, 0, encode_fields({}))
 FLOODS = {
     "pings": PING * 3000,
     "requests that cannot be used": b"".join(request(n, c="nothing") for n in range(1, 300)),
@@ -31,7 +31,7 @@
     "more requests than may be open": b"".join(request(n) for n in range(1, 200)),
     "half a frame": request(1)[:30],
     "no framing": b"\xff" * 60_000,
-    "cancels of nothing": struct.pack(">IBI", 5, Type.GONE, 77) * 3000,
+    "cancels of nothing": struct.pack(">IBI", 5, FrameType.GONE, 77) * 3000,
 }
 
 
@@ -57,7 +57,7 @@
         client.ask(stream, i=id_, d=str(WAIT_MS), o=id_, **keyed)
     for _ in range(REQUESTS):
         type_, stream, *_ = await client.next(LATEST_S + 5.0)
-        assert type_ == Type.ANSWER
+        assert type_ == FrameType.ANSWER
         answered.append((f"{number} {stream}", loop.time() - waited_for_core_s() - began))
     assert await client.silent(0.3)
     client.writer.close()
--- a/tests/net/test_leaves.py
+++ b/tests/net/test_leaves.py
@@ -23,7 +23,7 @@
 import gladelane.net.outgoing as outgoing_module
 import gladelane.net.write_queue as queue_module
 from gladelane.net.client_connection import ClientConnection
-from gladelane.net.client_protocol import FrameDecoder, Type, encode_frame
+from gladelane.net.client_protocol import FrameDecoder, FrameType, encode_frame
 from gladelane.net.exchange import Attempt
 from gladelane.server import Server
 from gladelane.sockets import unsent_bytes
@@ -190,7 +190,7 @@
     scene()
 
 
-CANCELS = encode_frame(Type.GONE, 3) + encode_frame(Type.GONE, 5)
+CANCELS = encode_frame(FrameType.GONE, 3) + encode_frame(FrameType.GONE, 5)
 
 
 @pytest.mark.parametrize(
@@ -208,7 +208,7 @@
 def test_cancels_are_found_in_what_was_not_read(held: bytes, unread: bytes, found: set[int]) -> None:
     decoder = FrameDecoder()
     assert not list(decoder.feed(held))
-    assert decoder.given_up(unread) == found
+    assert decoder.find_cancelled_streams(unread) == found
     assert decoder.pending() == len(held)
 
 
@@ -371,7 +371,7 @@
         whole = request(1)
         for at in range(0, len(whole) - 1, 7):
             raw.send(whole[at : min(at + 7, len(whole) - 1)])
-            await until(lambda: not conn.unread())
+            await until(lambda: not conn.has_unread_bytes())
         assert not node.director.live and not cache.seen
         raw.send(whole[-1:])
         await until(lambda: cache.seen)
--- a/tests/net/test_open_exchanges.py
+++ b/tests/net/test_open_exchanges.py
@@ -36,10 +36,10 @@
     exchanges, one = OpenExchanges(), exchange(1, "a")
     exchanges.add(one)
     other = exchange(2, "a", "00000000000000bb").ask
-    assert exchanges.disputes(other) and not exchanges.disputes(one.ask)
-    assert not exchanges.disputes(exchange(3, "c").ask)
+    assert exchanges.conflicts_with_open_request(other) and not exchanges.conflicts_with_open_request(one.ask)
+    assert not exchanges.conflicts_with_open_request(exchange(3, "c").ask)
     one.finish(None)
-    assert not exchanges.disputes(other)
+    assert not exchanges.conflicts_with_open_request(other)
 
 
 def test_the_removal_of_an_earlier_exchange_leaves_the_later_one_under_its_id() -> None:
@@ -48,7 +48,7 @@
         exchanges.add(one)
     first.finish(None)
     exchanges.remove_if_settled(first)
-    assert exchanges.disputes(exchange(3, "a", "00000000000000bb").ask)
+    assert exchanges.conflicts_with_open_request(exchange(3, "a", "00000000000000bb").ask)
 
 
 def test_a_request_is_overdue_at_the_second_check_past_its_deadline() -> None:
--- a/tests/net/test_response_monitor.py
+++ b/tests/net/test_response_monitor.py
@@ -8,11 +8,11 @@
 import pytest
 
 from gladelane.net.response_monitor import (
-    DEAD_MS,
-    QUIET_MS,
-    RESTED_MS,
+    DEAD_AFTER_MS,
+    SUSPECT_AFTER_MS,
+    LONG_IDLE_MS,
     STALLED_MS,
-    UNRESPONSIVE_AFTER,
+    UNRESPONSIVE_TIMEOUTS,
     ResponseMonitor,
 )
 from gladelane.routing.events import Effect
@@ -32,8 +32,8 @@
 @pytest.mark.parametrize(
     ("written", "max_streams", "after_ms", "expected"),
     [
-        ([1000.0, 1000.0], STREAMS, QUIET_MS, False),
-        ([1000.0, 1000.0], STREAMS, QUIET_MS + 1.0, True),
+        ([1000.0, 1000.0], STREAMS, SUSPECT_AFTER_MS, False),
+        ([1000.0, 1000.0], STREAMS, SUSPECT_AFTER_MS + 1.0, True),
         ([1000.0], STREAMS, 9000.0, False),  # one alone may be slow
         ([1000.0], 1, 9000.0, False),
         ([1000.0, 0.0], STREAMS, 9000.0, False),  # the second has not been written
@@ -45,30 +45,30 @@
 ) -> None:
     monitor = ResponseMonitor(1000.0)
     open_ = [attempt(written_ms) for written_ms in written]
-    assert monitor.is_quiet(open_, max_streams, 1000.0 + after_ms, 0.0) is expected
-    assert not monitor.is_quiet(open_, max_streams, 1000.0 + after_ms, after_ms)  # the loop was late itself
+    assert monitor.is_suspect(open_, max_streams, 1000.0 + after_ms, 0.0) is expected
+    assert not monitor.is_suspect(open_, max_streams, 1000.0 + after_ms, after_ms)  # the loop was late itself
 
 
 def test_after_a_long_rest_one_attempt_is_enough_until_a_byte_comes() -> None:
     monitor = ResponseMonitor(0.0)
     monitor.record_read(1000.0)
-    now = 1000.0 + RESTED_MS + 1.0
+    now = 1000.0 + LONG_IDLE_MS + 1.0
     monitor.record_write(now)
-    later = now + QUIET_MS + 1.0
-    assert monitor.is_doubtful and monitor.is_quiet([attempt(now)], STREAMS, later, 0.0)
+    later = now + SUSPECT_AFTER_MS + 1.0
+    assert monitor.is_unverified and monitor.is_suspect([attempt(now)], STREAMS, later, 0.0)
     monitor.record_read(later)
-    assert not monitor.is_doubtful and not monitor.is_quiet([attempt(now)], STREAMS, later, 0.0)
+    assert not monitor.is_unverified and not monitor.is_suspect([attempt(now)], STREAMS, later, 0.0)
 
 
 def test_a_connection_is_dead_once_all_are_past_their_objectives() -> None:
     monitor = ResponseMonitor(1000.0)
     fast = [attempt(1000.0) for _ in range(3)]
-    assert monitor.is_dead(fast, STREAMS, 1001.0 + DEAD_MS, 0.0)
-    assert not monitor.is_dead(fast[:2], STREAMS, 1001.0 + DEAD_MS, 0.0)
-    assert monitor.is_dead(fast[:2], 2, 1001.0 + DEAD_MS, 0.0)
-    slow = [*fast, attempt(1000.0, objective_ms=3 * DEAD_MS)]
-    assert not monitor.is_dead(slow, STREAMS, 1001.0 + DEAD_MS, 0.0)
-    assert monitor.is_dead(slow, STREAMS, 1001.0 + 3 * DEAD_MS, 0.0)
+    assert monitor.is_dead(fast, STREAMS, 1001.0 + DEAD_AFTER_MS, 0.0)
+    assert not monitor.is_dead(fast[:2], STREAMS, 1001.0 + DEAD_AFTER_MS, 0.0)
+    assert monitor.is_dead(fast[:2], 2, 1001.0 + DEAD_AFTER_MS, 0.0)
+    slow = [*fast, attempt(1000.0, objective_ms=3 * DEAD_AFTER_MS)]
+    assert not monitor.is_dead(slow, STREAMS, 1001.0 + DEAD_AFTER_MS, 0.0)
+    assert monitor.is_dead(slow, STREAMS, 1001.0 + 3 * DEAD_AFTER_MS, 0.0)
 
 
 @pytest.mark.parametrize(
@@ -77,16 +77,16 @@
 def test_only_what_is_safe_to_repeat_shows_that_a_connection_was_forgotten(
     effect: Effect, expected: bool
 ) -> None:
-    monitor = ResponseMonitor(0.0, is_doubtful=True)
+    monitor = ResponseMonitor(0.0, is_unverified=True)
     one = attempt(1000.0, effect=effect)
-    assert monitor.is_forgotten([one], 1001.0 + DEAD_MS, 0.0) is expected
-    assert not monitor.is_forgotten([one], 1000.0 + DEAD_MS, 0.0)
-    monitor.is_doubtful = False
-    assert not monitor.is_forgotten([one], 9000.0, 0.0)
+    assert monitor.is_dead_after_idle([one], 1001.0 + DEAD_AFTER_MS, 0.0) is expected
+    assert not monitor.is_dead_after_idle([one], 1000.0 + DEAD_AFTER_MS, 0.0)
+    monitor.is_unverified = False
+    assert not monitor.is_dead_after_idle([one], 9000.0, 0.0)
 
 
 @pytest.mark.parametrize(
-    ("heard_ms", "reply", "now", "expected"),
+    ("received_ms", "reply", "now", "expected"),
     [
         (1000.0, ("a", 0.5), 1000.0 + STALLED_MS + 1.0, True),  # nothing more came
         (1200.0, ("a", 0.5), 1200.0, False),  # too early to judge its rate
@@ -97,34 +97,34 @@
     ],
 )
 def test_a_reply_is_cut_short_that_stops_or_comes_too_slowly(
-    heard_ms: float, reply: tuple[str, float], now: float, expected: bool
+    received_ms: float, reply: tuple[str, float], now: float, expected: bool
 ) -> None:
-    monitor = ResponseMonitor(0.0, heard_ms=heard_ms, begun_ms=1000.0)
+    monitor = ResponseMonitor(0.0, received_ms=received_ms, reply_started_ms=1000.0)
     assert monitor.is_cut_short(reply, {"a": attempt(900.0, due_ms=2000.0)}, now, 0.0) is expected
 
 
 def test_time_outs_count_in_a_row_and_only_without_a_byte_since() -> None:
-    monitor = ResponseMonitor(0.0, heard_ms=500.0)
-    assert not monitor.record_timeout(attempt(400.0), 9000.0) and not monitor.silent_timeouts
-    for _ in range(UNRESPONSIVE_AFTER):
+    monitor = ResponseMonitor(0.0, received_ms=500.0)
+    assert not monitor.record_timeout(attempt(400.0), 9000.0) and not monitor.unanswered_timeouts
+    for _ in range(UNRESPONSIVE_TIMEOUTS):
         assert not monitor.is_unresponsive() and not monitor.may_be_stalled()
         assert monitor.record_timeout(attempt(600.0), 9000.0)
     assert monitor.is_unresponsive() and monitor.may_be_stalled()
     monitor.record_read(9001.0)
-    assert not monitor.is_unresponsive() and not monitor.silent_timeouts
+    assert not monitor.is_unresponsive() and not monitor.unanswered_timeouts
     assert ResponseMonitor(0.0).may_be_stalled()  # nothing ever came
 
 
 def test_a_reply_is_incomplete_from_the_read_in_which_it_begins() -> None:
     monitor = ResponseMonitor(0.0)
     monitor.record_read(1000.0)
-    monitor.record_rest(True)
+    monitor.record_incomplete(True)
     monitor.record_read(1100.0)
-    monitor.record_rest(True)
-    assert monitor.begun_ms == 1000.0
+    monitor.record_incomplete(True)
+    assert monitor.reply_started_ms == 1000.0
     monitor.record_read(1200.0)
     monitor.record_reply()
-    monitor.record_rest(True)  # the next one began in the same read
-    assert monitor.begun_ms == 1200.0
-    monitor.record_rest(False)
-    assert monitor.begun_ms == 0.0
+    monitor.record_incomplete(True)  # the next one began in the same read
+    assert monitor.reply_started_ms == 1200.0
+    monitor.record_incomplete(False)
+    assert monitor.reply_started_ms == 0.0
--- a/tests/net/test_system_calls.py
+++ b/tests/net/test_system_calls.py
@@ -210,7 +210,7 @@
         accepted: list[socket.socket] = []
         listening = listener.Listener(sock, False, lambda: True, accepted.append)
         client.connect(sock.getsockname())
-        listening.accept_last()
+        listening.accept_remaining()
         listening.close()
         assert len(accepted) == 1
         accepted[0].close()
@@ -237,4 +237,4 @@
     # ctypes is loaded from files: out of descriptors that is an ImportError, and ended the shutdown
     monkeypatch.setitem(sys.modules, "ctypes", None)
     with socket.create_server(("127.0.0.1", 0)) as sock:
-        listener.steer_away(sock)
+        listener.redirect_new_connections(sock)
--- a/tests/net/test_unanswered.py
+++ b/tests/net/test_unanswered.py
@@ -23,7 +23,7 @@
 import gladelane.net.client_listener as front_module
 from gladelane import shutdown
 from gladelane.net.client_connection import ClientConnection
-from gladelane.net.client_protocol import FrameDecoder, Type, encode_answer
+from gladelane.net.client_protocol import FrameDecoder, FrameType, encode_answer
 from gladelane.net.exchange import AnswerCode, Attempt, FinalAnswer
 from gladelane.server import Server
 
@@ -37,7 +37,7 @@
 
 def answers(frames: list[tuple[int, int, bytes]]) -> list[tuple[int, AnswerCode]]:
     """Stream and code of each, but for notices of errors that belong to no request."""
-    found = [(stream, AnswerCode(payload[0])) for type_, stream, payload in frames if type_ == Type.ANSWER]
+    found = [(stream, AnswerCode(payload[0])) for type_, stream, payload in frames if type_ == FrameType.ANSWER]
     return sorted((stream, code) for stream, code in found if stream)
 
 
@@ -115,7 +115,7 @@
             conn = await connected(node, raw)
             conn.sock = socket.socket()
             conn.sock.close()
-            assert not conn.unread() and node.front.quiet()
+            assert not conn.has_unread_bytes() and node.front.has_no_pending_requests()
             raw.sock.close()
 
     runner(scene())
@@ -131,7 +131,7 @@
             conn = await connected(node, raw)
             if lies == "behind half a frame":
                 raw.send(whole[:20])
-                await until(lambda: conn.partial_ms)
+                await until(lambda: conn.incomplete_since_ms)
                 raw.send(whole[20:] + request(2))
             else:
                 raw.send(whole + request(2))
@@ -223,15 +223,15 @@
 async def test_a_connection_that_is_being_closed_makes_no_room_while_its_answers_have_not_left() -> None:
     cache = Cache(big)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(front_module, "SPARE_MS", -1.0)
+        patch.setattr(front_module, "MIN_IDLE_MS", -1.0)
         async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
             raw, conn = await slow(node)
             raw.send(request(1) + struct.pack(">I", 3))
-            await until(lambda: conn.shut_ms and conn.unsent())
-            conn.shut_ms -= 60.0  # longer ago than a crossing takes
+            await until(lambda: conn.write_closed_ms and conn.unsent())
+            conn.write_closed_ms -= 60.0  # longer ago than a crossing takes
             node.front.cap, node.front.lingering = 0, 0
             await until(lambda: not client.reader._buffer)  # type: ignore[attr-defined]
-            assert not node.front._spare_one()  # the resting client goes, and the cap is not met all the same
+            assert not node.front._close_idle_connection()  # the resting client goes, and the cap is not met all the same
             node.front.cap, node.front.lingering = 100, 1
             frames, end = await raw.rest()
             assert (answers(frames), end) == ([(1, AnswerCode.SERVED)], "end of file")
@@ -249,8 +249,8 @@
     # it was reset, and with it went the answers that lay here and the requests that were open
     cache = Cache(lambda command: big(command) if command[1]["nth"] == "7" else None)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(client_module, "UNSENT_BYTES", 50_000)
-        patch.setattr(client_module, "OVER_MOST", 40)
+        patch.setattr(client_module, "MAX_UNSENT_BYTES", 50_000)
+        patch.setattr(client_module, "MAX_FRAMES_WHILE_BLOCKED", 40)
         async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
             raw, conn = await slow(node)
             raw.send(request(1, d="20000"))
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -15,7 +15,7 @@
 from gladelane.net.attempt_outcomes import STATUS, AttemptOutcome
 from gladelane.net.cache_protocol import (
     MAX_UNREADABLE_LOGGED,
-    WORDS,
+    OUTCOME_BY_WORD,
     MalformedReplyError,
     Reply,
     ReplyDecoder,
@@ -176,7 +176,7 @@
 )
 
 
-@given(VALUES, VALUES, VALUES, VALUES, st.binary(max_size=40), st.sampled_from(sorted(WORDS)))
+@given(VALUES, VALUES, VALUES, VALUES, st.binary(max_size=40), st.sampled_from(sorted(OUTCOME_BY_WORD)))
 def test_no_bytes_in_the_fields_of_an_answer_end_a_connection_or_lose_the_answer(
     remark: bytes, first: bytes, report: bytes, dated: bytes, body: bytes, word: str
 ) -> None:
@@ -184,7 +184,7 @@
     line = b"7f %b %b %d\r\n%b\r\n" % (word.encode(), fields, len(body), body)
     replies = list(ReplyDecoder().feed(line + b"80 not_here - 0\r\n\r\n"))
     assert [(r.id, r.outcome, r.body) for r in replies] == [
-        ("7f", WORDS[word], body),
+        ("7f", OUTCOME_BY_WORD[word], body),
         ("80", AttemptOutcome.NOT_HERE, b""),
     ]
     for reply in replies:
