--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -158,7 +158,7 @@
         remove = node.upstream.remove
 
         def seen(one: Any) -> None:
-            told_.append((conn.task.done(), one.takes("id")))
+            told_.append((conn.task.done(), one.accepts("id")))
             remove(one)
 
         node.upstream.remove = seen  # type: ignore[method-assign]
@@ -205,7 +205,7 @@
         for stream in range(1, 6):
             client.ask(stream, d="5000")
         await until(lambda: len(cache.seen) == 5)
-        await asyncio.sleep(response_monitor.QUIET_MS / 1000 + 0.05)
+        await asyncio.sleep(response_monitor.SUSPECT_AFTER_MS / 1000 + 0.05)
         client.ask(6, d="5000")  # on a connection of its own, and answered there
         assert (await client.next())[:3] == (17, 6, 0)
         while [s for _, _, s, _ in outcomes(events)].count(Status.RESET) < 5:
@@ -227,14 +227,14 @@
     cache = Cache(mute)
     with pytest.MonkeyPatch.context() as patch:
         # a mute server's connections are left after QUIET_MS, and on a busy machine the requests take longer
-        patch.setattr(response_monitor, "QUIET_MS", 60_000.0)
+        patch.setattr(response_monitor, "SUSPECT_AFTER_MS", 60_000.0)
         async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
             for stream in range(1, 33):
                 client.ask(stream, d="5000")
                 await until(lambda: len(cache.seen) == stream)  # noqa: B023
-            assert len(cache.conns) == upstream_module.SPREAD_MOST
+            assert len(cache.conns) == upstream_module.MAX_SPREAD_CONNECTIONS
             (conns,) = node.upstream._pool.values()
-            assert max(len(conn.open) for conn in conns) <= 32 // upstream_module.SPREAD_MOST + 1
+            assert max(len(conn.open) for conn in conns) <= 32 // upstream_module.MAX_SPREAD_CONNECTIONS + 1
 
 
 @trial
@@ -513,7 +513,7 @@
         half.writer.write(raw_frame(50_000, 16, 1, b"x" * 30_000))
         await until(lambda: sum(c.buffered_bytes() for c in node.front.connections) > 30_000)
         now = node.clock.now()
-        ends = {c: (c.proven, bool(c.partial_ms)) for c in node.front.connections}
+        ends = {c: (c.has_sent_valid_frame, bool(c.incomplete_since_ms)) for c in node.front.connections}
         assert sorted(ends.values()) == [(False, False), (False, True), (True, False)]
         for after, closed in (
             (1500.0, []),
@@ -523,8 +523,8 @@
         ):
             for conn in list(ends):
                 conn.sweep(now + after)
-            assert sorted(v for c, v in ends.items() if c.shut_ms) == closed
-            for conn in [c for c in ends if c.shut_ms]:
+            assert sorted(v for c, v in ends.items() if c.write_closed_ms) == closed
+            for conn in [c for c in ends if c.write_closed_ms]:
                 del ends[conn]
         assert (await half.next())[:3] == (17, 0, 2)
         for one in (quiet, half, good):
@@ -884,5 +884,5 @@
             client.ask(stream, d="5000")
             await until(lambda: len(cache.seen) >= stream)  # noqa: B023
             if stream % 3 == 0:
-                await asyncio.sleep(response_monitor.QUIET_MS / 1000 / 4)
-        assert upstream_module.SPREAD_MOST <= len(cache.conns) <= upstream_module.QUIET_MOST + 1
+                await asyncio.sleep(response_monitor.SUSPECT_AFTER_MS / 1000 / 4)
+        assert upstream_module.MAX_SPREAD_CONNECTIONS <= len(cache.conns) <= upstream_module.MAX_SUSPECT_CONNECTIONS + 1
