--- a/benchmarks/restarts/process.py
+++ b/benchmarks/restarts/process.py
@@ -15,7 +15,7 @@
 from benchmarks.process_usage import ProcessUsage
 from gladelane.lab.free_ports import free_port
 from gladelane.lab.processes import ROOT
-from gladelane.net.client_protocol import FrameDecoder, FramingError, FrameType, encode_fields, encode_frame
+from gladelane.net.client_protocol import FrameDecoder, FrameType, FramingError, encode_fields, encode_frame
 
 READY_S, GIVE_UP_S = 10.0, 60.0  # the operators' bound for nine in ten, and how long this benchmark waits
 PROBE_S = 0.02
--- a/gladelane/lab/planted.py
+++ b/gladelane/lab/planted.py
@@ -76,7 +76,10 @@
     """Answers some requests twice."""
 
     def admit(
-        self, ask: ClientRequest, deliver: Callable[[FinalAnswer], None], is_client_gone: Callable[[], bool] = never_gone
+        self,
+        ask: ClientRequest,
+        deliver: Callable[[FinalAnswer], None],
+        is_client_gone: Callable[[], bool] = never_gone,
     ) -> Exchange:
         """Admits the request, and delivers the final answer of some requests twice."""
 
--- a/tests/endpoints/test_sockets.py
+++ b/tests/endpoints/test_sockets.py
@@ -354,9 +354,7 @@
         node.endpoints.options = Options(delay_first_ms=9_000.0, delay_most_ms=9_000.0)
         await standin.set(listed[0], Fault.BLACK_HOLE)
         submit(client, 1)
-        await until(
-            lambda: [c.dialer for conns in node.upstream._pool.values() for c in conns if c.dialer]
-        )
+        await until(lambda: [c.dialer for conns in node.upstream._pool.values() for c in conns if c.dialer])
         node.director.apply_watch_event(relisted(2, listed[1], []))
         assert (await client.next(1.0))[:3] == (17, 1, 0)
         assert standin.seen[0].address == listed[1]
--- a/tests/net/test_client_crossings.py
+++ b/tests/net/test_client_crossings.py
@@ -130,7 +130,9 @@
         raw.send(request(1)[:20])
         conn = await connected(node, raw)
         await until(lambda: conn.incomplete_since_ms)
-        assert conn.may_have_sent_request(conn.last_active_ms + 200.0) and not conn.may_have_sent_request(conn.last_active_ms + 400.0)
+        assert conn.may_have_sent_request(conn.last_active_ms + 200.0) and not conn.may_have_sent_request(
+            conn.last_active_ms + 400.0
+        )
 
 
 @trial
--- a/tests/net/test_response_monitor.py
+++ b/tests/net/test_response_monitor.py
@@ -9,9 +9,9 @@
 
 from gladelane.net.response_monitor import (
     DEAD_AFTER_MS,
-    SUSPECT_AFTER_MS,
     LONG_IDLE_MS,
     STALLED_MS,
+    SUSPECT_AFTER_MS,
     UNRESPONSIVE_TIMEOUTS,
     ResponseMonitor,
 )
--- a/tests/net/test_unanswered.py
+++ b/tests/net/test_unanswered.py
@@ -37,7 +37,9 @@
 
 def answers(frames: list[tuple[int, int, bytes]]) -> list[tuple[int, AnswerCode]]:
     """Stream and code of each, but for notices of errors that belong to no request."""
-    found = [(stream, AnswerCode(payload[0])) for type_, stream, payload in frames if type_ == FrameType.ANSWER]
+    found = [
+        (stream, AnswerCode(payload[0])) for type_, stream, payload in frames if type_ == FrameType.ANSWER
+    ]
     return sorted((stream, code) for stream, code in found if stream)
 
 
@@ -231,7 +233,9 @@
             conn.write_closed_ms -= 60.0  # longer ago than a crossing takes
             node.front.cap, node.front.lingering = 0, 0
             await until(lambda: not client.reader._buffer)  # type: ignore[attr-defined]
-            assert not node.front._close_idle_connection()  # the resting client goes, and the cap is not met all the same
+            assert (
+                not node.front._close_idle_connection()
+            )  # the resting client goes, and the cap is not met all the same
             node.front.cap, node.front.lingering = 100, 1
             frames, end = await raw.rest()
             assert (answers(frames), end) == ([(1, AnswerCode.SERVED)], "end of file")
--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -885,4 +885,8 @@
             await until(lambda: len(cache.seen) >= stream)  # noqa: B023
             if stream % 3 == 0:
                 await asyncio.sleep(response_monitor.SUSPECT_AFTER_MS / 1000 / 4)
-        assert upstream_module.MAX_SPREAD_CONNECTIONS <= len(cache.conns) <= upstream_module.MAX_SUSPECT_CONNECTIONS + 1
+        assert (
+            upstream_module.MAX_SPREAD_CONNECTIONS
+            <= len(cache.conns)
+            <= upstream_module.MAX_SUSPECT_CONNECTIONS + 1
+        )
