--- a/gladelane/net/attempt_lifecycle.py
+++ b/gladelane/net/attempt_lifecycle.py
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 #: Not reported to the guard, since these say nothing about how a fetch would have ended.
-UNREPORTED = (
+UNREPORTED_STATUSES = (
     Status.CANCELLED,
     Status.MOOT,
     Status.MISS,
@@ -51,7 +51,7 @@
         elif not self._endpoint_list.is_ready(action.store):
             self.end(attempt, AttemptOutcome.WITHDRAWN)
         else:
-            time_out = partial(self.give_up, attempt, AttemptOutcome.TIMED_OUT)
+            time_out = partial(self.abandon, attempt, AttemptOutcome.TIMED_OUT)
             attempt.timer = context.timers.schedule(attempt.due_ms, time_out)
             context.sender.send(attempt)
 
@@ -72,9 +72,9 @@
             # In the tick in which an attempt times out, the router may cancel it too. The router must learn
             # of the timeout, since nothing else shows that a server drops requests.
             is_due = attempt.due_ms <= self._context.clock() + TICK_MS
-            self.give_up(attempt, AttemptOutcome.TIMED_OUT if is_due else AttemptOutcome.CANCELLED)
+            self.abandon(attempt, AttemptOutcome.TIMED_OUT if is_due else AttemptOutcome.CANCELLED)
 
-    def give_up(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+    def abandon(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Ends an attempt from this side and cancels it at its server."""
         if attempt.number in attempt.exchange.open:
             self._context.sender.abandon(attempt, outcome)
@@ -112,7 +112,8 @@
     def _adjust_outcome(
         self, attempt: Attempt, outcome: AttemptOutcome, reply: Reply | None
     ) -> AttemptOutcome:
-        """Corrects the outcome of a response that may not be used: by purges, or by the audit."""
+        """Changes the outcome of a response that may not be used, because its copy is older than a purge or
+        because the audit does not permit an answer now."""
         exchange, audit = attempt.exchange, self._context.audit
         if reply is not None and reply.dated_ms:
             self._copy_dates.record_reply(attempt, reply, self._is_origin(attempt.store))
@@ -150,7 +151,7 @@
 
     def _report_to_guard(self, attempt: Attempt, status: Status, reply: Reply | None, now: float) -> None:
         exchange, guard = attempt.exchange, self._context.guard
-        if guard is None or not exchange.spec.cacheable or status in UNREPORTED:
+        if guard is None or not exchange.spec.cacheable or status in UNREPORTED_STATUSES:
             return
         request = exchange.request
         served = reply if status is Status.OK else None
--- a/gladelane/net/cache_connection.py
+++ b/gladelane/net/cache_connection.py
@@ -204,7 +204,7 @@
             self.close()
         elif self.has_unread_bytes():
             return  # the unread bytes may be the awaited reply
-        elif self.decoder.pending() and self.attempts.responses.is_cut_short(
+        elif self.decoder.has_incomplete_reply() and self.attempts.responses.is_cut_short(
             self.decoder.reply_in_progress(), self.open, now, lag_ms
         ):
             log.warning("reply cut short peer=%s open=%d", self.peer, len(self.open))
@@ -284,8 +284,8 @@
                 self.attempts.responses.record_read(self.pool.clock())
                 self.attempts.count_written()
                 for reply in self.decoder.feed(data):
-                    self.attempts.take_reply(reply)
-                self.attempts.responses.record_incomplete(self.decoder.pending())
+                    self.attempts.handle_reply(reply)
+                self.attempts.responses.record_incomplete(self.decoder.has_incomplete_reply())
                 self.close_if_done()
         except MalformedReplyError as error:
             log.warning("malformed reply peer=%s: %s", self.peer, error)
--- a/gladelane/net/cache_protocol.py
+++ b/gladelane/net/cache_protocol.py
@@ -63,7 +63,7 @@
         self._length = 0
         self._unreadable = 0  # unreadable fields so far
 
-    def pending(self) -> bool:
+    def has_incomplete_reply(self) -> bool:
         """Whether a reply is incomplete."""
         return self._head is not None or bool(self._buffer)
 
@@ -80,13 +80,13 @@
         buffer += data
         while True:
             if self._head is None:
-                at = buffer.find(b"\r\n")
-                if at > MAX_LINE or (at < 0 and len(buffer) > MAX_LINE):
+                position = buffer.find(b"\r\n")
+                if position > MAX_LINE or (position < 0 and len(buffer) > MAX_LINE):
                     raise MalformedReplyError("line too long")
-                if at < 0:
+                if position < 0:
                     return
-                self._head, self._length = self._decode_head(bytes(buffer[:at]))
-                del buffer[: at + 2]
+                self._head, self._length = self._decode_head(bytes(buffer[:position]))
+                del buffer[: position + 2]
             if len(buffer) < self._length + 2:
                 return
             if buffer[self._length : self._length + 2] != b"\r\n":
--- a/gladelane/net/carried_attempts.py
+++ b/gladelane/net/carried_attempts.py
@@ -21,7 +21,7 @@
 MAX_UNEXPECTED_RESPONSES = 256
 
 
-class Owner(Protocol):
+class AttemptOwner(Protocol):
     """The director, as the owner of attempts."""
 
     def check_before_write(self, attempt: Attempt) -> AttemptOutcome | None:
@@ -31,7 +31,7 @@
     def written(self) -> None:
         """Called when the last byte of an attempt has left the process."""
 
-    def ended(self, attempt: Attempt, end: AttemptOutcome, reply: Reply | None = None) -> None:
+    def ended(self, attempt: Attempt, outcome: AttemptOutcome, reply: Reply | None = None) -> None:
         """Called when an attempt has ended."""
 
 
@@ -39,7 +39,7 @@
     """The part of the connection pool that attempts need."""
 
     timers: TimerWheel
-    owner: Owner
+    owner: AttemptOwner
 
     def clock(self) -> float:
         """The current time in ms."""
@@ -148,15 +148,15 @@
             return False
         self._mark_completed(id_)
         if self.queue.is_stuck():
-            # The abort would not leave this machine either, and the server would still run the attempt later.
-            # The other attempts on the connection get no reply either, so the connection is reset.
+            # The abort would not leave this machine either, so the server would still run the attempt later.
+            # The other attempts on the connection wait in vain too, so the connection is reset.
             self.reset()
         elif not self._writer.is_closing():  # the end of the connection may not have been read yet
             self.queue.out.write(encode_abort(id_))
             self.queue.cancel_unsent(attempt)
         return True
 
-    def take_reply(self, reply: Reply) -> None:
+    def handle_reply(self, reply: Reply) -> None:
         """Ends the attempt that a reply belongs to. Raises MalformedReplyError."""
         self.responses.record_reply()
         attempt = self.open.get(reply.id)
--- a/gladelane/net/client_connection.py
+++ b/gladelane/net/client_connection.py
@@ -107,14 +107,14 @@
             self.send_goaway()  # has an effect for a client that was accepted while the director drains
         self._close_write_side_if_done()
 
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """The number of written bytes that the operating system has not accepted yet."""
         return self.writer.transport.get_write_buffer_size()
 
     def buffered_bytes(self) -> int:
         """The number of bytes held in memory for this client: unsent answers, open requests, and the
         incomplete frame."""
-        return self.unsent() + self._decoder.pending() + self.requests.buffered_bytes()
+        return self.unsent_bytes() + self._decoder.incomplete_bytes() + self.requests.buffered_bytes()
 
     def has_unread_bytes(self) -> bool:
         """Whether received bytes have not been read yet. They may be a request."""
@@ -134,7 +134,7 @@
 
     def is_settled(self) -> bool:
         """Whether all received requests are answered and all answers have been sent."""
-        return not (self._is_handling_frames or self.open or self.unsent() or self.has_unread_bytes())
+        return not (self._is_handling_frames or self.open or self.unsent_bytes() or self.has_unread_bytes())
 
     def close_gracefully(self) -> None:
         """Starts to close the connection: further input is discarded, and open requests are answered before
@@ -151,7 +151,7 @@
         ):
             self.write_closed_ms = self.context.clock()
             self.context.lingering += 1
-            if self.unsent():
+            if self.unsent_bytes():
                 self.writer.write_eof()  # takes effect once all bytes are sent
             else:
                 # takes effect at once; the transport would wait for the next iteration of the event loop
@@ -194,7 +194,7 @@
         finally:
             self._is_handling_frames = False
             self._has_backlog = self._has_backlog and self.has_unread_bytes()
-        if not self._decoder.pending():
+        if not self._decoder.incomplete_bytes():
             self.incomplete_since_ms = 0.0
         elif not self.incomplete_since_ms:
             self.incomplete_since_ms = self.last_active_ms
@@ -210,8 +210,8 @@
         return self._received_ms if self._has_backlog else now
 
     def _handle_all(self, frames: list[Frame]) -> None:
-        """Handles frames in order. A request that is cancelled by a later one of these frames gets no answer.
-        A request that was followed by the client's close is rejected, since the client may still read (see
+        """Handles frames in order. A request that is cancelled by another of these frames gets no answer. A
+        request that was followed by the client's close is rejected, since the client may still read (see
         `ClientRequests.end_open_requests`)."""
         has_closed = has_ended(self.sock)
         cancelled = {frame.stream for frame in frames if frame.type == FrameType.GONE}
@@ -244,7 +244,9 @@
         unread = look_ahead(self.sock)
         if unread.ended or self.reader.exception() is not None:
             return True
-        if self.discards_input or not (unread.data or self.reader.buffered_bytes or self._decoder.pending()):
+        if self.discards_input or not (
+            unread.data or self.reader.buffered_bytes or self._decoder.incomplete_bytes()
+        ):
             return False
         received_bytes = self.reader.received_bytes + len(unread.data)
         if received_bytes != self._searched_bytes:
@@ -256,12 +258,14 @@
         """Whether the client does not read its answers, so that its further requests are rejected. Counts one
         frame. Beyond MAX_FRAMES_WHILE_BLOCKED frames the client's input is discarded; its open requests are
         still answered."""
-        if self.unsent() <= MAX_UNSENT_BYTES:
+        if self.unsent_bytes() <= MAX_UNSENT_BYTES:
             self._frames_while_blocked = 0
             return False
         self._frames_while_blocked += 1
         if self._frames_while_blocked > MAX_FRAMES_WHILE_BLOCKED:
-            log.warning("disconnecting client: sends requests but reads no answers unsent=%d", self.unsent())
+            log.warning(
+                "disconnecting client: sends requests but reads no answers unsent=%d", self.unsent_bytes()
+            )
             self._is_flooding = True
         return True
 
@@ -280,7 +284,7 @@
     def sweep(self, now: float) -> None:
         """Closes the connection if it has been idle, stalled or in the middle of a frame for too long. Called
         periodically."""
-        unsent = self.unsent()
+        unsent = self.unsent_bytes()
         self._record_progress(unsent, now)
         idle_ms = now - self.last_active_ms
         if unsent and self.write_closed_ms:
@@ -330,6 +334,6 @@
             or self.open
             or self._is_handling_frames
             or self.incomplete_since_ms
-            or self.unsent()
+            or self.unsent_bytes()
         )
         return not is_busy and not self.has_unread_bytes()
--- a/gladelane/net/client_listener.py
+++ b/gladelane/net/client_listener.py
@@ -141,7 +141,7 @@
             for conn in self.connections:
                 if (
                     conn.write_closed_ms
-                    and not conn.unsent()
+                    and not conn.unsent_bytes()
                     and self.clock() - conn.write_closed_ms > MAX_CROSSING_MS
                 ):
                     conn.writer.transport.abort()
@@ -200,7 +200,7 @@
         """Whether no client waits for an answer or may have sent a request that was not handled yet."""
         now = self.clock()
         return not self._being_set_up and not any(
-            c.open or c.unsent() or c.may_have_sent_request(now) for c in self.connections
+            c.open or c.unsent_bytes() or c.may_have_sent_request(now) for c in self.connections
         )
 
     def _sweep(self) -> None:
--- a/gladelane/net/client_protocol.py
+++ b/gladelane/net/client_protocol.py
@@ -55,7 +55,7 @@
     def __init__(self) -> None:
         self._buffer = bytearray()
 
-    def pending(self) -> int:
+    def incomplete_bytes(self) -> int:
         """The number of bytes received of an incomplete frame."""
         return len(self._buffer)
 
@@ -79,13 +79,13 @@
         the bytes that follow them. Consumes no bytes."""
         data = bytes(self._buffer) + unread
         found: set[int] = set()
-        at = 0
+        position = 0
         for _ in range(MAX_LOOK_AHEAD_FRAMES):
-            if len(data) - at < HEADER.size:
+            if len(data) - position < HEADER.size:
                 break
-            length, type_, stream = HEADER.unpack_from(data, at)
-            at += 4 + length
-            if not MIN_FRAME_LENGTH <= length <= MAX_FRAME_BYTES or at > len(data):
+            length, type_, stream = HEADER.unpack_from(data, position)
+            position += 4 + length
+            if not MIN_FRAME_LENGTH <= length <= MAX_FRAME_BYTES or position > len(data):
                 break
             if type_ == FrameType.GONE:
                 found.add(stream)
@@ -102,20 +102,20 @@
     InvalidRequestError."""
     fields: dict[str, str] = {}
     try:
-        at = 1
+        position = 1
         for _ in range(payload[0]):
-            end = at + 1 + payload[at]
-            name = payload[at + 1 : end].decode()
+            end = position + 1 + payload[position]
+            name = payload[position + 1 : end].decode()
             size = int.from_bytes(payload[end : end + 2], "big")
-            at = end + 2 + size
-            if at > len(payload):
+            position = end + 2 + size
+            if position > len(payload):
                 raise InvalidRequestError("fields run past the frame")
             if name in fields:
                 raise InvalidRequestError(f"field {name!r} twice")
-            fields[name] = payload[end + 2 : at].decode()
+            fields[name] = payload[end + 2 : position].decode()
     except (IndexError, UnicodeDecodeError) as error:
         raise InvalidRequestError(f"fields unreadable: {error}") from None
-    return fields, payload[at:]
+    return fields, payload[position:]
 
 
 def encode_fields(fields: Mapping[str, str]) -> bytes:
--- a/gladelane/net/connection_pool.py
+++ b/gladelane/net/connection_pool.py
@@ -12,7 +12,7 @@
 from ..timer_wheel import TimerHandle, TimerWheel
 from .attempt_outcomes import AttemptOutcome
 from .cache_connection import Connection
-from .carried_attempts import Owner
+from .carried_attempts import AttemptOwner
 from .config import ConnLimits
 from .exchange import Attempt
 
@@ -20,7 +20,8 @@
 # classes nor on load, so they are not settings.
 SWEEP_MS = 100.0
 MAX_SUSPECT_CONNECTIONS = 4  # to one server; above this no further connection to it is dialled
-#: A further connection is dialled, up to 4 to one server, if each of them carries at least 6 attempts.
+#: While each connection to a server carries at least SPREAD_ATTEMPTS, further ones are dialled, up to
+#: MAX_SPREAD_CONNECTIONS.
 SPREAD_ATTEMPTS, MAX_SPREAD_CONNECTIONS = 6, 4
 SPREAD_CAP_SHARE = 0.75  # share of the cap above which no connection is dialled only to spread attempts
 MAX_CLOSING_TURNS = 4  # iterations of the event loop; an aborted connection needs fewer to be closed
@@ -44,7 +45,7 @@
         self.cap = cap
         self.clock = clock
         self.timers = timers
-        self.owner: Owner
+        self.owner: AttemptOwner
         self._pool: dict[str, list[Connection]] = {}
         self._count = 0  # connections; each has at least one socket
         self._closing: list[socket.socket] = []  # sockets of ended connections, until they are closed
@@ -118,10 +119,10 @@
             conn = available[-1]
         conn.attempts.add(attempt)
 
-    def abandon(self, attempt: Attempt, end: AttemptOutcome) -> None:
+    def abandon(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Cancels an attempt at its server."""
         for conn in list(self._pool.get(attempt.store, ())):
-            conn.drop(attempt, end)
+            conn.drop(attempt, outcome)
 
     def cancel_unsent(self, attempt: Attempt) -> None:
         """Keeps an attempt that may not be cancelled at its server from being sent, if it has not left this
--- a/gladelane/net/copy_dates.py
+++ b/gladelane/net/copy_dates.py
@@ -13,13 +13,12 @@
 from .cache_protocol import Reply
 from .exchange import Attempt
 from .interfaces import DirectorContext
-from .known_purges import KnownPurges, oldest_by_purge_servers
+from .known_purges import KnownPurges, min_date_by_purge_servers
 from .new_attempt import REFRESH_HINT
 
 DATE_SLACK_MS = 5.0  # tolerance, since dates and ages are rounded to ms on the wire
-PURGE_RETENTION_SLACK_MS = (
-    2000.0  # a purge is kept this much longer than it is active, for a successor's start
-)
+#: Purges are kept this much longer than they are active, so that a successor that is starting receives them.
+PURGE_RETENTION_SLACK_MS = 2000.0
 
 
 def is_fresh_copy(attempt: Attempt, reply: Reply, is_origin: bool) -> bool:
@@ -99,13 +98,13 @@
         # than this attempt permits.
         shift_ms = self._fresh_copies.shift_ms(now)
         by_age = as_date(now - max_age_ms + shift_ms)
-        by_purge_servers = self._oldest_by_purge_servers(attempt.exchange.request, now, shift_ms)
+        by_purge_servers = self._min_date_by_purge_servers(attempt.exchange.request, now, shift_ms)
         attempt.min_copy_date = max(attempt.min_copy_date, by_age, by_purge_servers)
 
-    def _oldest_by_purge_servers(self, request: Request, now: float, shift_ms: float) -> UnixMs:
+    def _min_date_by_purge_servers(self, request: Request, now: float, shift_ms: float) -> UnixMs:
         index = self._context.router.purges
         part = request.cls, request.group, request.object - 1, request.part
-        return oldest_by_purge_servers(
+        return min_date_by_purge_servers(
             index.newest_purge_ms(*part, now), index.newest_purge_by_age_ms(*part, now), now, shift_ms
         )
 
--- a/gladelane/net/director.py
+++ b/gladelane/net/director.py
@@ -149,7 +149,7 @@
             if attempt.written_ms:
                 self.sender.cancel_unsent(attempt)
             else:
-                self._attempts.give_up(attempt, AttemptOutcome.SURPLUS)
+                self._attempts.abandon(attempt, AttemptOutcome.SURPLUS)
 
     def has_pending(self) -> bool:
         """Whether a request is unanswered."""
@@ -227,9 +227,9 @@
         """Counts an attempt whose last byte has left the process."""
         self.metrics.backend_calls += 1
 
-    def ended(self, attempt: Attempt, end: AttemptOutcome, reply: Reply | None = None) -> None:
+    def ended(self, attempt: Attempt, outcome: AttemptOutcome, reply: Reply | None = None) -> None:
         """Ends an attempt. Only the first call for an attempt has an effect."""
-        self._attempts.end(attempt, end, reply)
+        self._attempts.end(attempt, outcome, reply)
 
     # --- the router
 
@@ -306,4 +306,4 @@
         exchange.finish(FinalAnswer(AnswerCode.FAILED))
         self.post(ClientGone(exchange.request.id))  # the router drops the request and cancels its attempts
         for attempt in list(exchange.open.values()):
-            self._attempts.give_up(attempt, AttemptOutcome.CANCELLED)
+            self._attempts.abandon(attempt, AttemptOutcome.CANCELLED)
--- a/gladelane/net/endpoint_list.py
+++ b/gladelane/net/endpoint_list.py
@@ -24,7 +24,7 @@
     is_complete: bool
 
 
-def member_of(instance: Instance, zones: Collection[str]) -> Member | None:
+def create_member(instance: Instance, zones: Collection[str]) -> Member | None:
     """Converts an instance to the router's type. Logs it and returns None if its lifecycle or zone is
     unknown."""
     state = STATES.get(instance.lifecycle)
@@ -80,7 +80,7 @@
                 gone.append(member.store)
                 continue
             self.listed[member.store] = member
-            listings[member.store] = _listing_of(instance, member)
+            listings[member.store] = _create_listing(instance, member)
         return ListUpdate(list(listings.values()), gone, is_complete)
 
     def is_ready(self, store: str) -> bool:
@@ -104,7 +104,7 @@
         return {store: (member.kind, member.came_up_ms) for store, member in self.listed.items()}
 
 
-def _listing_of(instance: Instance, member: Member) -> Listing:
+def _create_listing(instance: Instance, member: Member) -> Listing:
     return Listing(
         member.store,
         instance.host_port,
--- a/gladelane/net/interfaces.py
+++ b/gladelane/net/interfaces.py
@@ -22,7 +22,7 @@
     def send(self, attempt: Attempt) -> None:
         """Sends an attempt, or ends it if that is not possible."""
 
-    def abandon(self, attempt: Attempt, end: AttemptOutcome) -> None:
+    def abandon(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Cancels an attempt at its server."""
 
     def cancel_unsent(self, attempt: Attempt) -> None:
--- a/gladelane/net/known_purges.py
+++ b/gladelane/net/known_purges.py
@@ -15,7 +15,7 @@
 NO_DATE = UnixMs(0.0)
 
 
-def oldest_by_purge_servers(dated_ms: float, received_ms: float, now_ms: float, shift_ms: float) -> UnixMs:
+def min_date_by_purge_servers(dated_ms: float, received_ms: float, now_ms: float, shift_ms: float) -> UnixMs:
     """The oldest date that a copy may have by the purges of control servers; 0 if there are no purges.
 
     `dated_ms` is the newest date of a purge by the control servers' clocks, `received_ms` is when that purge
--- a/gladelane/net/list_changes.py
+++ b/gladelane/net/list_changes.py
@@ -9,7 +9,7 @@
 from ..routing.events import ListKind, Member, Members, Purge
 from .client_protocol import HEX16
 from .copy_dates import CopyDates
-from .endpoint_list import EndpointList, member_of
+from .endpoint_list import EndpointList, create_member
 from .interfaces import DirectorContext
 
 log = logging.getLogger(__name__)
@@ -94,7 +94,7 @@
 
     def _apply_pool(self, pool: ListChange, rev: int) -> None:
         zones = self._context.settings.zones
-        servers = [(i, m) for i in pool.instances if (m := member_of(i, zones)) is not None]
+        servers = [(i, m) for i in pool.instances if (m := create_member(i, zones)) is not None]
         if pool.reset and not servers:
             # one invalid list, sent to all directors, would stop the fleet, so the last valid list is kept
             log.error("bad event: rev=%d is a complete list without a valid store", rev)
--- a/gladelane/net/listener.py
+++ b/gladelane/net/listener.py
@@ -47,7 +47,7 @@
         listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
 
 
-class Stopped(Enum):
+class StopReason(Enum):
     """Why no further connection is accepted in this iteration of the event loop."""
 
     DONE = auto()  # no connection is queued, or MAX_ACCEPTS_PER_TURN were accepted
@@ -82,34 +82,34 @@
 
     def accept_all(self) -> None:
         """Accepts as many queued connections as there is capacity for."""
-        if self._accept_waiting() is not Stopped.DONE:
+        if self._accept_waiting() is not StopReason.DONE:
             self._accept_later()
 
     def accept_remaining(self) -> None:
         """Accepts all queued connections before the socket is closed, since closing it resets them. Blocks
         for up to 50 ms while the system lacks resources."""
         for _ in range(FINAL_ACCEPT_TRIES):
-            if self._accept_waiting() is not Stopped.FAILED:
+            if self._accept_waiting() is not StopReason.FAILED:
                 return
             time.sleep(FINAL_ACCEPT_INTERVAL_S)
 
-    def _accept_waiting(self) -> Stopped:
+    def _accept_waiting(self) -> StopReason:
         client_gone_errors = 0
         for _ in range(MAX_ACCEPTS_PER_TURN):
             if not self._has_capacity():
-                return Stopped.NO_CAPACITY
+                return StopReason.NO_CAPACITY
             try:
                 accepted, _ = self.sock.accept()
             except BlockingIOError:
-                return Stopped.DONE
+                return StopReason.DONE
             except OSError as error:  # the client has gone already, or there are no free descriptors
                 log.warning("accept failed: %s", error)
                 client_gone_errors += error.errno in CLIENT_GONE_ERRORS
                 if error.errno in CLIENT_GONE_ERRORS and client_gone_errors < MAX_CLIENT_GONE_ERRORS:
                     continue
-                return Stopped.FAILED
+                return StopReason.FAILED
             self._accepted(accepted)
-        return Stopped.DONE
+        return StopReason.DONE
 
     def close(self) -> None:
         """Stops listening. Connections that are still queued are reset."""
--- a/gladelane/net/new_attempt.py
+++ b/gladelane/net/new_attempt.py
@@ -15,7 +15,7 @@
     objective_ms = exchange.spec.aim_for(exchange.request.size_kb, settings.flow_kb_per_s)
     if isinstance(action, Fetch):
         source = "" if action.source == action.store else action.source
-        rank, max_age_ms, hints = action.rank, action.max_age_ms, hints_of(action)
+        rank, max_age_ms, hints = action.rank, action.max_age_ms, encode_hints(action)
     else:
         source, rank, max_age_ms, hints = "", 0, 0.0, ()
     attempt = Attempt(
@@ -35,7 +35,7 @@
     return attempt
 
 
-def hints_of(fetch: Fetch) -> tuple[str, ...]:
+def encode_hints(fetch: Fetch) -> tuple[str, ...]:
     """The hints in the cache protocol for the flags of a fetch."""
     flags = (
         ("coalesce", fetch.join),
--- a/tests/admin/test_endpoint_actions.py
+++ b/tests/admin/test_endpoint_actions.py
@@ -223,7 +223,7 @@
         slow = Client(*await asyncio.open_connection(sock=plain))
         for stream in range(1, asked + 1):
             slow.ask(stream, o=f"{stream:016x}", m="1")
-        await until(lambda: any(conn.unsent() > 500_000 for conn in node.front.connections))
+        await until(lambda: any(conn.unsent_bytes() > 500_000 for conn in node.front.connections))
         taken = 0
         for stream in range(1, 9):  # it takes little meanwhile
             client.ask(stream, o=f"{stream:016x}", m="1")
--- a/tests/net/test_cache_crossings.py
+++ b/tests/net/test_cache_crossings.py
@@ -47,7 +47,7 @@
         whole = OK % (b"%016x" % 1, 2, b"ok")
         sock.send(whole[:20])
         conn = only(node, "c0")
-        await until(lambda: conn.decoder.pending())
+        await until(lambda: conn.decoder.has_incomplete_reply())
         sock.send(whole[20:])
         conn.sweep(node.clock.now() + 2000.0, 0.0)
         assert (await client.next())[:3] == (17, 1, 0) and not conn.finished
@@ -196,7 +196,7 @@
     async with running(config({"c0": peer.address, "r0": REFUSED}, max_attempts=1)) as (node, client):
         sock = await asked(peer, client)
         sock.send(b"%016x served - 8\r\nxxxx" % 1)
-        await until(lambda: only(node, "c0").decoder.pending())
+        await until(lambda: only(node, "c0").decoder.has_incomplete_reply())
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         sock.close()
         assert (await client.next())[:3] == (17, 1, 1)
--- a/tests/net/test_client_crossings.py
+++ b/tests/net/test_client_crossings.py
@@ -75,7 +75,7 @@
             raw = Raw(node, takes=4096)
             raw.send(request(1))
             conn = await connected(node, raw)
-            await until(lambda: cache.seen and not node.director.live and not conn.unsent())
+            await until(lambda: cache.seen and not node.director.live and not conn.unsent_bytes())
             raw.send(request(2))  # not read by the director yet: it is refused before the close
             closing = asyncio.create_task(node.front.close())
             await asyncio.sleep(0)
@@ -251,7 +251,7 @@
                 raw.send(request(1, d="20000"))
                 await until(lambda: cache.seen)
                 raw.send(request(2, chunk="7"))
-                await until(lambda: conn.unsent() > 50_000)
+                await until(lambda: conn.unsent_bytes() > 50_000)
                 raw.send(request(3))  # more work for it would lie here: refused
                 await until(lambda: conn._frames_while_blocked == 1)
                 if how == "close":
@@ -275,7 +275,7 @@
         async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
             raw, conn = await narrow(node)
             raw.send(request(1))
-            await until(lambda: conn.unsent() > 50_000)
+            await until(lambda: conn.unsent_bytes() > 50_000)
             for stream in range(2, 60):
                 raw.send(request(stream))
             await until(lambda: conn not in node.front.connections)
@@ -347,7 +347,7 @@
         async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
             raw, conn = await narrow(node)
             raw.send(request(1))
-            await until(lambda: conn.unsent() > 50_000)
+            await until(lambda: conn.unsent_bytes() > 50_000)
             raw.send(struct.pack(">IBI", 5, 32, 0) * (client_module.MAX_FRAMES_WHILE_BLOCKED + 1))
             await until(lambda: conn not in node.front.connections)
             client.ask(1)
--- a/tests/net/test_leaves.py
+++ b/tests/net/test_leaves.py
@@ -209,7 +209,7 @@
     decoder = FrameDecoder()
     assert not list(decoder.feed(held))
     assert decoder.find_cancelled_streams(unread) == found
-    assert decoder.pending() == len(held)
+    assert decoder.incomplete_bytes() == len(held)
 
 
 @trial
@@ -258,7 +258,7 @@
             raw.sock.close()
             slow.close()
 
-    monkeypatch.setattr(queue_module, "STUCK_MS", 10_000.0)  # what waits goes nowhere else meanwhile
+    monkeypatch.setattr(queue_module, "STUCK_AFTER_MS", 10_000.0)  # what waits goes nowhere else meanwhile
     scene()
 
 
--- a/tests/net/test_unanswered.py
+++ b/tests/net/test_unanswered.py
@@ -229,7 +229,7 @@
         async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
             raw, conn = await slow(node)
             raw.send(request(1) + struct.pack(">I", 3))
-            await until(lambda: conn.write_closed_ms and conn.unsent())
+            await until(lambda: conn.write_closed_ms and conn.unsent_bytes())
             conn.write_closed_ms -= 60.0  # longer ago than a crossing takes
             node.front.cap, node.front.lingering = 0, 0
             await until(lambda: not client.reader._buffer)  # type: ignore[attr-defined]
@@ -260,7 +260,7 @@
             raw.send(request(1, d="20000"))
             await until(lambda: cache.seen)
             raw.send(request(2, chunk="7"))
-            await until(lambda: conn.unsent() > 50_000)
+            await until(lambda: conn.unsent_bytes() > 50_000)
             for stream in range(3, 60):
                 raw.send(request(stream))
             await until(lambda: conn.discards_input)
--- a/tests/purges/test_clocks.py
+++ b/tests/purges/test_clocks.py
@@ -31,7 +31,7 @@
 from gladelane.net.attempt_outcomes import AttemptOutcome
 from gladelane.net.cache_protocol import Reply
 from gladelane.net.copy_dates import is_fresh_copy
-from gladelane.net.known_purges import oldest_by_purge_servers
+from gladelane.net.known_purges import min_date_by_purge_servers
 from gladelane.purges.active_purges import (
     CLOCK_MARGIN_MS,
     MAX_AHEAD_MS,
@@ -76,7 +76,7 @@
         index.newest_purge_ms(*REQUEST, director_ms),
         index.newest_purge_by_age_ms(*REQUEST, director_ms),
     )
-    return float(oldest_by_purge_servers(by_date_ms, by_age_ms, director_ms, shift_ms))
+    return float(min_date_by_purge_servers(by_date_ms, by_age_ms, director_ms, shift_ms))
 
 
 def is_accepted_by_date(active: ActivePurges, copy: Copy, director_ms: float, shift_ms: float = 0.0) -> bool:
--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -567,7 +567,7 @@
     async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
         for stream in range(1, 33):
             client.ask(stream, chunk=str(stream))
-        await until(lambda: any(c.unsent() for c in node.front.connections))
+        await until(lambda: any(c.unsent_bytes() for c in node.front.connections))
         (conn,) = node.front.connections
         await until(lambda: len(cache.seen) == 32 and not conn.open)
         now = node.clock.now()
