--- a/gladelane/net/attempt_lifecycle.py
+++ b/gladelane/net/attempt_lifecycle.py
@@ -14,7 +14,7 @@
 from .endpoint_list import EndpointList
 from .exchange import AnswerCode, Attempt, Exchange, FinalAnswer
 from .interfaces import DirectorContext
-from .new_attempt import new_attempt
+from .new_attempt import create_attempt
 
 log = logging.getLogger(__name__)
 
@@ -45,7 +45,7 @@
     def send(self, exchange: Exchange, action: Fetch | Lookup) -> None:
         """Starts an attempt, which ends at once if it may not be sent."""
         context = self._context
-        attempt = new_attempt(exchange, action, context.clock(), context.settings)
+        attempt = create_attempt(exchange, action, context.clock(), context.settings)
         if exchange.done or exchange.attempt_count > exchange.max_attempts:
             self.end(attempt, AttemptOutcome.SURPLUS)
         elif not self._endpoint_list.is_ready(action.store):
--- a/gladelane/net/cache_protocol.py
+++ b/gladelane/net/cache_protocol.py
@@ -19,8 +19,8 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LINE = 4096
-MAX_BODY = 262_000  # objects have at most 240,000 bytes; a client's frame has 262,144 with header and fields
+MAX_LINE_BYTES = 4096
+MAX_BODY_BYTES = 262_000  # objects have at most 240,000; a client frame has 262,144 with header and fields
 OUTCOME_BY_WORD = {
     "served": AttemptOutcome.SERVED,
     "still_good": AttemptOutcome.STILL_GOOD,
@@ -81,7 +81,7 @@
         while True:
             if self._head is None:
                 position = buffer.find(b"\r\n")
-                if position > MAX_LINE or (position < 0 and len(buffer) > MAX_LINE):
+                if position > MAX_LINE_BYTES or (position < 0 and len(buffer) > MAX_LINE_BYTES):
                     raise MalformedReplyError("line too long")
                 if position < 0:
                     return
@@ -110,7 +110,7 @@
             raise MalformedReplyError(f"unreadable answer: id {id_!a:.40} word {word!a:.40}")
         if not LENGTH.fullmatch(length):
             raise MalformedReplyError(f"unreadable answer: length {length!a:.40}")
-        if int(length) > MAX_BODY:
+        if int(length) > MAX_BODY_BYTES:
             raise MalformedReplyError(f"body of {length} bytes")
         fields = _split_fields(text)
         reply = Reply(
--- a/gladelane/net/client_requests.py
+++ b/gladelane/net/client_requests.py
@@ -111,8 +111,8 @@
             self._owner.send(encode_answer(stream, final))
 
     def reject_unless_cancelled(self, stream: int, is_cancelled: bool) -> None:
-        """Rejects a request of a client that has closed its sending side. A request that the client has
-        cancelled gets no answer."""
+        """Rejects a request whose client has closed its sending side. A request that the client has cancelled
+        gets no answer."""
         if self._streams.use(stream) and not is_cancelled:
             self._owner.send(encode_answer(stream, REFUSED))
 
@@ -183,7 +183,7 @@
             self.open[stream] = exchange
 
     def _answer(self, stream: int, final: FinalAnswer, answered: list[FinalAnswer]) -> None:
-        """Answers a request unless `answered` already has its answer. Called perhaps before `admit`
+        """Answers a request unless `answered` already holds its answer. This may be called before `admit`
         returns."""
         if answered:
             return
--- a/gladelane/net/config.py
+++ b/gladelane/net/config.py
@@ -113,26 +113,26 @@
 }
 
 
-def read_config(data: bytes, used: bytes | None = None) -> Config:
-    """Decodes the file `data`. `used` is the file in use, if there is one; the new file must have all of its
-    keys. Raises ConfigError."""
+def read_config(data: bytes, current: bytes | None = None) -> Config:
+    """Decodes the file `data`. `current` is the file in use, if there is one; the new file must have all of
+    its keys. Raises ConfigError."""
     if not data.strip():
         raise ConfigError("the whole file is empty; expected a JSON object")
     try:
         raw = read_object(_decode(data), "")
-        if used is not None:
-            _check_no_key_is_missing(raw, _decode(used))
-        plain = read_fields(raw, _FIELDS)
+        if current is not None:
+            _check_no_key_is_missing(raw, _decode(current))
+        fields = read_fields(raw, _FIELDS)
         return Config(
-            plain["name"],
-            plain["listen"],
-            plain["seed"],
+            fields["name"],
+            fields["listen"],
+            fields["seed"],
             Limits(**read_fields(raw.get("limits"), _LIMITS, "limits")),
-            plain["board"],
+            fields["board"],
             _read_known(raw.get("known", MISSING)),
             _read_settings(raw.get("settings")),
             ConnLimits(**read_fields(raw["settings"]["limits"], _CONN_LIMITS, "settings.limits")),
-            plain["ops"],
+            fields["ops"],
         )
     except BadSetting as error:
         raise ConfigError(error) from None
@@ -211,14 +211,15 @@
     return raw
 
 
-def _check_no_key_is_missing(new: Any, used: Any, where: str = "") -> None:
-    """Raises BadSetting for a key of `used` that `new` lacks. Lists are not compared and may be shorter."""
-    if not isinstance(used, Mapping):
+def _check_no_key_is_missing(new: Any, current: Any, parent_path: str = "") -> None:
+    """Raises BadSetting for a key of `current` that `new` lacks. Lists are not compared, so they may be
+    shorter."""
+    if not isinstance(current, Mapping):
         return
     if not isinstance(new, Mapping):
-        raise BadSetting(where, new, "an object")
-    for key, value in used.items():
-        path = f"{where}.{key}" if where else key
+        raise BadSetting(parent_path, new, "an object")
+    for key, value in current.items():
+        path = f"{parent_path}.{key}" if parent_path else key
         if key not in new and key not in OPTIONAL_KEYS:
             raise BadSetting(path, MISSING, "it as in the file in use")
         if key in new:
--- a/gladelane/net/copy_dates.py
+++ b/gladelane/net/copy_dates.py
@@ -86,7 +86,7 @@
         if not spec.cacheable:  # the answer to a write is no copy, so purges do not concern it
             return
         active_ms = self._context.settings.purge_done_ms + PURGE_SLACK_MS
-        attempt.min_copy_date = self._purges.newest_date(request.object, request.group, now, active_ms)
+        attempt.min_copy_date = self._purges.min_copy_date(request.object, request.group, now, active_ms)
         if self._context.guard is not None:
             self._limit_by_guard(attempt, self._context.guard.max_copy_age_ms(request.cls), spec, now)
 
--- a/gladelane/net/descriptors.py
+++ b/gladelane/net/descriptors.py
@@ -39,15 +39,15 @@
 def share_descriptors(limit: int, inherited: int, purge_servers: int) -> Shares:
     """Divides the descriptors. `limit` is the limit of the whole process, `inherited` is how many are open
     when it starts, and `purge_servers` is the number of purge log servers that it subscribes to."""
-    own = inherited + EVENT_LOOP + SERVING + ADMIN + TRANSIENT + PER_PURGE_SERVER * purge_servers
+    reserved = inherited + EVENT_LOOP + SERVING + ADMIN + TRANSIENT + PER_PURGE_SERVER * purge_servers
     clients_share = CLIENT_SHARE * (1.0 + LINGERING_SHARE)
     # both shares shrink in proportion if they and the process's own needs exceed the limit
-    shareable = max(limit - own - MIN_CALLERS, 0)
+    shareable = max(limit - reserved - MIN_CALLERS, 0)
     scale = min(1.0, shareable / (limit * (clients_share + UPSTREAM_SHARE))) if limit > 0 else 0.0
     clients = max(int(limit * CLIENT_SHARE * scale), MIN_CLIENTS)
     upstream = max(int(limit * UPSTREAM_SHARE * scale), MIN_UPSTREAM)
-    rest = limit - own - clients - max_lingering(clients) - upstream
-    callers = min(max(rest, MIN_CALLERS), MAX_CALLERS)
+    remaining = limit - reserved - clients - max_lingering(clients) - upstream
+    callers = min(max(remaining, MIN_CALLERS), MAX_CALLERS)
     return Shares(clients, upstream, callers)
 
 
--- a/gladelane/net/known_purges.py
+++ b/gladelane/net/known_purges.py
@@ -51,7 +51,7 @@
         self._newest[target] = _ReceivedPurge(now_ms, max(dated, known.dated))
         self._events.append((now_ms, target, event))
 
-    def newest_date(self, object_: int, group: int, now_ms: float, active_ms: float) -> UnixMs:
+    def min_copy_date(self, object_: int, group: int, now_ms: float, active_ms: float) -> UnixMs:
         """The oldest date that a copy of an object may have; `NO_DATE` if any copy may be served."""
         found = self._newest.get((object_, 0)), self._newest.get((0, group))
         active = [one.dated for one in found if one is not None and now_ms - one.received_ms <= active_ms]
--- a/gladelane/net/listener.py
+++ b/gladelane/net/listener.py
@@ -56,9 +56,9 @@
 
 
 class Listener:
-    """Accepts connections. `has_capacity` is called before each accept, and `accepted` with each connection
-    in the same iteration of the event loop: if a task did this later, its cancellation would lose the
-    connection."""
+    """Accepts connections. `has_capacity` is called before each accept. `accepted` is called with each
+    connection in the same iteration of the event loop, since a task that is cancelled between the two would
+    lose the connection."""
 
     def __init__(
         self,
--- a/gladelane/net/new_attempt.py
+++ b/gladelane/net/new_attempt.py
@@ -8,10 +8,10 @@
 REFRESH_HINT = "freshen"  # the server shall ask the origin whether its copy is still valid
 
 
-def new_attempt(exchange: Exchange, action: Fetch | Lookup, now: float, settings: Settings) -> Attempt:
+def create_attempt(exchange: Exchange, action: Fetch | Lookup, now: float, settings: Settings) -> Attempt:
     """Creates the next attempt of an exchange, counts it and adds it to the open attempts."""
-    deadline = exchange.request.deadline_ms
-    due = min(now + action.timeout_ms, deadline) if action.timeout_ms else deadline
+    deadline_ms = exchange.request.deadline_ms
+    due_ms = min(now + action.timeout_ms, deadline_ms) if action.timeout_ms else deadline_ms
     objective_ms = exchange.spec.aim_for(exchange.request.size_kb, settings.flow_kb_per_s)
     if isinstance(action, Fetch):
         source = "" if action.source == action.store else action.source
@@ -23,7 +23,7 @@
         exchange.attempt_count,
         action.store,
         now,
-        due,
+        due_ms,
         source,
         rank,
         max_age_ms,
@@ -36,7 +36,7 @@
 
 
 def encode_hints(fetch: Fetch) -> tuple[str, ...]:
-    """The hints in the cache protocol for the flags of a fetch."""
+    """Encodes the flags of a fetch as hints of the cache protocol."""
     flags = (
         ("coalesce", fetch.join),
         ("shallow", fetch.source_holds_only),
--- a/gladelane/net/streams.py
+++ b/gladelane/net/streams.py
@@ -28,7 +28,7 @@
         super().feed_data(data)
 
     async def read(self, n: int = -1) -> bytes:
-        """As asyncio's."""
+        """Like `asyncio.StreamReader.read`."""
         data = await super().read(n)
         self.buffered_bytes -= len(data)
         return data
@@ -47,7 +47,7 @@
         super().feed_data(data)
 
     async def read(self, n: int = -1) -> bytes:
-        """As asyncio's."""
+        """Like `asyncio.StreamReader.read`."""
         data = await super().read(n)
         del self._copy[: len(data)]
         return data
--- a/tests/net/test_unanswered.py
+++ b/tests/net/test_unanswered.py
@@ -275,7 +275,7 @@
             raw.sock.close()
 
 
-@pytest.mark.parametrize("size", [240_000, lines_module.MAX_BODY])
+@pytest.mark.parametrize("size", [240_000, lines_module.MAX_BODY_BYTES])
 def test_the_largest_body_that_is_taken_from_a_cache_fits_a_frame_to_a_client(size: int) -> None:
     # 262,144 bytes were, and the frame that carried them could not be read: the request was lost
     reply = b"x" * size
