--- a/tests/admin/test_admin_actions.py
+++ b/tests/admin/test_admin_actions.py
@@ -235,7 +235,7 @@
         slow = Client(*await asyncio.open_connection(sock=sock))
         for stream in range(1, request_count + 1):
             slow.ask(stream, o=f"{stream:016x}", m="1")
-        await until(lambda: any(conn.unsent() > 500_000 for conn in node.front.connections))
+        await until(lambda: any(conn.unsent_bytes() > 500_000 for conn in node.front.connections))
         received = 0
         for stream in range(1, 9):  # the slow client reads little meanwhile
             client.ask(stream, o=f"{stream:016x}", m="1")
--- a/tests/endpoints/test_dialing.py
+++ b/tests/endpoints/test_dialing.py
@@ -120,7 +120,7 @@
         submit(client, 2)
         assert (await client.next())[:3] == (17, 2, 0)
         await until(lambda: not node.endpoints.health.is_avoided("r0", parse(listed[0])))
-        assert fake_server.seen[1].address == listed[1] and node.upstream._extra == 0
+        assert fake_server.seen[1].address == listed[1] and node.upstream._extra_sockets == 0
         assert [a.text for a in node.endpoints.plan("r0", node.clock.now()).addresses] == listed
 
 
@@ -344,7 +344,7 @@
             events = told(node.director)
             submit(client, 1)
             await until(
-                lambda: [c.dialling for conns in node.upstream._pool.values() for c in conns if c.dialling]
+                lambda: [c.dialer for conns in node.upstream._pool.values() for c in conns if c.dialer]
             )
             leaving = {
                 "instanceId": "r0",
@@ -379,9 +379,7 @@
         node.endpoints.options = Options(delay_first_ms=9_000.0, delay_most_ms=9_000.0)
         await fake_server.set(listed[0], Fault.BLACK_HOLE)
         submit(client, 1)
-        await until(
-            lambda: [c.dialling for conns in node.upstream._pool.values() for c in conns if c.dialling]
-        )
+        await until(lambda: [c.dialer for conns in node.upstream._pool.values() for c in conns if c.dialer])
         node.director.apply_watch_event(relisted(2, listed[1], []))
         assert (await client.next(1.0))[:3] == (17, 1, 0)
         assert fake_server.seen[0].address == listed[1]
--- a/tests/net/test_cache_connection_races.py
+++ b/tests/net/test_cache_connection_races.py
@@ -55,7 +55,7 @@
         response = SERVED_RESPONSE % (b"%016x" % 1, 2, b"ok")
         sock.send(response[:20])
         conn = get_single_connection(node, "c0")
-        await until(lambda: conn.decoder.pending())
+        await until(lambda: conn.decoder.has_incomplete_reply())
         sock.send(response[20:])
         conn.sweep(node.clock.now() + 2000.0, 0.0)
         assert (await client.next())[:3] == (17, 1, 0) and not conn.finished
@@ -101,9 +101,9 @@
         sock = await asked(cache, client)
         conn = get_single_connection(node, "c0")
         sock.send(b"%016x served - 8\r\nxxxx" % 1)
-        await until(lambda: conn.decoder.under_way()[1] == 0.4)
-        conn.attempts.responses.begun_ms -= 400.0  # half of the answer took 0.4 s, and 2 s remain
-        conn.sweep(conn.attempts.responses.heard_ms + 1.0, 0.0)
+        await until(lambda: conn.decoder.reply_in_progress()[1] == 0.4)
+        conn.attempts.responses.reply_started_ms -= 400.0  # half of the answer took 0.4 s, and 2 s remain
+        conn.sweep(conn.attempts.responses.received_ms + 1.0, 0.0)
         sock.send(b"xxxx\r\n")
         assert (await client.next())[:3] == (17, 1, 0)
         sock.close()
@@ -141,9 +141,9 @@
         now = node.clock.now()
         exchange.ran_ms = now - 1500.0
         attempt = Attempt(exchange, 5, "r0", now, now + 2000.0)
-        assert node.director.recheck(attempt) is None
+        assert node.director.check_before_write(attempt) is None
         exchange.ran_ms = now - 2000.0
-        assert node.director.recheck(attempt) is AttemptOutcome.EXPIRED
+        assert node.director.check_before_write(attempt) is AttemptOutcome.EXPIRED
 
 
 @trial
@@ -156,7 +156,7 @@
         exchange = next(iter(node.director.live.values()))
         now = node.clock.now()
         second = Attempt(exchange, 1, "c0", now, now + 1000.0)
-        exchange.sends, exchange.open[1] = 2, second
+        exchange.attempt_count, exchange.open[1] = 2, second
         node.upstream.send(second)  # its id is open on the first connection, so another one is dialled
         cache.conns[0].write(SERVED_RESPONSE % (b"%016x" % 1, 2, b"ok"))
         await cache.conns[0].drain()
@@ -206,7 +206,7 @@
     async with running(config({"c0": cache.address, "r0": REFUSED}, max_attempts=1)) as (node, client):
         sock = await asked(cache, client)
         sock.send(b"%016x served - 8\r\nxxxx" % 1)
-        await until(lambda: get_single_connection(node, "c0").decoder.pending())
+        await until(lambda: get_single_connection(node, "c0").decoder.has_incomplete_reply())
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         sock.close()
         assert (await client.next())[:3] == (17, 1, 1)
--- a/tests/net/test_client_connection_races.py
+++ b/tests/net/test_client_connection_races.py
@@ -54,14 +54,14 @@
     async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
         raw = RawClient(node)
         conn = await wait_for_server_connection(node, raw)
-        check = conn.unread
+        check = conn.has_unread_bytes
 
         def check_and_send() -> bool:
             result = check()
             raw.send(encode_request(1))
             return result
 
-        conn.unread = check_and_send  # type: ignore[method-assign]
+        conn.has_unread_bytes = check_and_send  # type: ignore[method-assign]
         conn.sweep(node.clock.now() + 5000.0)
         assert await raw.receive_until_end() == ([], "end of file")
         raw.send(encode_request(2))  # a request after the end of file causes no reset either
@@ -76,12 +76,12 @@
     # A plain close of a socket with unread bytes resets the connection, which discards the answers in the send buffer.
     cache = Cache(serve_large_body)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(listener_module, "CLOSE_S", 5.0)
+        patch.setattr(listener_module, "CLOSE_TIMEOUT_S", 5.0)
         async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
             raw = RawClient(node, receive_buffer_bytes=4096)
             raw.send(encode_request(1))
             conn = await wait_for_server_connection(node, raw)
-            await until(lambda: cache.seen and not node.director.live and not conn.unsent())
+            await until(lambda: cache.seen and not node.director.live and not conn.unsent_bytes())
             raw.send(encode_request(2))  # still unread by the director, which refuses it before the close
             closing = asyncio.create_task(node.front.close())
             await asyncio.sleep(0)
@@ -108,11 +108,11 @@
                 conn = await wait_for_server_connection(node, raw)
                 if is_partial:
                     raw.send(frame[:20])
-                    await until(lambda: conn.partial_ms)
+                    await until(lambda: conn.incomplete_since_ms)
                 else:
                     conn.writer.transport.pause_reading()  # type: ignore[attr-defined]
                     raw.send(frame)
-                assert not node.front.quiet()
+                assert not node.front.has_no_pending_requests()
                 draining = asyncio.create_task(node.drain())
                 await until(lambda: node.front.listener is None)
                 if is_partial:
@@ -137,8 +137,10 @@
         raw = RawClient(node)
         raw.send(encode_request(1)[:20])
         conn = await wait_for_server_connection(node, raw)
-        await until(lambda: conn.partial_ms)
-        assert conn.arriving(conn.active_ms + 200.0) and not conn.arriving(conn.active_ms + 400.0)
+        await until(lambda: conn.incomplete_since_ms)
+        assert conn.may_have_sent_request(conn.last_active_ms + 200.0) and not conn.may_have_sent_request(
+            conn.last_active_ms + 400.0
+        )
 
 
 @trial
@@ -161,10 +163,10 @@
             conn = await wait_for_server_connection(node, raw)
             await until(lambda: cache.seen)
             raw.send(struct.pack(">I", 3) if error == "length" else raw_frame(50_000, 16, 2, b"x" * 30_000))
-            await until(lambda: conn.discards_input or conn.partial_ms)
-            conn.sweep(conn.active_ms + 2600.0)
+            await until(lambda: conn.discards_input or conn.incomplete_since_ms)
+            conn.sweep(conn.last_active_ms + 2600.0)
             raw.send(encode_request(3))  # nothing after a framing error can be parsed
-            await until(lambda: conn.discards_input and not conn.unread())
+            await until(lambda: conn.discards_input and not conn.has_unread_bytes())
             cache.conns[0].write(b"0000000000000001 served digest=aa,dated=1,remark=h 2\r\nok\r\n")
             frames, end = await raw.receive_until_end()
             raw.sock.close()
@@ -254,15 +256,15 @@
     @trial
     async def scenario() -> None:
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(connection_module, "UNSENT_BYTES", 50_000)
+            patch.setattr(connection_module, "MAX_UNSENT_BYTES", 50_000)
             async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
                 raw, conn = await connect_with_small_buffers(node)
                 raw.send(encode_request(1, d="20000"))
                 await until(lambda: cache.seen)
                 raw.send(encode_request(2, chunk="7"))
-                await until(lambda: conn.unsent() > 50_000)
+                await until(lambda: conn.unsent_bytes() > 50_000)
                 raw.send(encode_request(3))  # refused, since its answer would wait in the director
-                await until(lambda: conn._over == 1)
+                await until(lambda: conn._frames_while_blocked == 1)
                 if method == "close":
                     raw.sock.close()
                 else:
@@ -279,12 +281,12 @@
 async def test_a_client_that_reads_nothing_and_keeps_sending_requests_is_disconnected() -> None:
     cache = Cache(serve_large_body)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(connection_module, "UNSENT_BYTES", 50_000)
-        patch.setattr(connection_module, "OVER_MOST", 40)
+        patch.setattr(connection_module, "MAX_UNSENT_BYTES", 50_000)
+        patch.setattr(connection_module, "MAX_FRAMES_WHILE_BLOCKED", 40)
         async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
             raw, conn = await connect_with_small_buffers(node)
             raw.send(encode_request(1))
-            await until(lambda: conn.unsent() > 50_000)
+            await until(lambda: conn.unsent_bytes() > 50_000)
             for stream in range(2, 60):
                 raw.send(encode_request(stream))
             await until(lambda: conn not in node.front.connections)
@@ -312,7 +314,7 @@
         while conn in node.front.connections:
             await asyncio.sleep(0)
             frames_per_iteration.append(0)
-        assert max(frames_per_iteration) == connection_module.FRAMES_AT_ONCE
+        assert max(frames_per_iteration) == connection_module.MAX_FRAMES_PER_TURN
         client.send(32, 5, encode_fields({}))
         assert (await client.next())[:3] == (33, 5, 0)
 
@@ -353,12 +355,12 @@
     # Earlier only requests were counted, while the answers to all other frames accumulated unread.
     cache = Cache(serve_large_body)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(connection_module, "UNSENT_BYTES", 50_000)
+        patch.setattr(connection_module, "MAX_UNSENT_BYTES", 50_000)
         async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
             raw, conn = await connect_with_small_buffers(node)
             raw.send(encode_request(1))
-            await until(lambda: conn.unsent() > 50_000)
-            raw.send(struct.pack(">IBI", 5, 32, 0) * (connection_module.OVER_MOST + 1))
+            await until(lambda: conn.unsent_bytes() > 50_000)
+            raw.send(struct.pack(">IBI", 5, 32, 0) * (connection_module.MAX_FRAMES_WHILE_BLOCKED + 1))
             await until(lambda: conn not in node.front.connections)
             client.ask(1)
             assert (await client.next())[:3] == (17, 1, 0)
@@ -370,13 +372,13 @@
     # Earlier its connection was closed 2 s after it was opened, and was the first to be closed at the connection limit.
     async with running(config({"c0": await Cache(hit).start(), "r0": REFUSED})) as (node, client):
         (conn,) = node.front.connections
-        node.timers.lag = lambda: 2 * listener_module.SHED_MS  # type: ignore[method-assign]
+        node.timers.lag = lambda: 2 * listener_module.MAX_LAG_MS  # type: ignore[method-assign]
         client.ask(1)
         assert (await client.next())[:3] == (17, 1, 1)
-        conn.sweep(conn.active_ms + connection_module.IDLE_MS)
-        assert conn.proven and not conn.shut_ms
-        conn.sweep(conn.active_ms + connection_module.IDLE_MS + 1.0)
-        assert conn.shut_ms
+        conn.sweep(conn.last_active_ms + connection_module.IDLE_TIMEOUT_MS)
+        assert conn.has_sent_valid_frame and not conn.write_closed_ms
+        conn.sweep(conn.last_active_ms + connection_module.IDLE_TIMEOUT_MS + 1.0)
+        assert conn.write_closed_ms
 
 
 @trial
@@ -385,5 +387,5 @@
         (conn,) = node.front.connections
         client.ask(1, drop="c")
         assert (await client.next())[:3] == (17, 1, 2)
-        conn.sweep(conn.born_ms + connection_module.FIRST_MS + 1.0)
-        assert not conn.proven and conn.shut_ms
+        conn.sweep(conn.accepted_ms + connection_module.FIRST_FRAME_TIMEOUT_MS + 1.0)
+        assert not conn.has_sent_valid_frame and conn.write_closed_ms
--- a/tests/net/test_combined_faults.py
+++ b/tests/net/test_combined_faults.py
@@ -17,7 +17,7 @@
 from test_idle_cache_connections import ConnectionDroppingCache, ConnectionFault, config_with_three_classes
 from virtual_time import VirtualClock, virtual
 
-from gladelane.net.client_protocol import Type
+from gladelane.net.client_protocol import FrameType
 from gladelane.net.config import read_config
 from gladelane.server import Server
 
@@ -133,7 +133,7 @@
             self.client.ask(self.stream, i=id_, c=cls, k=id_, o=id_, d=str(wait_ms))
             while True:
                 type_, stream, code, _, body = await self.client.next(10.0)
-                if type_ != Type.ANSWER:
+                if type_ != FrameType.ANSWER:
                     continue
                 if stream != self.stream or (code == SERVED and body != id_.encode()):
                     self.observed.violations.append(
--- a/tests/net/test_leaves.py
+++ b/tests/net/test_leaves.py
@@ -36,7 +36,7 @@
 import gladelane.net.outgoing as outgoing_module
 import gladelane.net.write_queue as queue_module
 from gladelane.net.client_connection import ClientConnection
-from gladelane.net.client_protocol import FrameDecoder, Type, encode_frame
+from gladelane.net.client_protocol import FrameDecoder, FrameType, encode_frame
 from gladelane.net.exchange import Attempt
 from gladelane.server import Server
 from gladelane.sockets import unsent_bytes
@@ -205,7 +205,7 @@
     scene()
 
 
-CANCELS = encode_frame(Type.GONE, 3) + encode_frame(Type.GONE, 5)
+CANCELS = encode_frame(FrameType.GONE, 3) + encode_frame(FrameType.GONE, 5)
 
 
 @pytest.mark.parametrize(
@@ -223,8 +223,8 @@
 def test_cancels_are_found_in_what_was_not_read(held: bytes, unread: bytes, found: set[int]) -> None:
     decoder = FrameDecoder()
     assert not list(decoder.feed(held))
-    assert decoder.given_up(unread) == found
-    assert decoder.pending() == len(held)
+    assert decoder.find_cancelled_streams(unread) == found
+    assert decoder.incomplete_bytes() == len(held)
 
 
 @trial
@@ -273,7 +273,7 @@
             raw.sock.close()
             slow.close()
 
-    monkeypatch.setattr(queue_module, "STUCK_MS", 10_000.0)  # what waits goes nowhere else meanwhile
+    monkeypatch.setattr(queue_module, "STUCK_AFTER_MS", 10_000.0)  # what waits goes nowhere else meanwhile
     scene()
 
 
@@ -386,7 +386,7 @@
         whole = encode_request(1)
         for at in range(0, len(whole) - 1, 7):
             raw.send(whole[at : min(at + 7, len(whole) - 1)])
-            await until(lambda: not conn.unread())
+            await until(lambda: not conn.has_unread_bytes())
         assert not node.director.live and not cache.seen
         raw.send(whole[-1:])
         await until(lambda: cache.seen)
--- a/tests/net/test_process_signals.py
+++ b/tests/net/test_process_signals.py
@@ -20,7 +20,7 @@
 from test_discovery_outages import Discovery, DiscoveryState
 
 from gladelane.lab.free_ports import free_port
-from gladelane.net.client_protocol import Type
+from gladelane.net.client_protocol import FrameType
 
 ROOT = Path(__file__).parent.parent.parent
 REFUSED = "127.0.0.1:1"
@@ -100,7 +100,7 @@
     """The result code of the answer on a stream; other frames are skipped."""
     while True:
         type_, answered_stream, code, *_ = await client.next(timeout_s)
-        if (type_, answered_stream) == (Type.ANSWER, stream):
+        if (type_, answered_stream) == (FrameType.ANSWER, stream):
             return code
 
 
@@ -143,7 +143,7 @@
     with contextlib.suppress(EOFError):
         while True:
             type_, stream, *_ = await client.next()
-            if type_ == Type.ANSWER:
+            if type_ == FrameType.ANSWER:
                 streams.append(stream)
     client.writer.close()
     return streams
--- a/tests/net/test_requests_at_connection_end.py
+++ b/tests/net/test_requests_at_connection_end.py
@@ -14,7 +14,7 @@
 
 import gladelane.net.client_listener as listener_module
 from gladelane.net.client_connection import ClientConnection
-from gladelane.net.client_protocol import Type
+from gladelane.net.client_protocol import FrameType
 from gladelane.server import Server
 
 REFUSED = "127.0.0.1:1"
@@ -43,21 +43,21 @@
     now = node.clock.now()
     match reason:
         case CloseReason.IDLE:
-            conn.sweep(conn.active_ms + 4_300.0)
+            conn.sweep(conn.last_active_ms + 4_300.0)
         case CloseReason.NEVER_USED:
-            conn.sweep(conn.born_ms + 2_100.0)
+            conn.sweep(conn.accepted_ms + 2_100.0)
         case CloseReason.DRAIN:
             node.front.drain.request_drain(now)
             conn.goaway_ms = now - 400.0
             conn.sweep(now)
         case CloseReason.CONNECTION_LIMIT:
-            conn.active_ms = now - 1_000.0
+            conn.last_active_ms = now - 1_000.0
             node.front.cap = 1
-            node.front._spare_one()
+            node.front._close_idle_connection()
         case CloseReason.SHUTDOWN:
             node.front.stop_listening()
             conn.is_settled()  # the last check before the close, as in `ClientListener.close`
-            conn.stop_taking()
+            conn.close_gracefully()
         case CloseReason.INVALID_FRAME:
             client.send(struct.pack(">I", 3))
 
@@ -71,7 +71,7 @@
     async def scenario() -> None:
         cache = Cache(hit)
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(listener_module, "CLOSE_S", 1.0)
+            patch.setattr(listener_module, "CLOSE_TIMEOUT_S", 1.0)
             async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, other):
                 raw = RawClient(node)
                 conn = await wait_for_server_connection(node, raw)
@@ -82,17 +82,17 @@
                 if arrival is Arrival.BEFORE and reason is not CloseReason.INVALID_FRAME:
                     raw.send(request)
                 elif arrival is Arrival.DURING:
-                    conn.unread = call_after_first(conn.unread, lambda: raw.send(request))  # type: ignore[method-assign]
+                    conn.has_unread_bytes = call_after_first(conn.has_unread_bytes, lambda: raw.send(request))  # type: ignore[method-assign]
                 close_connection(node, conn, raw, reason)
                 if arrival is Arrival.AFTER or reason is CloseReason.INVALID_FRAME:
-                    await until(lambda: conn.shut_ms or not conn.is_idle() or conn.open)
+                    await until(lambda: conn.write_closed_ms or not conn.is_idle() or conn.open)
                     raw.send(request)
                 await asyncio.sleep(0.05)
-                conn.stop_taking()  # the connection stays open if the director saw the request in time
+                conn.close_gracefully()  # the connection stays open if the director saw the request in time
                 frames, end = await raw.receive_until_end()
                 raw.sock.close()
                 answers = [
-                    payload for type_, stream, payload in frames if (type_, stream) == (Type.ANSWER, 2)
+                    payload for type_, stream, payload in frames if (type_, stream) == (FrameType.ANSWER, 2)
                 ]
                 assert end == "end of file" and len(answers) <= 1
                 forwarded = [command for command in cache.seen if command[0] == f"{2:016x}"]
