--- a/gladelane/__main__.py
+++ b/gladelane/__main__.py
@@ -16,9 +16,9 @@
 import uvloop
 
 from . import logs
-from .files import ConfigurationFiles, parse_admin_place
+from .files import ConfigurationFiles, parse_admin_address
 from .net.config import Config, ConfigError
-from .process import freeze_startup_objects, open_descriptors, watch_gc
+from .process import count_open_descriptors, freeze_startup_objects, log_long_gc_pauses
 from .server import Server
 
 if TYPE_CHECKING:
@@ -26,68 +26,72 @@
 
 log = logging.getLogger("gladelane")
 
-SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
-async def serve(config: Config, operator: Operator | None, files: ConfigurationFiles, inherited: int) -> None:
-    """Runs a director until a signal stops it, then shuts it down gracefully. `inherited` is the number of
-    descriptors that were open at the start."""
-    server = Server(config, operator, inherited)
+async def serve(
+    config: Config, operator: Operator | None, files: ConfigurationFiles, inherited_descriptors: int
+) -> None:
+    """Runs a director until a signal stops it, then shuts it down gracefully. `inherited_descriptors` is the
+    number of descriptors that were open at the start."""
+    server = Server(config, operator, inherited_descriptors)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    loop.add_signal_handler(signal.SIGHUP, reload, server, files)
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
+    loop.add_signal_handler(signal.SIGHUP, reload_files, server, files)
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
     port = await server.start()
     freeze_startup_objects()
-    watch_gc()
+    log_long_gc_pauses()
     log.info("ready name=%s listen=%s:%d rev=%d", config.name, config.listen[0], port, server.director.rev)
     await stop.wait()
     log.info("draining")
     await server.drain()
     await server.close()
-    # The loop restores the default handlers, with which another signal would end the process with a failure.
-    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
+    # When the event loop is closed it restores the default handlers, and another signal would then end the
+    # process with a failure status.
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
     log.info("stopped")
 
 
-def reload(server: Server, files: ConfigurationFiles) -> None:
+def reload_files(server: Server, files: ConfigurationFiles) -> None:
     """Reads both files again and applies them, or neither of them if one is invalid."""
     metrics = server.director.metrics
     try:
         config, operator = files.read()
     except (ConfigError, OSError) as error:
-        reason = "reload failed, the old configuration stays: %s"
-        log.error(reason, error)  # noqa: TRY400  the message says what is wrong in the file
+        message = "reload failed, the old configuration stays: %s"
+        log.error(message, error)  # noqa: TRY400  the error says what is wrong in the file
         metrics.reconfig_failed += 1
         return
     metrics.reconfig_ok += 1
-    set_up_logs(operator)
+    configure_logs(operator)
     server.reload(config, operator)
 
 
-def set_up_logs(operator: Operator | None) -> None:
-    """Configures the log by the operator's file; without one the log stays as it is."""
+def configure_logs(operator: Operator | None) -> None:
+    """Sets the log's format and level as the operator's file says; without a file they stay as they are."""
     if operator is not None:
-        logs.set_up(operator.logs.format, operator.logs.level)
+        logs.set_up_logging(operator.logs.format, operator.logs.level)
 
 
 def main() -> int:
     """Runs the program and returns its exit code. GW_CONFIG is the path of the platform's file, GW_OPERATOR
     the optional path of the operator's file, and GW_OPS the address of the admin endpoint."""
-    logs.set_up()
-    inherited = open_descriptors()
+    logs.set_up_logging()
+    inherited_descriptors = count_open_descriptors()
     path, operator_path = os.environ.get("GW_CONFIG", ""), os.environ.get("GW_OPERATOR", "")
-    # Signals are blocked until their handlers are installed: their default action would end the process.
-    signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
+    # The signals are blocked until their handlers are installed, because their default action would end the
+    # process.
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
     files = ConfigurationFiles(path, operator_path)
     try:
         config, operator = files.read()
         if config.ops is None and os.environ.get("GW_OPS"):
-            config.ops = parse_admin_place(os.environ["GW_OPS"])
-        set_up_logs(operator)
-        uvloop.run(serve(config, operator, files, inherited))
+            config.ops = parse_admin_address(os.environ["GW_OPS"])
+        configure_logs(operator)
+        uvloop.run(serve(config, operator, files, inherited_descriptors))
     except (ConfigError, OSError) as error:
         print(f"gladelane: {error if path else 'GW_CONFIG names no file'}", file=sys.stderr)
         return 1
--- a/gladelane/admin/endpoint.py
+++ b/gladelane/admin/endpoint.py
@@ -18,7 +18,7 @@
 import h11
 import msgspec
 
-from ..sockets import close_socket, has_unread, open_listening
+from ..sockets import close_socket, has_unread, open_listening_socket
 from .requests import AdminAction, AdminRequest, AdminResponse, InvalidAdminRequestError, parse_request
 
 log = logging.getLogger(__name__)
@@ -78,7 +78,7 @@
 
     def open(self, host: str, port: int) -> int:
         """The port it listens on. Raises OSError where the address is in use."""
-        self._listener = open_listening(host, port, BACKLOG)
+        self._listener = open_listening_socket(host, port, BACKLOG)
         self._listener.setblocking(False)
         self.port = int(self._listener.getsockname()[1])
         self._thread.start()
--- a/gladelane/cli/addresses.py
+++ b/gladelane/cli/addresses.py
@@ -68,12 +68,12 @@
     cell: Annotated[int, typer.Option(help="Likewise.")] = 0,
 ) -> None:
     """The way to each server's addresses, rule by rule, and the order in which they are dialled."""
-    from ..files import load, load_operator
+    from ..files import load_config, load_operator
 
     try:
         operator = load_operator(str(file))
         assert operator is not None
-        known = listings_of(load(str(config))) if config else []
+        known = listings_of(load_config(str(config))) if config else []
     except (ConfigError, OSError) as error:
         fail(error)
     for text in servers:
--- a/gladelane/cli/director.py
+++ b/gladelane/cli/director.py
@@ -31,7 +31,7 @@
     config: Annotated[Path | None, typer.Option(help="Also the platform's file, and both together.")] = None,
 ) -> None:
     """Says whether a file can be used; else one line with file, key and what was expected."""
-    from ..files import load, load_operator
+    from ..files import load_config, load_operator
     from ..net.config import ConfigError
 
     try:
@@ -40,7 +40,7 @@
         out.print(f"{file}: good, {len(operator.rules.rules)} address rules, logs {operator.logs.format}")
         if config is None:
             return
-        known = load(str(config))
+        known = load_config(str(config))
     except (ConfigError, OSError) as error:
         fail(error)
     from .addresses import registry_of
--- a/gladelane/cli/purge_serve.py
+++ b/gladelane/cli/purge_serve.py
@@ -13,7 +13,7 @@
 import typer
 
 from ..control_plane.tokens import TokenFileError
-from ..logs import set_up
+from ..logs import set_up_logging
 from ..purges.checkpoint_file import InvalidCheckpointError
 from ..purges.loss_detection import ForeignFolderError
 from ..purges.scope import InvalidScopeError
@@ -86,7 +86,7 @@
     tls_ca: CaFile = None,
 ) -> None:
     """Runs a feed until SIGTERM. It says `feed ready` once purges are taken."""
-    set_up()
+    set_up_logging()
     logging.getLogger("asyncio").setLevel(logging.ERROR)
     listen_address = socket_address(listen)
     peers = tuple(socket_address(text) for text in peer or ())
--- a/gladelane/clock.py
+++ b/gladelane/clock.py
@@ -19,21 +19,21 @@
 
 #: Discovery dates its events in order. A date that is earlier than the previous one by more than this shows
 #: that its clock was set back.
-SET_BACK_MS = 1000.0
-#: The wall clock at the start is taken to be right unless the platform's dates are behind it by more than
-#: this: the latest date may be as old as the longest outage of discovery.
-TRUSTED_MS = 60_000.0
+MIN_SET_BACK_MS = 1000.0
+#: The wall clock at the start is taken to be right unless it is ahead of the platform's dates by more than
+#: this: after an outage of discovery the latest date is as old as the outage.
+TRUSTED_CLOCK_LEAD_MS = 60_000.0
 #: The wall clock is slewed slightly all the time; a change of at least this much counts as a step.
-STEP_MS = 20.0
-#: How many copies made for requests must agree that our clock is wrong. A single answer may be corrupt.
-FRESH_COPIES = 8
-#: A copy older than this is not used, because clocks drift apart.
-FRESH_COPY_COUNTS_MS = 60_000.0
+MIN_STEP_MS = 20.0
+#: How many consecutive fresh copies must agree that our clock is wrong. A single answer may be corrupt.
+REQUIRED_FRESH_COPIES = 8
+#: A copy received longer ago than this is not used, because clocks drift apart.
+MAX_FRESH_COPY_AGE_MS = 60_000.0
 #: The platform's clock and ours differ by less than this if both are synchronized by the usual means.
 CLOCKS_AGREE_MS = 250.0
-#: Dates on the wire are rounded to integer ms.
-DATES_ROUNDED_MS = 1.0
-BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
+#: Dates on the wire are rounded to integer ms, so each may be wrong by this much.
+DATE_ROUNDING_MS = 1.0
+BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
 
 #: A moment of this process's timeline, in ms.
 MonotonicMs = NewType("MonotonicMs", float)
@@ -70,7 +70,7 @@
 def read_boot_id() -> str:
     """The id of this machine's current boot; empty if the system does not provide it."""
     with suppress(OSError, ValueError):
-        return BOOT_ID.read_text(encoding="ascii").strip()
+        return BOOT_ID_PATH.read_text(encoding="ascii").strip()
     return ""
 
 
@@ -95,8 +95,7 @@
     def now(self) -> MonotonicMs:
         """The current moment of this process's timeline. It never goes back, and steps of the wall clock do
         not affect it."""
-        # Called many times per request: constructing MonotonicMs would be a call that adds a quarter to its
-        # cost.
+        # This is called many times per request, and a call of MonotonicMs would add a quarter to its cost.
         return self._zero_ms + self._read_monotonic() * 1000.0  # type: ignore[return-value]
 
     def unix(self) -> UnixMs:
@@ -105,15 +104,15 @@
 
     # --- moments exchanged with another process on this machine
 
-    def shared(self) -> SharedClock:
-        """Sent with the dates of moments, so that another process can convert them to its own timeline. It
-        changes only when the wall clock is stepped, and so does the date of a moment."""
+    def shared_clock(self) -> SharedClock:
+        """The clock to send along with dates of moments, so that another process can convert them to its own
+        timeline. It changes only when the wall clock is stepped, and so does the date of a moment."""
         stepped_ms = float(self.unix()) - self.now()
-        if abs(stepped_ms - self._stepped_ms) > STEP_MS:
+        if abs(stepped_ms - self._stepped_ms) > MIN_STEP_MS:
             self._stepped_ms = stepped_ms
         return SharedClock(self._boot_id, self._zero_ms + self._stepped_ms)
 
-    def dated(self, moment_ms: float, shared: SharedClock) -> UnixMs:
+    def date(self, moment_ms: float, shared: SharedClock) -> UnixMs:
         """The date of a moment, for another process that also receives `shared`."""
         return UnixMs(moment_ms + (shared.zero_ms - self._zero_ms))
 
@@ -134,9 +133,9 @@
     """Bounds that one copy gives for how far the platform's dates are ahead of the timeline; negative values
     mean that they are behind."""
 
-    heard_ms: float
-    least_ms: float
-    most_ms: float
+    received_ms: float
+    min_ms: float
+    max_ms: float
 
 
 class FreshCopies:
@@ -149,23 +148,26 @@
     """
 
     def __init__(self) -> None:
-        self._latest: deque[_FreshCopy] = deque(maxlen=FRESH_COPIES)
+        self._latest: deque[_FreshCopy] = deque(maxlen=REQUIRED_FRESH_COPIES)
 
-    def hear(self, dated: UnixMs, asked_ms: float, now_ms: float) -> None:
-        """Records a fresh copy. `asked_ms` is the time at which sending of the request for it began."""
-        least_ms = float(dated) - now_ms
-        self._latest.append(_FreshCopy(now_ms, least_ms, float(dated) - asked_ms + DATES_ROUNDED_MS))
+    def record_copy(self, dated: UnixMs, requested_ms: float, now_ms: float) -> None:
+        """Records a fresh copy. `requested_ms` is the time at which sending of the request for it started."""
+        min_ms = float(dated) - now_ms
+        self._latest.append(_FreshCopy(now_ms, min_ms, float(dated) - requested_ms + DATE_ROUNDING_MS))
 
     def shift_ms(self, now_ms: float) -> float:
         """The offset that converts a moment of the timeline to the origin's date. The correction is never
         larger than proven, in either direction; 0 while our clock is not proven to be wrong."""
-        if len(self._latest) < FRESH_COPIES or now_ms - self._latest[0].heard_ms > FRESH_COPY_COUNTS_MS:
+        if (
+            len(self._latest) < REQUIRED_FRESH_COPIES
+            or now_ms - self._latest[0].received_ms > MAX_FRESH_COPY_AGE_MS
+        ):
             return 0.0
-        most_ms = max(copy.most_ms for copy in self._latest)
-        if most_ms < -CLOCKS_AGREE_MS:
-            return most_ms
-        least_ms = min(copy.least_ms for copy in self._latest)
-        return least_ms if least_ms > CLOCKS_AGREE_MS else 0.0
+        max_ms = max(copy.max_ms for copy in self._latest)
+        if max_ms < -CLOCKS_AGREE_MS:
+            return max_ms
+        min_ms = min(copy.min_ms for copy in self._latest)
+        return min_ms if min_ms > CLOCKS_AGREE_MS else 0.0
 
 
 class PlatformDates:
@@ -187,27 +189,27 @@
         """Whether any date of the platform has arrived."""
         return self.offset_ms > -math.inf
 
-    def hear_start(self, dated: UnixMs, now_ms: float) -> None:
+    def record_start_date(self, dated: UnixMs, now_ms: float) -> None:
         """Records the date at which a server started, as discovery reports it."""
         self._by_discovery_ms = max(self._by_discovery_ms, float(dated) - now_ms)
         self.offset_ms = max(self.offset_ms, self._by_discovery_ms)
 
-    def hear_purge(self, dated: UnixMs, now_ms: float) -> None:
+    def record_purge_date(self, dated: UnixMs, now_ms: float) -> None:
         """Records the date of a purge, as discovery reports it. Its events are numbered, so a date well
         before that of an earlier event shows that its clock was set back, however late either of them
         arrived."""
-        if dated + SET_BACK_MS < self._last_purge:
+        if dated + MIN_SET_BACK_MS < self._last_purge:
             self.offset_ms = self._by_discovery_ms = self._by_purges_ms = float(dated) - now_ms
         self._last_purge = dated
         self._by_purges_ms = max(self._by_purges_ms, float(dated) - now_ms)
-        self.hear_start(dated, now_ms)
+        self.record_start_date(dated, now_ms)
 
-    def hear_copy(self, dated: UnixMs, now_ms: float) -> None:
+    def record_copy_date(self, dated: UnixMs, now_ms: float) -> None:
         """Records the date of a copy, as a cache reports it. A corrupt answer may carry any date, so it
         raises the bound no further than discovery's dates or the wall clock at the start of the process
         support."""
-        most_ms = max(self._by_discovery_ms, 0.0)
-        self.offset_ms = max(self.offset_ms, min(float(dated) - now_ms, most_ms))
+        max_ms = max(self._by_discovery_ms, 0.0)
+        self.offset_ms = max(self.offset_ms, min(float(dated) - now_ms, max_ms))
 
     def age_ms(self, dated: UnixMs, now_ms: float) -> float:
         """The least age of a purge. Only dates of purges are used for it: they all come from one clock, while
@@ -220,6 +222,6 @@
         now and must not seem to age faster than it does. If discovery's dates are far behind the wall clock
         at the start, that clock is taken to be wrong and only the dates are used: otherwise anything that
         starts now would seem new for as long as the clock is ahead."""
-        if self.offset_ms < -TRUSTED_MS and self._by_discovery_ms > -math.inf:
+        if self.offset_ms < -TRUSTED_CLOCK_LEAD_MS and self._by_discovery_ms > -math.inf:
             return UnixMs(now_ms + self.offset_ms)
         return UnixMs(now_ms + max(self._by_discovery_ms, 0.0))
--- a/gladelane/files.py
+++ b/gladelane/files.py
@@ -13,29 +13,30 @@
 class ConfigurationFiles:
     """The platform's file and the operator's file, whose path may be empty.
 
-    Remembers the text of the platform's file in use, because a changed file is read against it."""
+    Remembers the text of the platform's file that is in use, because `read_config` needs it to read a changed
+    file."""
 
     def __init__(self, path: str, operator_path: str) -> None:
         self._path, self._operator_path = path, operator_path
         self._text_in_use: bytes | None = None
 
     def read(self) -> tuple[Config, Operator | None]:
-        """Reads both files. Raises ConfigError, which names the file, or OSError; the text remembered then
-        stays the same."""
-        config, text = _load_after(self._path, self._text_in_use)
+        """Reads both files. Raises ConfigError, which names the file, or OSError; the remembered text is then
+        kept."""
+        config, text = _load_changed_config(self._path, self._text_in_use)
         operator = load_operator(self._operator_path)
         self._text_in_use = text
         return config, operator
 
 
-def load(path: str) -> Config:
+def load_config(path: str) -> Config:
     """Reads the platform's file. Raises ConfigError, which names the file, or OSError."""
-    return _load_after(path, None)[0]
+    return _load_changed_config(path, None)[0]
 
 
-def _load_after(path: str, text_in_use: bytes | None) -> tuple[Config, bytes]:
-    """Reads the platform's file against the text in use; returns it with its text. Raises what `load`
-    raises."""
+def _load_changed_config(path: str, text_in_use: bytes | None) -> tuple[Config, bytes]:
+    """Reads the platform's file, which is checked against the text in use if there is one. Returns the
+    configuration and the file's text. Raises ConfigError, which names the file, or OSError."""
     with open(path, "rb") as file:
         text = file.read()
     try:
@@ -44,7 +45,7 @@
         raise error.in_file(path) from None
 
 
-def parse_admin_place(text: str) -> tuple[str, int]:
+def parse_admin_address(text: str) -> tuple[str, int]:
     """The host and port in GW_OPS, at which the admin endpoint listens. Raises ConfigError."""
     try:
         return host_port(text)
--- a/gladelane/hot_restart/handover.py
+++ b/gladelane/hot_restart/handover.py
@@ -34,7 +34,7 @@
 class Handover(msgspec.Struct, array_like=True):
     """The state that one process of a director passes to the next.
 
-    In the file, times are dates as returned by the writer's `Clock.dated`, which older versions read as Unix
+    In the file, times are dates as returned by the writer's `Clock.date`, which older versions read as Unix
     ms. `to_shared_time` and `to_local_time` convert between dates and times of a process's own clock.
     """
 
@@ -87,26 +87,24 @@
 def to_shared_time(document: Handover, clock: Clock) -> Handover:
     """Converts times of this process's clock to dates, as they are stored. The times in
     `maintenance_ended_ms` are dates already."""
-    shared = clock.shared()
+    shared = clock.shared_clock()
 
-    def dated(local_ms: float) -> float:
-        return float(clock.dated(local_ms, shared))
+    def date(local_ms: float) -> float:
+        return float(clock.date(local_ms, shared))
 
     learned_state, now = document.learned_state, document.written_ms
     return msgspec.structs.replace(
         document,
-        written_ms=dated(now),
+        written_ms=date(now),
         maintenance_started_ms={
-            server: dated(since_ms) for server, since_ms in document.maintenance_started_ms.items()
+            server: date(since_ms) for server, since_ms in document.maintenance_started_ms.items()
         },
-        draining_since_ms=dated(document.draining_since_ms) if document.draining_since_ms else 0.0,
+        draining_since_ms=date(document.draining_since_ms) if document.draining_since_ms else 0.0,
         keys={
-            key: [KeyAttempt(dated(attempt.at_ms), attempt.store) for attempt in attempts]
+            key: [KeyAttempt(date(attempt.at_ms), attempt.store) for attempt in attempts]
             for key, attempts in document.keys.items()
         },
-        learned_state=shift_timestamps(learned_state, dated(now) - now)
-        if learned_state is not None
-        else None,
+        learned_state=shift_timestamps(learned_state, date(now) - now) if learned_state is not None else None,
         boot_id=shared.boot_id,
         zero_ms=shared.zero_ms,
     )
--- a/gladelane/hot_restart/key_replication.py
+++ b/gladelane/hot_restart/key_replication.py
@@ -40,14 +40,14 @@
     def _send(self, operation: str, key: str, at_ms: float, store: str) -> None:
         if self._channel.peer_count == 0:
             return
-        shared = self._clock.shared()
+        shared = self._clock.shared_clock()
         self._channel.broadcast(
             Message(
                 UPDATE,
                 operation=operation,
                 store=store,
                 key=key,
-                at_ms=float(self._clock.dated(at_ms, shared)),
+                at_ms=float(self._clock.date(at_ms, shared)),
                 boot_id=shared.boot_id,
                 zero_ms=shared.zero_ms,
             )
--- a/gladelane/hot_restart/messages.py
+++ b/gladelane/hot_restart/messages.py
@@ -32,7 +32,7 @@
     #: In HELLO and HELLO_REPLY: whether the sender reads updates about keys; older versions do not.
     reads_key_updates: bool = msgspec.field(default=False, name="keys")
     key: str = ""  # the idempotency key
-    #: When the attempt's first byte was sent, as a date of `Clock.dated`; older versions read it as Unix ms.
+    #: When the attempt's first byte was sent, as a date of `Clock.date`; older versions read it as Unix ms.
     at_ms: float = 0.0
     boot_id: str = ""  # of the sender's machine; older versions send neither `boot_id` nor `zero_ms`
     zero_ms: float = 0.0  # the date at which the sender's monotonic clock read 0
--- a/gladelane/net/client_connection.py
+++ b/gladelane/net/client_connection.py
@@ -7,7 +7,7 @@
 import socket
 from typing import Protocol
 
-from ..sockets import has_ended, has_unread, last_data_ms, look_ahead, shut_write_side
+from ..sockets import has_ended, has_unread, ms_since_last_data, peek_unread, shut_write_side
 from .client_protocol import (
     Frame,
     FrameDecoder,
@@ -180,7 +180,7 @@
         have waited with its connection for capacity, or behind earlier frames of the client. The lag of the
         event loop is added by the timer wheel."""
         if self._queued_ms:
-            waited = min(last_data_ms(self.sock), now - self._queued_ms)
+            waited = min(ms_since_last_data(self.sock), now - self._queued_ms)
             self._queued_ms = 0.0
             return now - waited
         return self._came_ms if self._lags else now
@@ -216,7 +216,7 @@
     def has_left(self, stream: int) -> bool:
         """Whether the client waits no longer for an answer on this stream, as far as has been received: a
         loop that lags may handle a timer, a dial or a reply before it reads that."""
-        unread = look_ahead(self.sock)
+        unread = peek_unread(self.sock)
         if unread.ended or self.reader.exception() is not None:
             return True
         if self.discards_input or not (unread.data or self.reader.waiting or self._decoder.pending()):
--- a/gladelane/net/client_listener.py
+++ b/gladelane/net/client_listener.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 
 from ..admin.drain import Drain
-from ..process import open_descriptors
+from ..process import count_open_descriptors
 from ..timer_wheel import TimerWheel
 from .client_connection import ClientConnection
 from .director import Director
@@ -162,7 +162,7 @@
         listener = self._listener
         if listener is not None:
             if queued:
-                free = self._descriptors - open_descriptors() - STOP_DESCRIPTORS
+                free = self._descriptors - count_open_descriptors() - STOP_DESCRIPTORS
                 self.cap = max(self.cap, self._connected() + max(free, 0))
                 listener.accept_last()
             self._listener = None
--- a/gladelane/net/copy_dates.py
+++ b/gladelane/net/copy_dates.py
@@ -42,7 +42,7 @@
         dates: by our clock it would depend on two clocks that may have been stepped, and a purge that seems
         old would be ignored."""
         now = self._context.clock()
-        self.platform.hear_purge(dated, now)
+        self.platform.record_purge_date(dated, now)
         self.apply_offset()
         self._drop_expired_purges()
         self._purges.add(object_, group, dated, event, now)
@@ -51,10 +51,10 @@
     def record_reply(self, attempt: Attempt, reply: Reply, is_origin: bool) -> None:
         """Records the date of a reply's copy."""
         now = self._context.clock()
-        self.platform.hear_copy(reply.dated_ms, now)
+        self.platform.record_copy_date(reply.dated_ms, now)
         self.apply_offset()
         if is_fresh_copy(attempt, reply, is_origin):
-            self._fresh_copies.hear(reply.dated_ms, attempt.written_ms, now)
+            self._fresh_copies.record_copy(reply.dated_ms, attempt.written_ms, now)
 
     def apply_offset(self) -> None:
         """Has the router count the ages of servers by what is known of the platform's clock."""
--- a/gladelane/net/list_changes.py
+++ b/gladelane/net/list_changes.py
@@ -66,7 +66,7 @@
         now = context.clock()
         for instance, _ in servers:
             if instance.started_at_ms:
-                self._copy_dates.platform.hear_start(instance.started_at_ms, now)
+                self._copy_dates.platform.record_start_date(instance.started_at_ms, now)
         self._endpoint_list.record(servers, is_complete)
         self._copy_dates.apply_offset()
         maintained = [(instance, context.register.overlay(member)) for instance, member in servers]
--- a/gladelane/net/listener.py
+++ b/gladelane/net/listener.py
@@ -12,7 +12,7 @@
 from contextlib import suppress
 from enum import Enum, auto
 
-from ..sockets import close_socket, open_listening
+from ..sockets import close_socket, open_listening_socket
 
 log = logging.getLogger(__name__)
 
@@ -29,7 +29,7 @@
 def open_listener(host: str, port: int, shared: bool) -> socket.socket:
     """A listening socket. `shared` lets another process listen at the same address, for a hot restart;
     without it an address in use is an error. Raises OSError."""
-    return open_listening(host, port, BACKLOG, reuse_port=shared)
+    return open_listening_socket(host, port, BACKLOG, reuse_port=shared)
 
 
 def steer_away(listener: socket.socket) -> None:
--- a/gladelane/operator_parts.py
+++ b/gladelane/operator_parts.py
@@ -1,5 +1,6 @@
-"""Builds the parts that are enabled only by an operator's file. Each is imported, with its dependencies, when
-it is built."""
+"""Builds the parts of a director that only an operator's file enables.
+
+Each part is imported, with its dependencies, when it is built."""
 
 from __future__ import annotations
 
@@ -41,14 +42,14 @@
         raise ConfigError(f"purges.strict: {unknown[0]!r}; expected classes of the settings")
 
     def open_subscription() -> PurgeSubscription:
-        disk = Folder(options.folder) if options.folder else None
+        folder = Folder(options.folder) if options.folder else None
         try:
             return PurgeSubscription(
-                options, director.router.purges, clock.now, disk, director.settings.proxies, random.Random()
+                options, director.router.purges, clock.now, folder, director.settings.proxies, random.Random()
             )
         except BaseException:
-            if disk is not None:
-                disk.close()
+            if folder is not None:
+                folder.close()
             raise
 
     try:
@@ -56,9 +57,9 @@
     except TokenFileError as error:
         raise ConfigError(str(error)) from None
     except CorruptLogError as error:
-        # The purge servers send all of the content again, so this is no reason not to start.
-        aside = rename_damaged_folder(Path(options.folder))
-        log.error("purges: folder set aside as %s: %s", aside, error)  # noqa: TRY400  it names the place
+        # A damaged folder does not prevent the start, because the purge servers send all purges again.
+        renamed_folder = rename_damaged_folder(Path(options.folder))
+        log.error("purges: damaged folder renamed to %s: %s", renamed_folder, error)  # noqa: TRY400  names it
         return open_subscription()
 
 
@@ -70,7 +71,7 @@
     clock: Clock,
     admin_handler: AdminHandler,
 ) -> Recovery:
-    """Opens the store of learnt state and idempotency keys that outlive the process. Raises OSError if the
+    """Opens the store of learned state and idempotency keys that outlive the process. Raises OSError if the
     folder cannot be used."""
     from .recovery.service import Recovery
 
@@ -104,8 +105,8 @@
 
 
 def open_leases(options: LeaseOptions, purges: PurgeSubscription, config: Config) -> LeaseClient:
-    """Creates the client that acquires leases of shards: only the director that holds the lease of a shard
-    sends that shard's orders to servers."""
+    """Creates the client that acquires leases of shards. Only the director that holds a shard's lease sends
+    the purge orders of that shard to servers."""
     from .audit.steady import steady_ms
     from .leases.client import LeaseClient
     from .leases.shards import ShardedOrders, shard_ranks
--- a/gladelane/process.py
+++ b/gladelane/process.py
@@ -9,19 +9,19 @@
 
 log = logging.getLogger("gladelane")
 
-STANDARD_DESCRIPTORS = 3  # that every process starts with
+STANDARD_DESCRIPTORS = 3  # stdin, stdout and stderr, with which every process starts
 LONG_GC_PAUSE_MS = 10.0  # longer collections are logged
-GC_THRESHOLDS = (50_000, 10, 10)  # reference counting frees nearly all objects; few are in cycles
+GC_THRESHOLDS = (50_000, 10, 10)  # high: reference counting frees nearly all objects, few are in cycles
 
 
 def descriptor_limit(configured: int) -> int:
-    """The number of descriptors that may be open: the configured one, or the system's limit if that is
+    """The number of descriptors that may be open: the configured number, or the system's limit if that is
     lower."""
-    allowed = os.sysconf("SC_OPEN_MAX")  # the current RLIMIT_NOFILE; -1: unlimited
+    allowed = os.sysconf("SC_OPEN_MAX")  # the current RLIMIT_NOFILE; -1 means unlimited
     return min(configured, allowed) if allowed > 0 else configured
 
 
-def open_descriptors() -> int:
+def count_open_descriptors() -> int:
     """The number of descriptors that are open now."""
     try:
         return len(os.listdir("/proc/self/fd")) - 1  # without the one that was opened to list them
@@ -37,8 +37,8 @@
     gc.set_threshold(*GC_THRESHOLDS)
 
 
-def watch_gc() -> None:
-    """Starts logging of long garbage collection pauses."""
+def log_long_gc_pauses() -> None:
+    """Logs each garbage collection from now on that takes longer than LONG_GC_PAUSE_MS."""
     started_s = 0.0
 
     def on_gc(phase: str, info: dict[str, int]) -> None:
--- a/gladelane/recovery/service.py
+++ b/gladelane/recovery/service.py
@@ -84,7 +84,7 @@
         self._keys_unknown_until_ms = self._clock() + self._director.keys.retention_ms
         self._director.keys.max_keys = 0
 
-    def take_over(self) -> None:
+    def restore(self) -> None:
         """Restores learned state and keys; called once the endpoint list is known, before any client is
         admitted."""
         if self.state_store is not None:
--- a/gladelane/server.py
+++ b/gladelane/server.py
@@ -1,7 +1,7 @@
 """Composition root of a director: builds its parts, connects them, starts and stops them.
 
-The platform's configuration and an optional operator's file determine which parts exist; the latter may
-enable purges, recovery, audit and leases (`operator_parts`).
+The platform's configuration and an optional operator's file determine which parts exist. The operator's file
+may enable purges, recovery, audit and leases (see `operator_parts`).
 """
 
 from __future__ import annotations
@@ -44,18 +44,22 @@
 endpoints_log = logging.getLogger("gladelane.endpoints")
 
 BYTES_PER_MB = 1_000_000
-BUFFER_MEMORY_SHARE = 0.25  # for request bodies, and for answers that clients have not read yet
-KEY_MEMORY_SHARE = 0.04  # for idempotency keys: 4,500 of them with 80 MB
-ENDPOINTS_SEED = 0x656E6473
+BUFFER_MEMORY_SHARE = 0.25  # for request bodies and for answers that clients have not read yet
+KEY_MEMORY_SHARE = 0.04  # for idempotency keys: a limit of 80 MB has room for 4,500 of them
+ENDPOINTS_SEED = 0x656E6473  # "ends" in ASCII
 
 
 class Server:
     """One director with all its parts; `config` contains everything that distinguishes it from others."""
 
     def __init__(
-        self, config: Config, operator: Operator | None = None, inherited: int = STANDARD_DESCRIPTORS
+        self,
+        config: Config,
+        operator: Operator | None = None,
+        inherited_descriptors: int = STANDARD_DESCRIPTORS,
     ) -> None:
-        """`inherited` is the number of descriptors open before the start. Raises ConfigError, OSError."""
+        """`inherited_descriptors` is the number of descriptors that were open before the start. Raises
+        ConfigError, OSError."""
         self.config = config
         self.clock = Clock()
         self.timers = TimerWheel(self.clock.now)
@@ -66,7 +70,7 @@
         memory_bytes = config.limits.memory_mb * BYTES_PER_MB
         self.director = self._make_director(int(memory_bytes * KEY_MEMORY_SHARE / BYTES_PER_KEY))
         descriptors = descriptor_limit(config.limits.sockets)
-        self.shares = share_descriptors(descriptors, inherited, _count_purge_servers(operator))
+        self.shares = share_descriptors(descriptors, inherited_descriptors, _count_purge_servers(operator))
         self.upstream = ConnectionPool(
             config.conn, self.shares.upstream, self.clock.now, self.timers, self.endpoints
         )
@@ -140,7 +144,8 @@
     async def start(self) -> int:
         """Starts all parts and returns the port for clients. Raises OSError.
 
-        Clients are accepted only after all known state has been applied, which readiness guarantees."""
+        Clients are accepted only after all known state has been applied: a director that accepts clients
+        guarantees that."""
         listening_socket = self._connect_to_predecessor()
         self._restore_state()
         if self.config.ops is not None:
@@ -160,8 +165,8 @@
         return self.port
 
     def _connect_to_predecessor(self) -> socket.socket | None:
-        """The listening socket of the process that this one replaces in a hot restart, if there is one.
-        Without an admin endpoint there are no hot restarts."""
+        """Returns the listening socket of the process that this one replaces in a hot restart, or None if
+        there is no such process. Without an admin endpoint there are no hot restarts."""
         if self.config.ops is None or not self.folder:
             return None
         from .hot_restart.coordinator import RestartCoordinator
@@ -186,7 +191,7 @@
         if self.restart_coordinator is not None:
             self.restart_coordinator.take_over()
         if self.recovery is not None:
-            self.recovery.take_over()
+            self.recovery.restore()
             self.recovery.start()
 
     def _open_admin_endpoint(self, host: str, port: int) -> None:
@@ -197,7 +202,7 @@
         self.admin_endpoint.open(host, port)
 
     async def _start_purges(self, purges: PurgeSubscription) -> None:
-        """Starts the subscription, and waits until it has applied the purges that the servers know."""
+        """Starts the subscription, and waits until it has applied the purges that the purge servers know."""
         from .purges.order_sender import OrderSender
 
         timeout_ms = self.config.conn.dial_timeout_ms
@@ -236,8 +241,8 @@
 
     def reload(self, config: Config, operator: Operator | None = None) -> None:
         """Applies the settings that may change under load: discovery, classes, attempts and the operator's
-        file. All others are tied to sockets and limits in use: changes of them need a restart and are
-        logged."""
+        file. All other settings are tied to sockets and limits in use, so a change of them takes effect after
+        a restart only, and is logged."""
         if operator is not None:
             self.configure(operator)
         settings, after_restart = apply_live(self.config.settings, config.settings)
@@ -246,19 +251,19 @@
         has_moved = config.discovery != self.config.discovery
         self.config.discovery = config.discovery
         for event in config.known.notices:
-            self.director.apply_watch_event(event)  # which ignores events that were applied before
+            self.director.apply_watch_event(event)  # it ignores events that it has applied before
         if has_moved:
             self.follow_discovery()
         config.known, config.seed = self.config.known, self.config.seed  # used at the start only
         config.ops, config.settings = self.config.ops, self.config.settings
-        after_restart += _differences(config, self.config)
+        after_restart += _changed_keys(config, self.config)
         log.info("reloaded discovery=%s:%d moved=%d rev=%d", *config.discovery, has_moved, self.director.rev)
         if after_restart:
-            log.warning("reloaded: a change of %s takes a restart", ", ".join(after_restart))
+            log.warning("reloaded: a change of %s takes effect after a restart", ", ".join(after_restart))
 
     def _change_settings(self, settings: Settings) -> None:
-        """Applies new settings. Clients follow them a little later; until then requests that conform to
-        either file are accepted."""
+        """Applies new settings. Clients switch to them a little later; until then, requests that conform to
+        the old or to the new settings are accepted."""
         self.config.settings = settings
         self.director.retune(transition_settings(self.director.settings, settings))
 
@@ -296,6 +301,6 @@
     return len(operator.purges.servers) if operator is not None and operator.purges is not None else 0
 
 
-def _differences(one: Config, other: Config) -> list[str]:
+def _changed_keys(old: Config, new: Config) -> list[str]:
     """The names of the keys in which two configurations differ."""
-    return [name for name in one.__struct_fields__ if getattr(one, name) != getattr(other, name)]
+    return [name for name in old.__struct_fields__ if getattr(old, name) != getattr(new, name)]
--- a/gladelane/shutdown.py
+++ b/gladelane/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of a director: clients leave, pending requests are answered, and the others fail in time.
+"""Graceful shutdown of a director: lets clients leave, answers pending requests, and fails the rest in time.
 
 All constants follow from the protocol's rules for SIGTERM: clients may still connect for up to 0.6 s after
 it, and SIGKILL follows 0.7 s after the longest deadline, which is 3 s at most.
@@ -12,17 +12,17 @@
 from .net.client_listener import ClientListener
 from .net.director import Director
 
-LINGER_S = 0.8  # for which new clients are still accepted
-# Pending requests are awaited until LAST_S after the longest deadline, and for at most LAST_MOST_S after
-# SIGTERM. Together with flushing and closing this ends before the SIGKILL.
-LAST_S, LAST_MOST_S = 0.4, 3.4
-STEER_S = 0.02  # for connections that the system is about to put into this process's accept queue
-FLUSH_S = 0.1  # after which clients that do not read their answers are abandoned
-POLL_S = 0.02
+ACCEPT_PERIOD_S = 0.8  # after SIGTERM, during which new clients are still accepted
+# Pending requests are awaited until DEADLINE_MARGIN_S after the longest deadline, and for at most MAX_DRAIN_S
+# after SIGTERM. Flushing and closing after that still end before the SIGKILL.
+DEADLINE_MARGIN_S, MAX_DRAIN_S = 0.4, 3.4
+ACCEPT_QUEUE_DELAY_S = 0.02  # for connections that the system is about to put into the accept queue
+FLUSH_TIMEOUT_S = 0.1  # after which the answers to clients that do not read are dropped
+POLL_INTERVAL_S = 0.02
 
 
 async def drain(director: Director, front: ClientListener, has_peer: bool) -> None:
-    """Stops accepting clients and answers pending requests; those still pending at the end fail.
+    """Stops accepting clients and answers pending requests; requests that are still pending at the end fail.
 
     With `has_peer`, another process of this director accepts new clients, including those in the accept queue
     of the listening socket."""
@@ -32,33 +32,33 @@
     if has_peer:
         front.stop_listening(queued=False)
     else:
-        await _linger(front)
+        await _accept_last_clients(front)
     longest_ms = max(spec.deadline_ms for spec in director.settings.classes.values())
-    end_s = started_s + min(longest_ms / 1000.0 + LAST_S, LAST_MOST_S)
+    end_s = started_s + min(longest_ms / 1000.0 + DEADLINE_MARGIN_S, MAX_DRAIN_S)
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout_at(end_s):
-            while not _is_drained(director, front, has_peer):  # noqa: ASYNC110  many sources
-                await asyncio.sleep(POLL_S)
+            while not _is_drained(director, front, has_peer):  # noqa: ASYNC110  no single event reports it
+                await asyncio.sleep(POLL_INTERVAL_S)
     front.is_closing = True
     director.end_all()
     with contextlib.suppress(TimeoutError):
-        async with asyncio.timeout(FLUSH_S):
-            while not front.quiet():  # noqa: ASYNC110  the same
-                await asyncio.sleep(POLL_S)
+        async with asyncio.timeout(FLUSH_TIMEOUT_S):
+            while not front.quiet():  # noqa: ASYNC110  as above
+                await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def _linger(front: ClientListener) -> None:
-    """Accepts clients for LINGER_S longer, then those in the accept queue, and stops listening."""
-    await asyncio.sleep(LINGER_S)
-    with contextlib.suppress(OSError):  # an import in it needs a free descriptor
+async def _accept_last_clients(front: ClientListener) -> None:
+    """Accepts clients for ACCEPT_PERIOD_S longer, then those in the accept queue, and stops listening."""
+    await asyncio.sleep(ACCEPT_PERIOD_S)
+    with contextlib.suppress(OSError):  # it imports a module, which needs a free descriptor
         front.steer_away()
-    await asyncio.sleep(STEER_S)
+    await asyncio.sleep(ACCEPT_QUEUE_DELAY_S)
     front.stop_listening()
 
 
 def _is_drained(director: Director, front: ClientListener, has_peer: bool) -> bool:
-    """Whether nothing is pending or unsent. With a peer process the clients must also have left: there is
-    time for them to leave by themselves, or to be closed once they are idle."""
+    """Whether nothing is pending or unsent. With a peer process all clients must have left as well: there is
+    enough time for them to leave by themselves, or to be closed once they are idle."""
     if director.has_pending() or not front.quiet():
         return False
     return not (has_peer and front.connections)
--- a/gladelane/sse.py
+++ b/gladelane/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events without I/O (HTML standard, section 9.2): bytes in, the data of each event out."""
+"""Encodes and decodes server-sent events (HTML standard, section 9.2). Pure."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class EventStream:
-    """Decodes one stream from chunks of any size."""
+    """Decodes one stream of events from chunks of any size."""
 
     def __init__(self) -> None:
         self._buffer = b""
         self._data: list[str] = []
-        self._size = 0  # of the lines in _data
+        self._size_bytes = 0  # of the lines in `_data`
 
     def feed(self, chunk: bytes) -> Iterator[str]:
-        """The data of each event that the chunk completes. Raises OSError for an event that is too long."""
+        """Yields the data of each event that the chunk completes. Raises OSError if an event is too long."""
         self._buffer += chunk
         if len(self._buffer) > MAX_EVENT_BYTES:
             raise OSError("event too long")
@@ -24,15 +24,15 @@
         for raw in lines:
             line = raw.rstrip(b"\r").decode("utf-8", "replace")
             if not line and self._data:
-                data, self._data, self._size = "\n".join(self._data), [], 0
+                data, self._data, self._size_bytes = "\n".join(self._data), [], 0
                 yield data
             elif line.startswith("data:"):
-                self._size += len(raw)
-                if self._size > MAX_EVENT_BYTES:  # many short lines of one event
+                self._size_bytes += len(raw)
+                if self._size_bytes > MAX_EVENT_BYTES:  # an event of many short lines
                     raise OSError("event too long")
                 self._data.append(line[5:].removeprefix(" "))
 
 
 def encode_event(data: str) -> bytes:
-    """One event; its data must not contain a line break."""
+    """Encodes one event, whose data must not contain a line break."""
     return f"data: {data}\n\n".encode()
--- a/gladelane/timer_wheel.py
+++ b/gladelane/timer_wheel.py
@@ -10,7 +10,7 @@
 
 TICK_MS = 5.0
 SLOTS = 2048  # about 10 s: most timers fall due within one revolution
-LATE_MS = 100.0  # later ticks are logged, because something has blocked the event loop
+LATE_MS = 100.0  # a tick that is later is logged, because something has blocked the event loop
 WORST_LATE_DECAY = 0.998  # factor of the worst lateness at each tick: it halves in 2 s
 # Upper bound of the worst lateness. A loop that is later than this was stopped rather than busy, which does
 # not predict the lateness of the next timers. Without the bound, requests with 1.4 s left would be rejected
@@ -21,15 +21,15 @@
 class TimerHandle:
     """A scheduled callback. Cancelling it drops the callback at once, with all that it refers to."""
 
-    __slots__ = ("call", "tick")
+    __slots__ = ("callback", "tick")
 
-    def __init__(self, tick: int, call: Callable[[], None]) -> None:
+    def __init__(self, tick: int, callback: Callable[[], None]) -> None:
         self.tick = tick
-        self.call: Callable[[], None] | None = call
+        self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
         """Prevents the callback; has no effect once it has run."""
-        self.call = None
+        self.callback = None
 
 
 class TimerWheel:
@@ -43,54 +43,54 @@
         self._late_ms = self._worst_ms = 0.0
 
     def lag(self) -> float:
-        """How long data that is read now may have been waiting: the overdue time of the next tick, plus the
-        lateness of the last one."""
+        """How long data that is read now may have been waiting: the overdue time of the next tick plus the
+        lateness of the last tick."""
         return max(self._clock() - self._last_tick_ms - TICK_MS, 0.0) + self._late_ms
 
     def margin(self) -> float:
-        """How much earlier than a deadline to set its timer: a tick, the lag and the worst recent
+        """How much earlier than a deadline its timer must be set: one tick, the lag and the worst recent
         lateness."""
         return TICK_MS + self.lag() + self._worst_ms
 
-    def schedule(self, due_ms: float, call: Callable[[], None]) -> TimerHandle:
-        """Runs `call` at the first tick at or after `due_ms`, but never before the next tick."""
+    def schedule(self, due_ms: float, callback: Callable[[], None]) -> TimerHandle:
+        """Runs `callback` at the first tick at or after `due_ms`, but never before the next tick."""
         tick = max(-int(-due_ms // TICK_MS), self._tick + 1)
-        handle = TimerHandle(tick, call)
+        handle = TimerHandle(tick, callback)
         self._slots[tick % SLOTS].append(handle)
         return handle
 
     def advance(self) -> None:
-        """Runs all callbacks that are due. Each slot is visited once, however late the tick is."""
-        now = int(self._clock() // TICK_MS)
-        first = max(self._tick + 1, now - SLOTS + 1)
-        self._tick = max(now, self._tick)
-        for tick in range(first, now + 1):
-            place = tick % SLOTS
-            handles, self._slots[place] = self._slots[place], []
+        """Runs all callbacks that are due. Visits each slot at most once, however late the tick is."""
+        now_tick = int(self._clock() // TICK_MS)
+        first_tick = max(self._tick + 1, now_tick - SLOTS + 1)
+        self._tick = max(now_tick, self._tick)
+        for tick in range(first_tick, now_tick + 1):
+            slot = tick % SLOTS
+            handles, self._slots[slot] = self._slots[slot], []
             for handle in handles:
-                if handle.call is None:
+                if handle.callback is None:
                     continue
-                if handle.tick > now:
-                    self._slots[place].append(handle)
+                if handle.tick > now_tick:
+                    self._slots[slot].append(handle)
                     continue
                 try:
-                    handle.call()
+                    handle.callback()
                 except Exception:  # an error in one callback must not prevent the others
-                    log.exception("timer failed")
+                    log.exception("timer callback failed")
 
     async def run(self) -> None:
         """Advances the wheel at each tick until cancelled."""
         while True:
-            before = self._clock()
+            before_ms = self._clock()
             await asyncio.sleep(TICK_MS / 1000.0)
-            self.record_tick(before, self._clock())
+            self.record_tick(before_ms, self._clock())
             self.advance()
 
     def record_tick(self, before_ms: float, now_ms: float) -> None:
-        """Updates the lateness after a tick at `now_ms`, the wait for which began at `before_ms`."""
-        late = now_ms - before_ms - TICK_MS
+        """Updates the lateness after a tick at `now_ms`, the wait for which started at `before_ms`."""
+        late_ms = now_ms - before_ms - TICK_MS
         self._last_tick_ms = now_ms
-        self._late_ms = max(late, 0.0)
-        self._worst_ms = max(min(late, WORST_LATE_LIMIT_MS), self._worst_ms * WORST_LATE_DECAY)
-        if late > LATE_MS:
-            log.warning("loop late ms=%.0f", late)
+        self._late_ms = max(late_ms, 0.0)
+        self._worst_ms = max(min(late_ms, WORST_LATE_LIMIT_MS), self._worst_ms * WORST_LATE_DECAY)
+        if late_ms > LATE_MS:
+            log.warning("event loop late ms=%.0f", late_ms)
--- a/tests/fleet/test_owners.py
+++ b/tests/fleet/test_owners.py
@@ -133,7 +133,7 @@
     mean, missing = scene(tmp_path, act)
     assert missing == 0 and mean < 2.5, mean
     assert len(gaps) >= 2 and max(gaps) < 1.5 + 1.0 + 0.5, gaps
-    # 2.0 s from SIGTERM, less the 0.8 s for which a process that ends still takes clients (LINGER_S)
+    # 2.0 s from SIGTERM, less the 0.8 s for which a process that ends still takes clients (ACCEPT_PERIOD_S)
     assert left and max(left) < 2.0 - 0.8, left
 
 
--- a/tests/hot_restart/test_handover.py
+++ b/tests/hot_restart/test_handover.py
@@ -168,18 +168,18 @@
 def test_a_time_keeps_its_date_between_clock_steps_and_older_readers_get_wall_clock_dates() -> None:
     wall, uptime = [NOW], [500.0]
     writer = Clock(lambda: wall[0], lambda: uptime[0], BOOT)
-    now_ms, shared = writer.now(), writer.shared()
+    now_ms, shared = writer.now(), writer.shared_clock()
     wall[0] += 5.0005  # the wall clock is slewed by half a ms
     uptime[0] += 5.0
-    assert writer.shared() == shared
+    assert writer.shared_clock() == shared
     wall[0] += 3600.0
-    stepped = writer.shared()
-    assert float(writer.dated(now_ms, stepped)) == pytest.approx(NOW * 1000.0 + HOUR_MS, abs=1.0)
+    stepped = writer.shared_clock()
+    assert float(writer.date(now_ms, stepped)) == pytest.approx(NOW * 1000.0 + HOUR_MS, abs=1.0)
     reader = Clock(lambda: wall[0], lambda: uptime[0], BOOT)
     for sent in (shared, stepped):
         shift_ms = reader.shift_from(sent)
         assert shift_ms is not None
-        local_ms = float(writer.dated(now_ms, sent)) + shift_ms
+        local_ms = float(writer.date(now_ms, sent)) + shift_ms
         assert reader.now() - local_ms == pytest.approx(5000.0, abs=0.01)
 
 
--- a/tests/net/test_client_crossings.py
+++ b/tests/net/test_client_crossings.py
@@ -96,7 +96,7 @@
     async def scene() -> None:
         cache = Cache(hit)
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(shutdown, "LINGER_S", 0.0)
+            patch.setattr(shutdown, "ACCEPT_PERIOD_S", 0.0)
             async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
                 raw, whole = Raw(node), request(1)
                 conn = await connected(node, raw)
--- a/tests/net/test_control_server_clock_steps.py
+++ b/tests/net/test_control_server_clock_steps.py
@@ -18,7 +18,7 @@
 from harness import config, trial, until
 from test_clock_steps import HOUR_MS, OLD_MS, READS, SERVED, Asker, LyingShelf
 
-from gladelane.clock import FRESH_COPIES, Clock
+from gladelane.clock import REQUIRED_FRESH_COPIES, Clock
 from gladelane.control_plane.http import HttpStatusError, fetch
 from gladelane.endpoints.address import Family
 from gladelane.lab.client import Answer, Client
@@ -331,7 +331,7 @@
             async with made.asking() as askers:
                 for asker in askers:
                     made.cache.copies.clear()
-                    for number in range(2 * FRESH_COPIES):
+                    for number in range(2 * REQUIRED_FRESH_COPIES):
                         await asker.served(o=f"{100 + number:016x}", chunk="3")
             made.cache.copies[thing, 3] = now_ms() - OLD_MS
             asked_ms = now_ms()
--- a/tests/net/test_deadlines.py
+++ b/tests/net/test_deadlines.py
@@ -23,7 +23,7 @@
 import gladelane.net.outgoing as outgoing_module
 from gladelane.net.client_protocol import Type, encode_fields, encode_frame
 from gladelane.net.exchange import AnswerCode, Attempt
-from gladelane.sockets import last_data_ms, unsent_bytes
+from gladelane.sockets import ms_since_last_data, unsent_bytes
 
 REFUSED_ADDRESS = "127.0.0.1:1"
 WAIT_MS, HELD_UP_MS, SLACK_MS = 1500, 400, 150
@@ -232,6 +232,6 @@
         conn.writer.transport.pause_reading()  # type: ignore[attr-defined]
         raw.send(GONE)
         await asyncio.sleep(0.1)
-        assert 90.0 <= last_data_ms(conn.sock) <= 5000.0
+        assert 90.0 <= ms_since_last_data(conn.sock) <= 5000.0
         raw.sock.close()
-        assert last_data_ms(raw.sock) == 0.0
+        assert ms_since_last_data(raw.sock) == 0.0
--- a/tests/net/test_system_calls.py
+++ b/tests/net/test_system_calls.py
@@ -123,16 +123,16 @@
 
     monkeypatch.setattr(socket, "create_server", fails_first)
     monkeypatch.setattr(sockets, "OPEN_INTERVAL_S", 0.001)
-    with sockets.open_listening("127.0.0.1", 0, 8) as sock:
+    with sockets.open_listening_socket("127.0.0.1", 0, 8) as sock:
         assert sock.getsockname()[1] and not left
     left.extend([errno.ENFILE] * 100)
     with pytest.raises(OSError, match="for a moment"):
-        sockets.open_listening("127.0.0.1", 0, 8)
+        sockets.open_listening_socket("127.0.0.1", 0, 8)
 
 
 def test_an_address_that_is_taken_stops_the_start_at_once() -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken, pytest.raises(OSError) as raised:
-        sockets.open_listening("127.0.0.1", taken.getsockname()[1], 8)
+        sockets.open_listening_socket("127.0.0.1", taken.getsockname()[1], 8)
     assert raised.value.errno == errno.EADDRINUSE
 
 
--- a/tests/net/test_unanswered.py
+++ b/tests/net/test_unanswered.py
@@ -176,8 +176,8 @@
 async def test_a_newcomer_that_is_let_in_by_the_last_accept_is_answered() -> None:
     cache = Cache(hit)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(shutdown, "LINGER_S", 0.0)
-        patch.setattr(shutdown, "STEER_S", 0.0)
+        patch.setattr(shutdown, "ACCEPT_PERIOD_S", 0.0)
+        patch.setattr(shutdown, "ACCEPT_QUEUE_DELAY_S", 0.0)
         async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
             node.front.cap = 1  # it waits in the system's queue
             raw = Raw(node)
--- a/tests/purges/test_clocks.py
+++ b/tests/purges/test_clocks.py
@@ -17,9 +17,9 @@
 from test_purge_log import RecordingSubscriber, ServedLog, running_server, send, tokens, unix_ms
 
 from gladelane.clock import (
-    DATES_ROUNDED_MS,
-    FRESH_COPIES,
-    FRESH_COPY_COUNTS_MS,
+    DATE_ROUNDING_MS,
+    MAX_FRESH_COPY_AGE_MS,
+    REQUIRED_FRESH_COPIES,
     FreshCopies,
     UnixMs,
 )
@@ -87,12 +87,12 @@
 def fresh_copies(director_offset_ms: float, true_ms: float) -> FreshCopies:
     """Copies that the origin made for a director, with network delays of 1 to `MAX_ONE_WAY_MS` each way."""
     copies, rng = FreshCopies(), random.Random(3)
-    for number in range(2 * FRESH_COPIES):
+    for number in range(2 * REQUIRED_FRESH_COPIES):
         made_ms = true_ms - 1_000.0 + number
         requested_ms, received_ms = (
             made_ms + sign * rng.uniform(1.0, MAX_ONE_WAY_MS) + director_offset_ms for sign in (-1.0, 1.0)
         )
-        copies.hear(UnixMs(float(int(made_ms))), requested_ms, received_ms)
+        copies.record_copy(UnixMs(float(int(made_ms))), requested_ms, received_ms)
     return copies
 
 
@@ -206,9 +206,11 @@
 
 
 @given(
-    st.lists(st.tuples(st.floats(0.0, 400.0), st.floats(0.0, 400.0)), min_size=FRESH_COPIES, max_size=20),
+    st.lists(
+        st.tuples(st.floats(0.0, 400.0), st.floats(0.0, 400.0)), min_size=REQUIRED_FRESH_COPIES, max_size=20
+    ),
     st.floats(-2 * HOUR_MS, 2 * HOUR_MS),
-    st.integers(0, FRESH_COPIES - 1),
+    st.integers(0, REQUIRED_FRESH_COPIES - 1),
     st.floats(0.0, 1e13),
 )
 def test_the_clock_offset_is_never_overestimated_although_one_date_is_corrupt(
@@ -224,7 +226,7 @@
         requested_ms, now_ms = now_ms, now_ms + outward_ms + return_ms
         dated_ms = float(int(requested_ms + outward_ms + origin_offset_ms))
         is_corrupt = number == len(one_way_times_ms) - 1 - corrupt_index
-        copies.hear(UnixMs(corrupt_date_ms if is_corrupt else dated_ms), requested_ms, now_ms)
+        copies.record_copy(UnixMs(corrupt_date_ms if is_corrupt else dated_ms), requested_ms, now_ms)
     shift_ms = copies.shift_ms(now_ms)
     if shift_ms < 0.0:
         assert shift_ms >= origin_offset_ms - 1e-3
@@ -234,12 +236,12 @@
 
 def test_the_clock_offset_is_zero_without_enough_recent_fresh_copies() -> None:
     copies = FreshCopies()
-    for number in range(FRESH_COPIES):
+    for number in range(REQUIRED_FRESH_COPIES):
         assert copies.shift_ms(TRUE_MS) == 0.0
-        copies.hear(UnixMs(TRUE_MS - HOUR_MS), TRUE_MS - 10.0, TRUE_MS + number)
-    assert copies.shift_ms(TRUE_MS) == DATES_ROUNDED_MS + 10.0 - HOUR_MS
-    assert copies.shift_ms(TRUE_MS + FRESH_COPY_COUNTS_MS) != 0.0
-    assert copies.shift_ms(TRUE_MS + FRESH_COPY_COUNTS_MS + 1.0) == 0.0
+        copies.record_copy(UnixMs(TRUE_MS - HOUR_MS), TRUE_MS - 10.0, TRUE_MS + number)
+    assert copies.shift_ms(TRUE_MS) == DATE_ROUNDING_MS + 10.0 - HOUR_MS
+    assert copies.shift_ms(TRUE_MS + MAX_FRESH_COPY_AGE_MS) != 0.0
+    assert copies.shift_ms(TRUE_MS + MAX_FRESH_COPY_AGE_MS + 1.0) == 0.0
 
 
 @pytest.mark.parametrize("server_offset_ms", STEPS)
--- a/tests/recovery/test_folder_faults.py
+++ b/tests/recovery/test_folder_faults.py
@@ -324,7 +324,7 @@
     with monkeypatch.context() as patched:
         patched.setattr(Folder, "read", failing)
         recovery = Recovery(options, "n0", director, None, machine.wall_clock, lambda: True)
-    recovery.take_over()
+    recovery.restore()
     assert recovery.state_store is None and director.keys.is_full("new", machine.wall_ms)
     director.keys.may_have_run("handed over", machine.wall_ms, "root")
     recovery._open_late()
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gladelane.clock import SET_BACK_MS, Clock, PlatformDates, UnixMs
+from gladelane.clock import MIN_SET_BACK_MS, Clock, PlatformDates, UnixMs
 from gladelane.timer_wheel import TICK_MS, WORST_LATE_LIMIT_MS, TimerWheel
 
 ROOT = Path(__file__).parents[1]
@@ -160,17 +160,17 @@
 
 
 def hear(dates: PlatformDates, what: str, dated: float, now_ms: float) -> None:
-    {"start": dates.hear_start, "purge": dates.hear_purge, "copy": dates.hear_copy}[what](
-        UnixMs(dated), now_ms
-    )
+    {"start": dates.record_start_date, "purge": dates.record_purge_date, "copy": dates.record_copy_date}[
+        what
+    ](UnixMs(dated), now_ms)
 
 
 @pytest.mark.parametrize("ahead_ms", [50.0, 4_000.0, 3_600_000.0])
 def test_a_server_whose_clock_is_ahead_makes_no_purge_older(ahead_ms: float) -> None:
     """Its start is dated by its own clock; every purge counted as an hour old, and was ignored."""
     dates, now_ms = PlatformDates(), 10_000.0
-    dates.hear_start(UnixMs(now_ms + ahead_ms), now_ms)
-    dates.hear_purge(UnixMs(now_ms - 20.0), now_ms)
+    dates.record_start_date(UnixMs(now_ms + ahead_ms), now_ms)
+    dates.record_purge_date(UnixMs(now_ms - 20.0), now_ms)
     assert dates.age_ms(UnixMs(now_ms - 20.0), now_ms) == 0.0
     assert dates.age_ms(UnixMs(now_ms - 20.0), now_ms + 500.0) == 500.0
     assert dates.latest(now_ms) == now_ms + ahead_ms, "a start that is relayed now is no older than any other"
@@ -210,7 +210,7 @@
 def test_purges_dated_against_their_order_show_that_discovery_s_clock_was_set_back() -> None:
     dates = PlatformDates()
     hear(dates, "purge", HOUR_MS, 1000.0)
-    hear(dates, "purge", HOUR_MS - SET_BACK_MS, 2000.0)  # late, or a little out of order
+    hear(dates, "purge", HOUR_MS - MIN_SET_BACK_MS, 2000.0)  # late, or a little out of order
     assert dates.offset_ms == HOUR_MS - 1000.0
     hear(dates, "purge", 2900.0, 3000.0)
     assert dates.offset_ms == -100.0
--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -24,7 +24,7 @@
 from gladelane.discovery import client as board_module
 from gladelane.discovery.client import DiscoveryClient
 from gladelane.discovery.events import WatchEvent, watch_event_decoder
-from gladelane.logs import MAX_LINES_PER_S, Flood
+from gladelane.logs import MAX_LINES_PER_S, MessageRateLimit
 from gladelane.net import client_connection as client_module
 from gladelane.net import connection_pool as upstream_module
 from gladelane.net import response_monitor
@@ -533,7 +533,7 @@
 
 
 def test_a_flood_of_lines_of_one_wording_is_bounded_and_counted() -> None:
-    flood = Flood()
+    flood = MessageRateLimit()
 
     def line(second: float, wording: str, *args: object) -> str:
         record = logging.LogRecord("x", logging.INFO, "", 0, wording, args, None)
@@ -726,8 +726,8 @@
 async def test_a_restart_waits_for_what_is_owed_no_longer_than_it_may_and_answers_the_rest() -> None:
     cache = Cache(mute)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(shutdown, "LINGER_S", 0.05)
-        patch.setattr(shutdown, "LAST_MOST_S", 0.3)
+        patch.setattr(shutdown, "ACCEPT_PERIOD_S", 0.05)
+        patch.setattr(shutdown, "MAX_DRAIN_S", 0.3)
         async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
             client.ask(1, d="4000")
             await until(lambda: cache.seen)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -137,7 +137,7 @@
 ) -> None:
     root, handlers_before = logging.getLogger(), logging.getLogger().handlers[:]
     try:
-        logs.set_up(log_format, "info")
+        logs.set_up_logging(log_format, "info")
         log = logging.getLogger("gladelane.x")
         log.debug("unseen")
         for _ in range(9):
