--- a/gladelane/cli/__init__.py
+++ b/gladelane/cli/__init__.py
@@ -1,10 +1,11 @@
-"""The commands that operators type: `gladelane serve`, `check`, `addresses`, `purge` and `fleet`.
+"""The command line for operators: `gladelane serve`, `check`, `addresses`, `purge` and `fleet`.
 
-One module a command group: it parses the options, calls the parts that decide, and prints. `purge_server`
-composes a control server from its parts; `control_server_client` calls one. `build` gives the command line
-as a Typer application, `main` runs it, `out` prints, `fail` ends a command with one line on standard error.
+There is one module per command group. It parses the options, calls other packages for the work, and prints
+the results. `purge_server` composes a control server from its parts, and `control_server_client` sends
+requests to one. `build` returns the command line as a Typer application, `main` runs it, `out` prints, and
+`fail` ends a command with one line on standard error.
 
-Nothing else of gladelane imports this package: the platform starts `python -m gladelane`, which needs neither
+No other package of gladelane imports this one: the platform starts `python -m gladelane`, which needs neither
 Typer nor Rich.
 """
 
@@ -16,20 +17,20 @@
 import typer
 from rich.console import Console
 
-PIPE_WIDTH = 1_000  # columns: what goes into a pipe or a file is not cut to a screen's width
+PIPE_WIDTH_COLUMNS = 1_000  # large, so that output to a pipe or a file is not cut to a terminal's width
 out = Console(
-    soft_wrap=True, highlight=False, markup=False, width=None if sys.stdout.isatty() else PIPE_WIDTH
+    soft_wrap=True, highlight=False, markup=False, width=None if sys.stdout.isatty() else PIPE_WIDTH_COLUMNS
 )
 
 
 def fail(error: object) -> NoReturn:
-    """One line on standard error and a status that is not 0."""
+    """Prints one line on standard error and ends the command with status 1."""
     print(f"gladelane: {' '.join(str(error).split())}", file=sys.stderr)
     raise typer.Exit(1)
 
 
 def build() -> typer.Typer:
-    """The application with all its commands. Imports the modules of the commands, which are heavy."""
+    """Returns the application with all its commands. Imports their modules here because they are large."""
     from . import addresses, audit, director, fleet, purge
 
     app = typer.Typer(
@@ -37,7 +38,7 @@
         no_args_is_help=True,
         add_completion=False,
         pretty_exceptions_enable=False,
-        help="A director for a branch-wise cache fleet.",
+        help="A director (request router) for a hierarchical cache fleet.",
     )
     app.command("serve")(director.serve)
     app.command("check")(director.check)
@@ -50,5 +51,5 @@
 
 
 def main() -> None:
-    """Runs the command of `sys.argv`, and exits with its status."""
+    """Runs the command in `sys.argv` and exits with its status."""
     build()()
--- a/gladelane/cli/addresses.py
+++ b/gladelane/cli/addresses.py
@@ -1,4 +1,4 @@
-"""`gladelane addresses`: which addresses a server gets, by which rule, in which order and why."""
+"""`gladelane addresses`: shows which rule gives a server which addresses, and their dialling order."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from ..routing.events import State
 from . import fail, out
 
-app = typer.Typer(no_args_is_help=True, help="Servers with several addresses.")
+app = typer.Typer(no_args_is_help=True, help="Shows the addresses of servers that have several.")
 
 
 @app.callback()
-def group() -> None:
-    """Servers with several addresses."""
+def command_group() -> None:
+    """Shows the addresses of servers that have several."""
 
 
-def listings_of(config: Config) -> list[Listing]:
-    """The endpoint list that the platform's file knows, after all its events."""
+def listings_in(config: Config) -> list[Listing]:
+    """The endpoint list that results from all events in the platform's file."""
     listed: dict[str, Listing] = {}
     for event in config.known.notices:
         if event.pool is None:
@@ -52,51 +52,55 @@
     return list(listed.values())
 
 
-def registry_of(config: Config, rules: Rules) -> tuple[AddressRegistry, Change]:
-    """A registry with the servers that the platform's file knows, and what entering them changed."""
+def build_registry(config: Config, rules: Rules) -> tuple[AddressRegistry, Change]:
+    """Returns a registry with the servers in the platform's file, and the change that adding them made."""
     registry = AddressRegistry(rules)
-    return registry, registry.update(listings_of(config), complete=True)
+    return registry, registry.update(listings_in(config), complete=True)
 
 
 @app.command()
 def explain(
     file: Annotated[Path, typer.Argument(help="An operator's JSON5 file.")],
-    servers: Annotated[list[str], typer.Argument(help="Ids or globs; without --config, ID=HOST:PORT.")],
-    config: Annotated[Path | None, typer.Option(help="The platform's file, whose list is used.")] = None,
-    zone: Annotated[str, typer.Option(help="Of the servers given as ID=HOST:PORT.")] = "",
-    kind: Annotated[str, typer.Option(help="Likewise.")] = "",
-    cell: Annotated[int, typer.Option(help="Likewise.")] = 0,
+    servers: Annotated[
+        list[str], typer.Argument(help="Ids or globs of servers; without --config, ID=HOST:PORT.")
+    ],
+    config: Annotated[
+        Path | None, typer.Option(help="The platform's file, whose endpoint list is used.")
+    ] = None,
+    zone: Annotated[str, typer.Option(help="Zone of the servers given as ID=HOST:PORT.")] = "",
+    kind: Annotated[str, typer.Option(help="Kind of the servers given as ID=HOST:PORT.")] = "",
+    cell: Annotated[int, typer.Option(help="Cell of the servers given as ID=HOST:PORT.")] = 0,
 ) -> None:
-    """The way to each server's addresses, rule by rule, and the order in which they are dialled."""
+    """Shows how each server gets its addresses, rule by rule, and the order in which they are dialled."""
     from ..files import load_config, load_operator
 
     try:
         operator = load_operator(str(file))
         assert operator is not None
-        known = listings_of(load_config(str(config))) if config else []
+        listings = listings_in(load_config(str(config))) if config else []
     except (ConfigError, OSError) as error:
         fail(error)
     for text in servers:
         if "=" in text:
-            id_, _, host_port = text.partition("=")
-            known.append(Listing(id_, host_port, zone, kind, cell))
+            server_id, _, host_port = text.partition("=")
+            listings.append(Listing(server_id, host_port, zone, kind, cell))
     registry = AddressRegistry(operator.rules)
-    registry.update(known, complete=True)
+    registry.update(listings, complete=True)
     for text in servers:
-        glob = text.partition("=")[0]
-        found = [listing for listing in known if fnmatch.fnmatchcase(listing.server, glob)]
-        if not found:
+        pattern = text.partition("=")[0]
+        matches = [listing for listing in listings if fnmatch.fnmatchcase(listing.server, pattern)]
+        if not matches:
             fail(f"{text}: no such server; expected an id or glob of the list, or ID=HOST:PORT")
-        for listing in found:
-            _show(listing, registry, operator.options)
+        for listing in matches:
+            _print_addresses(listing, registry, operator.options)
 
 
-def _show(listing: Listing, registry: AddressRegistry, options: Options) -> None:
+def _print_addresses(listing: Listing, registry: AddressRegistry, options: Options) -> None:
     out.print(f"{listing.server} zone={listing.zone} kind={listing.kind} at {listing.host_port}")
     for step in registry.rules.explain(listing):
-        out.print(f"  {step.rule}: {' '.join(a.text for a in step.addresses) or 'none'}")
-        for line in step.errors:
-            out.print(f"    passed over: {line}")
+        out.print(f"  {step.rule}: {' '.join(address.text for address in step.addresses) or 'none'}")
+        for error in step.errors:
+            out.print(f"    passed over: {error}")
     for claim in registry.rules.claims(listing).claims:
         owner = registry.owner(claim.address)
         if owner != listing.server:
@@ -106,8 +110,8 @@
     order = sort_addresses(
         registry.addresses(listing.server), prefer, first_family_count=options.first_family_count
     )
-    for place, address in enumerate(order, 1):
-        at = preference(address, prefer)
-        preferred = str(at + 1) if at < len(prefer) else "-"
-        table.add_row(str(place), address.text, preferred, str(precedence(address)), str(scope(address)))
+    for position, address in enumerate(order, 1):
+        rank = preference(address, prefer)
+        preferred = str(rank + 1) if rank < len(prefer) else "-"
+        table.add_row(str(position), address.text, preferred, str(precedence(address)), str(scope(address)))
     out.print(table)
--- a/gladelane/cli/control_server_client.py
+++ b/gladelane/cli/control_server_client.py
@@ -1,6 +1,6 @@
-"""Requests to a control server, and the options that every command which makes one has.
+"""Requests to a control server, and the options of all commands that send one.
 
-What goes wrong ends the command with one line on standard error.
+An error ends the command with one line on standard error.
 """
 
 from __future__ import annotations
@@ -20,13 +20,19 @@
 from ..endpoints.address import Family, InvalidAddressError, parse
 from . import fail
 
-ServerAddress = Annotated[str, typer.Option("--feed", envvar="GL_FEED", help="A feed's IP:PORT.")]
-TokenFile = Annotated[Path, typer.Option("--tokens", envvar="GL_TOKENS", help="Lines of NAME TOKEN.")]
-CaFile = Annotated[Path | None, typer.Option("--tls-ca", help="Speak TLS; whom to trust.")]
+ServerAddress = Annotated[
+    str, typer.Option("--feed", envvar="GL_FEED", help="IP:PORT of a control server (feed).")
+]
+TokenFile = Annotated[
+    Path, typer.Option("--tokens", envvar="GL_TOKENS", help="A file with a line NAME TOKEN for each token.")
+]
+CaFile = Annotated[
+    Path | None, typer.Option("--tls-ca", help="Use TLS, and trust certificates of this authority (PEM).")
+]
 
 
 def socket_address(text: str) -> tuple[str, int]:
-    """Host and port of `IP:PORT`. Ends the command for any other text."""
+    """Splits `IP:PORT` into host and port. Ends the command for any other text."""
     try:
         address = parse(text)
     except InvalidAddressError as error:
@@ -37,7 +43,7 @@
 
 
 def parse_moment_ms(text: str) -> float:
-    """Unix ms of an ISO date with a time zone. Raises ValueError."""
+    """Converts an ISO date with a time zone to Unix ms. Raises ValueError."""
     moment = datetime.datetime.fromisoformat(text)
     if moment.tzinfo is None:
         raise ValueError("without a zone")
@@ -47,9 +53,11 @@
 def call(
     server: str, tokens: Path, ca: Path | None, method: str, target: str, body: bytes = b"", key: str = ""
 ) -> Any:
-    """The decoded JSON answer of the control server at `server` (IP:PORT). Ends the command on an error.
+    """Sends a request to the control server at `server` (IP:PORT) and returns its decoded JSON answer. Ends
+    the command on an error.
 
-    The first token of the file `tokens` is sent, over TLS if `ca` is given; `key` is the idempotency key.
+    The first token of the file `tokens` is sent along, over TLS if `ca` is given; `key` is the idempotency
+    key.
     """
     host, port = socket_address(server)
     try:
--- a/gladelane/cli/director.py
+++ b/gladelane/cli/director.py
@@ -1,4 +1,4 @@
-"""`gladelane serve` and `gladelane check`."""
+"""`gladelane serve`, which runs a director, and `gladelane check`, which validates its files."""
 
 from __future__ import annotations
 
@@ -28,9 +28,11 @@
 
 def check(
     file: Annotated[Path, typer.Argument(help="An operator's JSON5 file.")],
-    config: Annotated[Path | None, typer.Option(help="Also the platform's file, and both together.")] = None,
+    config: Annotated[
+        Path | None, typer.Option(help="The platform's file: checks it too, and both together.")
+    ] = None,
 ) -> None:
-    """Says whether a file can be used; else one line with file, key and what was expected."""
+    """Checks an operator's file. If it is invalid, prints the file, the key and what was expected."""
     from ..files import load_config, load_operator
     from ..net.config import ConfigError
 
@@ -40,16 +42,16 @@
         out.print(f"{file}: good, {len(operator.rules.rules)} address rules, logs {operator.logs.format}")
         if config is None:
             return
-        known = load_config(str(config))
+        platform_config = load_config(str(config))
     except (ConfigError, OSError) as error:
         fail(error)
-    from .addresses import registry_of
+    from .addresses import build_registry
 
-    registry, change = registry_of(known, operator.rules)
+    registry, change = build_registry(platform_config, operator.rules)
     out.print(f"{config}: good, {len(registry)} servers")
     for conflict in change.conflicts:
         out.print(f"{conflict.address.text}: {conflict.owner} owns it, {conflict.other} claims it too")
-    for server, line in change.errors:
-        out.print(f"{server}: {line}")
+    for server, message in change.errors:
+        out.print(f"{server}: {message}")
     if change.errors:
         raise typer.Exit(1)
--- a/gladelane/cli/purge_serve.py
+++ b/gladelane/cli/purge_serve.py
@@ -1,6 +1,7 @@
 """`gladelane purge serve`: runs a control server in the foreground.
 
-The options are named types, so that the command itself shows only their order and defaults.
+Each option has a named type with its help text, so that the signature of the command shows only names and
+defaults.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from .control_server_client import CaFile, TokenFile, socket_address
 from .purge_server import AuditOptions, LeaseServerOptions, PurgeServerOptions, TlsFiles, run_purge_server
 
-#: Errors that the operator can mend: the command ends with one line and no traceback.
+#: Errors that the operator can correct: the command ends with one line and without a traceback.
 START_ERRORS = (
     TokenFileError,
     InvalidScopeError,
@@ -34,34 +35,51 @@
 )
 MIN_VIEW_LEASE_MS, MIN_LAG_MS, MAX_LIMIT_MS = 1_000.0, 2_000.0, 600_000.0
 
-Directory = Annotated[Path, typer.Option(help="Where purges are stored; one feed a folder.")]
-ListenAddress = Annotated[str, typer.Option(help="IP:PORT.")]
-IssuerName = Annotated[str, typer.Option(help="The issuer's name; no two feeds have one.")]
-Peers = Annotated[list[str] | None, typer.Option(help="Another feed's IP:PORT.")]
-CatalogFile = Annotated[Path | None, typer.Option(help="JSON5: names of tags and their scopes.")]
-IsFirstStart = Annotated[bool, typer.Option(help="The folder is empty because this feed is new.")]
+Directory = Annotated[
+    Path, typer.Option(help="The folder in which purges are stored; each feed needs its own.")
+]
+ListenAddress = Annotated[str, typer.Option(help="IP:PORT to listen at.")]
+IssuerName = Annotated[str, typer.Option(help="The issuer's name, which must be unique among the feeds.")]
+Peers = Annotated[list[str] | None, typer.Option(help="IP:PORT of another feed; may be repeated.")]
+CatalogFile = Annotated[
+    Path | None, typer.Option(help="A JSON5 file with the scope of each tag by its name.")
+]
+IsFirstStart = Annotated[
+    bool, typer.Option(help="Confirms that the folder is empty because this feed is new.")
+]
 CheckpointPath = Annotated[
-    Path | None, typer.Option(help="A file on another disk than --dir; shows that the folder is older.")
+    Path | None,
+    typer.Option(help="A file on another disk than --dir, by which a restored older folder is detected."),
+]
+Copies = Annotated[
+    int, typer.Option(help="The number of feeds that must store a purge before it is confirmed.")
 ]
-Copies = Annotated[int, typer.Option(help="Feeds that store a purge before it is answered.")]
 AuditFolder = Annotated[
-    Path | None, typer.Option(help="Take directors' reports; where they are stored, a folder of its own.")
+    Path | None,
+    typer.Option(help="Accept directors' reports, and store them in this folder, which must be separate."),
 ]
 ViewLeaseMs = Annotated[
-    float, typer.Option("--tenure-ms", help="For which a director may act after an answer.")
+    float, typer.Option("--tenure-ms", help="How long a director may act after an answer, ms.")
 ]
 LagLimitMs = Annotated[
-    float, typer.Option(help="How long behind until shut out; the steps before it are parts of this.")
+    float,
+    typer.Option(help="The lag after which a director is excluded, ms; earlier steps take fractions of it."),
+]
+QuarantineShare = Annotated[
+    float, typer.Option(help="The share of the fleet that may be restricted at the same time.")
 ]
-QuarantineShare = Annotated[float, typer.Option(help="Of the fleet, that may be held back at once.")]
 LeaseFolder = Annotated[
     Path | None,
-    typer.Option("--keeper", help="Grant leases with the other feeds; where numbers are stored."),
+    typer.Option(
+        "--keeper", help="Grant leases together with the other feeds; numbers are stored in this folder."
+    ),
+]
+LongestLeaseMs = Annotated[
+    float, typer.Option(help="The longest lease, ms; none is granted for as long after a start.")
 ]
-LongestLeaseMs = Annotated[float, typer.Option(help="The longest lease; a start grants none for so long.")]
-RetentionS = Annotated[float, typer.Option(help="For which a purge stands.")]
-TlsCertificate = Annotated[Path | None, typer.Option(help="Serve TLS.")]
-TlsKey = Annotated[Path | None, typer.Option(help="Its key.")]
+RetentionS = Annotated[float, typer.Option(help="How long a purge is in force, s.")]
+TlsCertificate = Annotated[Path | None, typer.Option(help="Serve TLS with this certificate (PEM).")]
+TlsKey = Annotated[Path | None, typer.Option(help="The private key of --tls-cert (PEM).")]
 
 
 def serve(
@@ -85,7 +103,7 @@
     tls_key: TlsKey = None,
     tls_ca: CaFile = None,
 ) -> None:
-    """Runs a feed until SIGTERM. It says `feed ready` once purges are taken."""
+    """Runs a control server (feed) until SIGTERM. Logs `feed ready` once it accepts purges."""
     set_up_logging()
     logging.getLogger("asyncio").setLevel(logging.ERROR)
     listen_address = socket_address(listen)
@@ -106,7 +124,7 @@
 
 
 def _check_limits(view_lease_ms: float, lag_limit_ms: float, share: float) -> None:
-    """Ends the command where one is outside its range."""
+    """Ends the command if a limit is outside its range."""
     lease_fits = MIN_VIEW_LEASE_MS <= view_lease_ms <= MAX_LIMIT_MS
     lag_fits = MIN_LAG_MS <= lag_limit_ms <= MAX_LIMIT_MS
     if not (lease_fits and lag_fits and 0.0 < share <= 1.0):
@@ -114,13 +132,13 @@
 
 
 def _check_copies(copies: int, peer_count: int) -> None:
-    """Ends the command where more servers have to store a purge than there are."""
+    """Ends the command if more servers have to store a purge than there are."""
     if not 1 <= copies <= peer_count + 1:
         fail(f"--copies {copies}; expected 1 to {peer_count + 1}, this feed and its peers")
 
 
 def _read_catalog(path: Path | None) -> dict[str, str]:
-    """Scopes by the name of their tag. Raises OSError, InvalidScopeError."""
+    """Reads the catalog: scopes by the name of their tag. Raises OSError, InvalidScopeError."""
     if path is None:
         return {}
     import pyjson5
--- a/gladelane/cli/purge_server.py
+++ b/gladelane/cli/purge_server.py
@@ -1,4 +1,4 @@
-"""The control server of `gladelane purge serve`: purges, and on request audit and leases."""
+"""Runs the control server of `gladelane purge serve`: purges, and optionally audit and leases."""
 
 from __future__ import annotations
 
@@ -26,14 +26,15 @@
 
 @dataclass(frozen=True)
 class TlsFiles:
-    """Paths of PEM files. `certificate` and `key` are the server's own, `ca` signs those of its peers."""
+    """Paths of PEM files. `certificate` and `key` are the server's own; `ca` signed those of its peers."""
 
     certificate: Path | None = None
     key: Path | None = None
     ca: Path | None = None
 
     def server_context(self) -> ssl.SSLContext | None:
-        """None without a certificate: the server then speaks plain HTTP. Raises OSError, ssl.SSLError."""
+        """The context for serving TLS; None, for plain HTTP, without a certificate. Raises OSError,
+        ssl.SSLError."""
         if self.certificate is None:
             return None
         context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
@@ -41,13 +42,13 @@
         return context
 
     def client_context(self) -> ssl.SSLContext | None:
-        """None without a certificate authority: peers are then asked over plain HTTP."""
+        """The context for requests to peers; None, for plain HTTP, without a certificate authority."""
         return None if self.ca is None else ssl.create_default_context(cafile=str(self.ca))
 
 
 @dataclass(frozen=True)
 class AuditOptions:
-    """Where directors' reports are stored, and when a director that lags is stopped; times in ms."""
+    """The folder for directors' reports, and the limits by which a lagging director is stopped."""
 
     folder: Path
     view_lease_ms: float
@@ -57,15 +58,15 @@
 
 @dataclass(frozen=True)
 class LeaseServerOptions:
-    """Where granted leases are stored, and the longest that is granted, ms."""
+    """The folder for granted leases, and the longest duration that is granted."""
 
     folder: Path
-    longest_ms: float
+    max_lease_ms: float
 
 
 @dataclass(frozen=True)
 class PurgeServerOptions:
-    """All that the command line says of one control server."""
+    """All options of the command line for one control server."""
 
     name: str
     folder: Path
@@ -83,11 +84,11 @@
 
 
 async def run_purge_server(options: PurgeServerOptions) -> None:
-    """Serves until SIGTERM or SIGINT. Raises what opening the folders and the port raises."""
+    """Serves until SIGTERM or SIGINT. Raises the errors of opening the folders and the port."""
     purge_log = open_purge_log(options)
     parts: list[ControlPart] = [PurgePart(purge_log)]
     if options.audit is not None:
-        parts.append(add_audit(options, options.audit, purge_log))
+        parts.append(open_audit(options, options.audit, purge_log))
     if options.leases is not None:
         parts.append(open_leases(options, options.leases, purge_log))
     stop = asyncio.Event()
@@ -103,7 +104,7 @@
 
 
 def open_purge_log(options: PurgeServerOptions) -> PurgeLog:
-    """Reads the folder. Raises its errors."""
+    """Opens the purge log and reads its folder. Raises OSError, and the errors of invalid contents."""
     clock = Clock()
     return PurgeLog(
         options.name,
@@ -119,8 +120,8 @@
     )
 
 
-def add_audit(options: PurgeServerOptions, audit: AuditOptions, purge_log: PurgeLog) -> ControlPart:
-    """Takes directors' reports beside the purges, and is notified of each purge."""
+def open_audit(options: PurgeServerOptions, audit: AuditOptions, purge_log: PurgeLog) -> ControlPart:
+    """Opens the audit part, which accepts directors' reports and is notified of each purge."""
     from ..audit.escalation import scaled_policy
     from ..audit.server import AuditServer
 
@@ -139,7 +140,7 @@
 
 
 def open_leases(options: PurgeServerOptions, leases: LeaseServerOptions, purge_log: PurgeLog) -> ControlPart:
-    """Grants leases together with the peers."""
+    """Opens the lease part, which grants leases together with the peers."""
     from ..audit.steady import steady_ms
     from ..leases.server import LeaseServer
 
@@ -148,7 +149,7 @@
         Folder(leases.folder),
         purge_log.tokens.first_token,
         steady_ms,
-        leases.longest_ms,
+        leases.max_lease_ms,
         list(options.peers),
         options.tls.client_context(),
         options.is_first,
@@ -157,7 +158,7 @@
 
 
 def log_ready(purge_log: PurgeLog, host: str, port: int) -> None:
-    """The line that tells scripts and tests that the server takes purges."""
+    """Logs the line by which scripts and tests learn that the server accepts purges."""
     log.info(
         "feed ready name=%s listen=%s:%d epoch=%d recovered=%s",
         purge_log.name,
