--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,7 +1,7 @@
-"""Tests that may fail, by KNOWN-RED.txt at the root: `TEST | CAUSE | ISSUE` a line, three at the most.
+"""Runs the test suite without the known failures that KNOWN-RED.txt in the root folder lists.
 
-Prints each of them, then runs the tests without them. Fails on more than three lines, on one that
-lacks a cause or an issue, and on one that names no test.
+Each line of the file has the form `TEST | CAUSE | ISSUE`, and is printed. It is an error if there are more
+than three lines, if a line lacks a cause or an issue, or if it names no existing test.
 """
 
 from __future__ import annotations
@@ -10,17 +10,18 @@
 import sys
 from pathlib import Path
 
-MOST = 3
+MAX_KNOWN_FAILURES = 3
 PYTEST = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
-#: Tests that judge nothing by real time: four at a time. All others run one after another.
-PARALLEL = ["golden", "lab", "leases", "routing", "storage", "structures"]
+#: Folders of tests whose results do not depend on real time; these run four at a time. All other tests run
+#: one after another.
+PARALLEL_FOLDERS = ["golden", "lab", "leases", "routing", "storage", "structures"]
 
 
-def read(path: Path) -> list[str]:
-    """The tests' ids. Raises ValueError."""
+def read_known_failures(path: Path) -> list[str]:
+    """Returns the ids of the listed tests; none if there is no file. Raises ValueError if it is invalid."""
     lines = [line for line in path.read_text().splitlines() if line.strip()] if path.exists() else []
-    if len(lines) > MOST:
-        raise ValueError(f"{path.name}: {len(lines)} tests, {MOST} at most")
+    if len(lines) > MAX_KNOWN_FAILURES:
+        raise ValueError(f"{path.name}: {len(lines)} tests, {MAX_KNOWN_FAILURES} at most")
     tests = []
     for line in lines:
         parts = [part.strip() for part in line.split("|")]
@@ -33,17 +34,17 @@
 
 def main() -> int:
     try:
-        tests = read(Path("KNOWN-RED.txt"))
+        tests = read_known_failures(Path("KNOWN-RED.txt"))
     except ValueError as error:
         print(error, file=sys.stderr)
         return 1
     for test in tests:
-        found = subprocess.run([*PYTEST, "--collect-only", test], capture_output=True, text=True)
-        if found.returncode:
+        collected = subprocess.run([*PYTEST, "--collect-only", test], capture_output=True, text=True)
+        if collected.returncode:
             print(f"KNOWN-RED.txt: no such test: {test}", file=sys.stderr)
             return 1
     deselected = [f"--deselect={test}" for test in tests]
-    folders = [f"tests/{name}" for name in PARALLEL]
+    folders = [f"tests/{name}" for name in PARALLEL_FOLDERS]
     parallel = subprocess.run([*PYTEST, "-n", "4", "--dist", "worksteal", *deselected, *folders]).returncode
     serial = subprocess.run([*PYTEST, *deselected, *(f"--ignore={folder}" for folder in folders)]).returncode
     return parallel or serial
--- a/example/ask.py
+++ b/example/ask.py
@@ -1,6 +1,6 @@
-"""Asks the director of example/config.json for one part of one object, and prints the answer.
+"""Sends one request to the director of example/config.json and prints the answer.
 
-python example/ask.py [CLASS] [OBJECT] [PART]
+Usage: python example/ask.py [CLASS] [OBJECT] [PART]
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 from gladelane.net.client_protocol import FrameDecoder, Type, decode_fields, encode_fields, encode_frame
 
-CODES = {0: "served", 1: "refused", 2: "failed"}
+STATUS_NAMES = {0: "served", 1: "refused", 2: "failed"}
 
 
-async def main(cls: str = "question-item", thing: str = "7f3a9c21e0b4d655", part: str = "0") -> None:
+async def main(cls: str = "question-item", object_id: str = "7f3a9c21e0b4d655", part: str = "0") -> None:
     reader, writer = await asyncio.open_connection("127.0.0.1", 4100)
-    fields = {"c": cls, "i": secrets.token_hex(8), "d": "1500", "o": thing, "chunk": part, "tag": "17"}
+    fields = {"c": cls, "i": secrets.token_hex(8), "d": "1500", "o": object_id, "chunk": part, "tag": "17"}
     fields["m"] = "40"
     if cls == "answer-submit":
         fields["k"] = secrets.token_hex(16)
@@ -24,8 +24,8 @@
     decoder = FrameDecoder()
     while data := await reader.read(65_536):
         for frame in decoder.feed(data):
-            told, body = decode_fields(frame.payload[1:])
-            print(CODES[frame.payload[0]], told, body.decode())
+            answer_fields, body = decode_fields(frame.payload[1:])
+            print(STATUS_NAMES[frame.payload[0]], answer_fields, body.decode())
             writer.close()
             return
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that may fail stays short, and names tests, causes and issues."""
+"""Tests of .ci/known_red.py, which reads the list of tests that are known to fail."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 @pytest.mark.parametrize(
     "text", [LINE * 4, "tests/test_x.py::test_a | a cause\n", "tests/test_x.py::test_a |  | 9\n"]
 )
-def test_a_list_that_is_too_long_or_says_too_little_is_refused(tmp_path: Path, text: str) -> None:
+def test_list_with_too_many_or_incomplete_lines_is_rejected(tmp_path: Path, text: str) -> None:
     (tmp_path / "list").write_text(text)
     with pytest.raises(ValueError, match="list: "):
-        known_red.read(tmp_path / "list")
+        known_red.read_known_failures(tmp_path / "list")
 
 
-def test_what_is_known_is_printed_and_no_list_is_an_empty_one(
+def test_known_failures_are_printed_and_a_missing_file_means_none(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (tmp_path / "list").write_text(LINE * 2)
-    assert known_red.read(tmp_path / "list") == ["tests/test_x.py::test_a"] * 2
+    assert known_red.read_known_failures(tmp_path / "list") == ["tests/test_x.py::test_a"] * 2
     assert capsys.readouterr().out.count("known to fail: tests/test_x.py::test_a | a cause | 9") == 2
-    assert known_red.read(tmp_path / "none") == []
+    assert known_red.read_known_failures(tmp_path / "none") == []
