--- a/tests/admin/test_endpoint.py
+++ b/tests/admin/test_endpoint.py
@@ -10,7 +10,7 @@
 from contextlib import contextmanager, suppress
 
 import pytest
-from harness import trial
+from harness import async_test
 
 import gladelane.admin.endpoint as endpoint_module
 from gladelane.admin.endpoint import MAX_CONNECTIONS, AdminEndpoint
@@ -67,7 +67,7 @@
     return int((await asyncio.to_thread(ask, port, text, wait)).split()[1])
 
 
-@trial
+@async_test
 async def test_one_call_a_connection_is_applied_and_answered() -> None:
     handler = RecordingHandler()
     with opened(handler) as (_, port):
@@ -90,7 +90,7 @@
         assert await status(port, http("GET", "/healthcheck")) == 200  # and it goes on
 
 
-@trial
+@async_test
 async def test_a_yes_waits_until_the_call_is_stored_but_no_longer_than_it_is_owed() -> None:
     handler = RecordingHandler()
     with opened(handler) as (_, port):
@@ -101,7 +101,7 @@
         assert await asked == 202, "in force, and answered in time"
 
 
-@trial
+@async_test
 async def test_while_the_serving_loop_stands_still_a_call_is_bound_and_answered() -> None:
     handler = RecordingHandler()
     with opened(handler) as (_, port):
@@ -117,7 +117,7 @@
         assert handler.applied == [AdminRequest(AdminAction.MAINT, "a")]  # carried out once the loop goes on
 
 
-@trial
+@async_test
 async def test_callers_without_a_whole_call_give_way_oldest_first() -> None:
     with opened(RecordingHandler()) as (endpoint, port):
         held = [socket.create_connection(("127.0.0.1", port)) for _ in range(MAX_CONNECTIONS * 2)]
@@ -132,7 +132,7 @@
             caller.close()
 
 
-@trial
+@async_test
 async def test_callers_who_come_again_at_once_end_no_call_that_lies_unread() -> None:
     # each newcomer ended one held caller at once: of 97 calls beside ten of them 57 were cut off unanswered
     with pytest.MonkeyPatch.context() as patch, opened(RecordingHandler(), max_connections=2) as (_, port):
--- a/tests/admin/test_keys.py
+++ b/tests/admin/test_keys.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 
 import pytest
-from conftest import Driver, some
-from harness import Cache, config, hit, mute, running, trial
+from conftest import Driver, actions_of
+from harness import ScriptedCache, async_test, config, hit, never_respond, running_director
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -72,16 +72,16 @@
 def test_a_repeat_after_the_window_of_the_first_try_is_not_sent() -> None:
     driver = Driver()  # sale: keyed, 6 s
     early = driver.ask("sale", ran_ms=driver.now - 3000.0, ran_at="root")
-    assert some(early, Fetch) and not some(early, Refuse)
+    assert actions_of(early, Fetch) and not actions_of(early, Refuse)
     late = driver.ask("sale", ran_ms=driver.now - 6000.0, ran_at="root")
-    assert not some(late, Fetch) and some(late, Refuse) and not some(late, Fail)
+    assert not actions_of(late, Fetch) and actions_of(late, Refuse) and not actions_of(late, Fail)
 
 
-@trial
+@async_test
 async def test_the_window_of_a_key_is_one_for_all_its_tries_and_ends_with_proof() -> None:
     scripts = {"0000000000000001": lambda _: ("overload -", b""), "0000000000000004": hit}
-    origin = Cache(lambda command: scripts.get(command[0], mute)(command))
-    async with running(config({"c0": REFUSED, "r0": await origin.start()})) as (node, client):
+    origin = ScriptedCache(lambda command: scripts.get(command[0], never_respond)(command))
+    async with running_director(config({"c0": REFUSED, "r0": await origin.start()})) as (node, client):
         client.ask(1, c="sheet", k="aa", d="200")
         assert (await client.next())[2] == 1 and node.director.keys.first_attempt("aa", node.clock.now()) == (
             0.0,
@@ -96,12 +96,12 @@
         assert (
             store == "r0" and before <= at < node.clock.now() - 100.0
         )  # of the second try, not of the third
-        sent = len(origin.seen)
+        sent = len(origin.received)
         node.director.keys.take_over(
             {"aa": [(node.clock.now() - 2000.0, "r0")]}
         )  # as the process before it tells
         client.ask(4, c="sheet", k="aa")
-        assert (await client.next())[1:3] == (4, 1) and len(origin.seen) == sent
+        assert (await client.next())[1:3] == (4, 1) and len(origin.received) == sent
 
 
 @pytest.mark.parametrize(
--- a/tests/admin/test_live_settings.py
+++ b/tests/admin/test_live_settings.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from harness import Cache, config, hit, running, settings, trial, until
+from harness import ScriptedCache, async_test, config, hit, running_director, settings, wait_until
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -123,14 +123,14 @@
     return read_config(json.dumps(raw).encode())
 
 
-@trial
+@async_test
 async def test_classes_come_and_go_and_open_requests_keep_the_class_they_came_with() -> None:
     film, sheet = settings()["classes"]
-    cache = Cache(lambda command: None if command[1]["thing"].endswith("f") else hit(command))
+    cache = ScriptedCache(lambda command: None if command[1]["thing"].endswith("f") else hit(command))
     places = {"c0": await cache.start(), "r0": REFUSED}
-    async with running(config(places)) as (node, client):
+    async with running_director(config(places)) as (node, client):
         client.ask(1, o="00000000000000ff", d="900", m="1")
-        await until(lambda: len(cache.seen) == 1)
+        await wait_until(lambda: len(cache.received) == 1)
         new = {**film, "name": "new"}
         node.reload(retuned(places, [{**film, "effect": "fragile"}, new], max_attempts=2))
         assert node.director.metrics.classes.keys() == {"film", "sheet", "new"}
@@ -146,7 +146,7 @@
         later = [exchange.spec.effect for exchange in node.director.live.values()]
         assert later == [Effect.SAFE] and node.director.settings.classes["film"].effect is Effect.UNSAFE
         assert (await client.next())[1] == 1  # the open one ends in its own time
-        await until(lambda: "sheet" not in node.director.settings.classes)
+        await wait_until(lambda: "sheet" not in node.director.settings.classes)
         client.ask(9, c="sheet", k="aa")
         assert (await client.next())[1:3] == (9, 2) and node.director.metrics.unusable == 1
         moved = retuned(places, [film])
@@ -157,33 +157,33 @@
             node.director.settings.classes["film"].effect is Effect.UNSAFE
             and "new" in node.director.settings.classes
         )
-        await until(lambda: node.director.settings.classes.keys() == {"film"})
+        await wait_until(lambda: node.director.settings.classes.keys() == {"film"})
         assert node.director.settings.classes["film"].effect is Effect.SAFE
         client.ask(10, o="0000000000000001", m="1")
         assert (await client.next())[1:3] == (10, 0)
 
 
-@trial
+@async_test
 async def test_a_request_of_a_class_that_goes_while_it_is_open_is_sent_again_by_its_old_rules() -> None:
     film, sheet = settings()["classes"]
     answers = iter(["overload -", "served digest=aa,dated=1,remark=h"])
-    origin = Cache(lambda command: (next(answers), b""))
+    origin = ScriptedCache(lambda command: (next(answers), b""))
     places = {"c0": REFUSED, "r0": await origin.start()}
-    async with running(config(places)) as (node, client):
+    async with running_director(config(places)) as (node, client):
         client.ask(1, c="sheet", k="aa")
-        await until(lambda: len(origin.seen) == 1)
+        await wait_until(lambda: len(origin.received) == 1)
         node.director.retune(retuned(places, [film], max_attempts=1).settings)
-        assert (await client.next())[1:3] == (1, 0) and len(origin.seen) == 2
+        assert (await client.next())[1:3] == (1, 0) and len(origin.received) == 2
 
 
-@trial
+@async_test
 async def test_a_keyed_class_needs_its_key_only_once_clients_know_that_it_is_keyed() -> None:
     film, _ = settings()["classes"]
-    places = {"c0": await Cache(hit).start(), "r0": REFUSED}
-    async with running(config(places)) as (node, client):
+    places = {"c0": await ScriptedCache(hit).start(), "r0": REFUSED}
+    async with running_director(config(places)) as (node, client):
         node.reload(retuned(places, [{**film, "effect": "dedup", "window_ms": 2000.0}]))
         client.ask(1)
         assert (await client.next())[2] == 0
-        await until(lambda: not node.director.settings.classes["film"].keyless)
+        await wait_until(lambda: not node.director.settings.classes["film"].keyless)
         client.ask(2)
         assert (await client.next())[2] == 2
--- a/tests/channel_handler.py
+++ b/tests/channel_handler.py
@@ -1,4 +1,4 @@
-"""A handler of a channel for tests, without a director."""
+"""A handler for the hot restart channel that needs no director, for tests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RecordingHandler(ChannelHandler):
-    """Keeps the messages that it receives, and offers a listening socket if it was given one."""
+    """Records the messages that it receives, and offers a listening socket if it was given one."""
 
     def __init__(self, messages: list[Message] | None = None, listener: socket.socket | None = None) -> None:
         self._messages = messages if messages is not None else []
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared set-up: settings like those of a proxy at start, and a bench-free driver for one router."""
+"""Shared test set-up: a complete set of settings, and a driver for one router without sockets or timers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 Kind = TypeVar("Kind")
 
-PLAIN: dict[str, Any] = {
+BASE_SETTINGS: dict[str, Any] = {
     "me": 0, "proxies": 2, "zone": "edge", "zones": ["hub", "edge"], "hub_of": [0, 0], "seats_by_zone": [0, 2],
     "origin_kind": "root", "parent_kind": "mid", "reports": "none", "notes": "all", "peers_fill": "any",
     "weights": "none", "straight": False, "joins": True, "flow_kb_per_s": 4000.0, "cancel": True,
@@ -51,42 +51,44 @@
 
 
 def settings(**changes: Any) -> Settings:
-    return Settings.read({**PLAIN, **changes})
+    """The settings BASE_SETTINGS with some of them changed."""
+    return Settings.read({**BASE_SETTINGS, **changes})
 
 
 def members(caches: int = 3, parents: int = 2, **changes: Any) -> tuple[Member, ...]:
+    """The members of an endpoint list: caches, parents, and an origin with the given changes."""
     listed = [Member(f"c{n}", "edge", "box") for n in range(caches)]
     listed += [Member(f"p{n}", "hub", "mid") for n in range(parents)]
     return (*listed, Member("root", "hub", "root", **changes))
 
 
 class Driver:
-    """One router, its clock, and the attempts it has out."""
+    """One router with its clock, which counts the attempts of each request."""
 
     def __init__(self, stores: tuple[Member, ...] | None = None, **changes: Any) -> None:
         self.settings = settings(**changes)
         self.router = Router(self.settings, 7)
         self.now = 100_000.0
-        self.ids = 0
-        self.numbers: dict[int, int] = {}
+        self.last_id = 0
+        self.attempt_numbers: dict[int, int] = {}
         self.timers: list[tuple[float, str]] = []
-        self.members(stores if stores is not None else members(), ListKind.REMEMBERED)
+        self.update_members(stores if stores is not None else members(), ListKind.REMEMBERED)
 
-    def tell(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
         actions = self.router.handle(self.now, event)
         for action in actions:
             if isinstance(action, (Fetch, Lookup)):
-                self.numbers[action.id] = self.numbers.get(action.id, -1) + 1
+                self.attempt_numbers[action.id] = self.attempt_numbers.get(action.id, -1) + 1
         return actions
 
-    def members(self, stores: tuple[Member, ...], kind: ListKind = ListKind.COMPLETE) -> list[Action]:
-        return self.tell(Members(kind, stores))
+    def update_members(self, stores: tuple[Member, ...], kind: ListKind = ListKind.COMPLETE) -> list[Action]:
+        return self.handle(Members(kind, stores))
 
     def ask(self, cls: str = "film", object: int = 1, part: int = 0, **more: Any) -> list[Action]:
-        self.ids += 1
+        self.last_id += 1
         deadline = self.now + self.settings.get_class(cls).deadline_ms
-        return self.tell(
-            Request(self.ids, cls, object, deadline, more.pop("size_kb", 400.0), part=part, **more)
+        return self.handle(
+            Request(self.last_id, cls, object, deadline, more.pop("size_kb", 400.0), part=part, **more)
         )
 
     def answer(
@@ -94,23 +96,25 @@
     ) -> list[Action]:
         self.now += after
         over = status is Status.OK
-        number = self.numbers[action.id]
-        return self.tell(Outcome(action.id, number, action.store, status, after, note, over=over))
+        number = self.attempt_numbers[action.id]
+        return self.handle(Outcome(action.id, number, action.store, status, after, note, over=over))
 
     def serve(self, **request: Any) -> Fetch:
-        fetch = only(self.ask(**request), Fetch)
+        fetch = only_action(self.ask(**request), Fetch)
         self.answer(fetch)
         return fetch
 
 
-def only(actions: list[Action], kind: type[Kind]) -> Kind:
-    found = [a for a in actions if isinstance(a, kind)]
-    assert len(found) == 1, actions
-    return found[0]
+def only_action(actions: list[Action], kind: type[Kind]) -> Kind:
+    """The single action of a kind; fails if there is none or more than one."""
+    matches = [action for action in actions if isinstance(action, kind)]
+    assert len(matches) == 1, actions
+    return matches[0]
 
 
-def some(actions: list[Action], kind: type[Kind]) -> list[Kind]:
-    return [a for a in actions if isinstance(a, kind)]
+def actions_of(actions: list[Action], kind: type[Kind]) -> list[Kind]:
+    """All actions of a kind."""
+    return [action for action in actions if isinstance(action, kind)]
 
 
-__all__ = ["Driver", "State", "members", "only", "settings", "some"]
+__all__ = ["Driver", "State", "actions_of", "members", "only_action", "settings"]
--- a/tests/endpoints/test_address_measure.py
+++ b/tests/endpoints/test_address_measure.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from harness import trial, until
+from harness import async_test, wait_until
 
 from benchmarks.addresses import clients
 from benchmarks.addresses.clients import ReconnectingClient
@@ -59,7 +59,7 @@
 ) -> None:
     monkeypatch.setattr(clients, "CROSSING_S", crossing_s)
 
-    @trial
+    @async_test
     async def test() -> None:
         peer = Peer(*firsts)
         asking = ReconnectingClient(await peer.start())
@@ -70,12 +70,12 @@
     test()
 
 
-@trial
+@async_test
 async def test_a_connection_that_was_closed_while_nothing_was_open_is_replaced() -> None:
     peer = Peer(ANSWER_AND_CLOSE, ANSWER)
     asking = ReconnectingClient(await peer.start())
     assert await asking.ask(FIELDS, b"", 5.0) is not None
-    await until(lambda: asking.clients[0].ended)
+    await wait_until(lambda: asking.clients[0].ended)
     assert await asking.ask(FIELDS, b"", 5.0) is not None
     assert (len(asking.clients), asking.crossed, peer.requests) == (2, 0, 2)
     await asking.close()
--- a/tests/endpoints/test_sockets.py
+++ b/tests/endpoints/test_sockets.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 import pytest
-from harness import Client, config, running, trial, until
+from harness import Client, async_test, config, running_director, wait_until
 from test_net_rules import REFUSED, notice, outcomes, ready, told
 
 from gladelane.discovery.events import WatchEvent
@@ -62,7 +62,7 @@
     standin, listed = await listening("r0", families)
     told = listed[::-1] if host_port_is_last else listed
     try:
-        async with running(fleet({"r0": told, "c0": [REFUSED]}, **limits)) as (node, client):
+        async with running_director(fleet({"r0": told, "c0": [REFUSED]}, **limits)) as (node, client):
             yield standin, listed, node, client
     finally:
         await standin.close()
@@ -72,7 +72,7 @@
     client.ask(stream, c="sheet", k=f"key{stream}", d=str(wait), body=b"answers")
 
 
-@trial
+@async_test
 async def test_a_submit_that_was_taken_and_stalled_is_sent_again_by_the_module_only_and_within_its_window() -> (
     None
 ):
@@ -91,7 +91,7 @@
         assert standin.seen[2].address == listed[1] and max(standin.counts.values()) == 1
 
 
-@trial
+@async_test
 async def test_a_submit_that_stalled_reaches_no_other_address_when_the_module_may_not_send_again() -> None:
     async with origin(V6_FIRST, max_attempts=1) as (standin, listed, _, client):
         await standin.set(listed[0], Fault.STALL)
@@ -101,7 +101,7 @@
         assert [seen.address for seen in standin.seen] == listed[:1]
 
 
-@trial
+@async_test
 async def test_a_black_hole_costs_the_first_dial_its_delay_and_later_ones_nothing() -> None:
     async with origin(V6_FIRST) as (standin, listed, node, client):
         await standin.set(listed[0], Fault.BLACK_HOLE)
@@ -114,20 +114,22 @@
         await standin.set(listed[0], Fault.NONE)
         node.endpoints.health.of("r0", parse(listed[0])).until_ms = 1.0  # type: ignore[union-attr]
         await standin.set(listed[1], Fault.NONE)  # drops what is connected
-        await until(lambda: not node.upstream._pool)
+        await wait_until(lambda: not node.upstream._pool)
         submit(client, 2)
         assert (await client.next())[:3] == (17, 2, 0)
-        await until(lambda: not node.endpoints.health.is_avoided("r0", parse(listed[0])))
+        await wait_until(lambda: not node.endpoints.health.is_avoided("r0", parse(listed[0])))
         assert standin.seen[1].address == listed[1] and node.upstream._extra == 0
         assert [a.text for a in node.endpoints.plan("r0", node.clock.now()).addresses] == listed
 
 
-@trial
+@async_test
 async def test_a_family_that_drops_everywhere_is_learnt_from_few_servers() -> None:
     standins = {f"c{n}": await listening(f"c{n}", V6_FIRST) for n in range(8)}
     for standin, listed in standins.values():
         await standin.set(listed[0], Fault.BLACK_HOLE)
-    async with running(fleet({n: listed for n, (_, listed) in standins.items()} | {"r0": [REFUSED]})) as (
+    async with running_director(
+        fleet({n: listed for n, (_, listed) in standins.items()} | {"r0": [REFUSED]})
+    ) as (
         node,
         client,
     ):
@@ -135,7 +137,7 @@
         for name in standins:
             connection = connection_module.Connection(node.upstream, name)
             led = node.endpoints.plan(name, node.clock.now()).addresses[0].family
-            await until(lambda c=connection: c.writer is not None)  # type: ignore[misc]
+            await wait_until(lambda c=connection: c.writer is not None)  # type: ignore[misc]
             paid.append(led is Family.V6)
             connection.close()
         assert paid == [True] * 3 + [False] * 5
@@ -191,8 +193,8 @@
             for stream in (1, 2, 3):
                 submit(client, stream, 2500)
             answers = [await client.next() for _ in range(3)]
-            assert sorted(answer[1] for answer in answers) == [1, 2, 3] and await client.silent()
-            await until(lambda: not node.director.live)
+            assert sorted(answer[1] for answer in answers) == [1, 2, 3] and await client.receives_nothing()
+            await wait_until(lambda: not node.director.live)
             for stream in (1, 2, 3):
                 assert standin.times(f"{stream:016x}") <= sent[f"{stream:016x}"]
             # late or full is no fault of an address; all else is passed over, and a further submit goes elsewhere
@@ -208,7 +210,7 @@
     asyncio.run(scene())
 
 
-@trial
+@async_test
 async def test_all_addresses_bad_at_once_end_before_the_dial_timeout_and_prove_that_nothing_ran() -> None:
     async with origin(ALL) as (standin, listed, node, client):
         events = told(node.director)
@@ -252,7 +254,7 @@
         self.held += sockets
 
 
-@trial
+@async_test
 async def test_of_two_dials_that_come_up_in_one_tick_one_wins_and_the_other_is_closed_unwritten() -> None:
     standin, listed = await listening("r0", V6_FIRST)
     budget = ManualBudget()
@@ -262,14 +264,14 @@
     won = await dialer.winner()
     assert not isinstance(won, DialEnd) and budget.held == 0
     dialer.written()
-    await until(lambda: sum(standin.accepted(a) for a in listed) == 2)
-    await until(lambda: sum(standin.open(a) for a in listed) == 1)
+    await wait_until(lambda: sum(standin.accepted(a) for a in listed) == 2)
+    await wait_until(lambda: sum(standin.open(a) for a in listed) == 1)
     assert standin.open(won[1].text) == 1 and not standin.seen
     won[0].close()
     await standin.close()
 
 
-@trial
+@async_test
 async def test_a_race_without_room_goes_on_one_address_at_a_time() -> None:
     standin, listed = await listening("r0", V6_FIRST)
     await standin.set(listed[0], Fault.BLACK_HOLE)
@@ -287,7 +289,7 @@
     await standin.close()
 
 
-@trial
+@async_test
 async def test_a_winner_that_dies_before_the_first_byte_is_replaced_once() -> None:
     for deaths, code, status in ((1, 0, Status.OK), (2, 1, Status.CONNECT_FAILED)):
         async with origin(ALL, max_attempts=1) as (standin, listed, node, client):
@@ -320,7 +322,7 @@
                 await standin.set(address, Fault.BLACK_HOLE)
             events = told(node.director)
             submit(client, 1)
-            await until(
+            await wait_until(
                 lambda: [c.dialling for conns in node.upstream._pool.values() for c in conns if c.dialling]
             )
             leaving = {
@@ -343,7 +345,7 @@
     return notice(rev, {**instance, "machineType": "root", "addresses": addresses})
 
 
-@trial
+@async_test
 async def test_an_address_withdrawn_in_the_middle_of_a_race_gives_its_turn_to_the_next() -> None:
     async with origin(V6_FIRST, host_port_is_last=True, dial_timeout_ms=20_000.0) as (
         standin,
@@ -354,7 +356,7 @@
         node.endpoints.options = Options(delay_first_ms=9_000.0, delay_most_ms=9_000.0)
         await standin.set(listed[0], Fault.BLACK_HOLE)
         submit(client, 1)
-        await until(
+        await wait_until(
             lambda: [c.dialling for conns in node.upstream._pool.values() for c in conns if c.dialling]
         )
         node.director.apply_watch_event(relisted(2, listed[1], []))
@@ -362,21 +364,21 @@
         assert standin.seen[0].address == listed[1]
 
 
-@trial
+@async_test
 async def test_a_removed_address_retires_its_connections_and_what_is_open_finishes() -> None:
     async with origin(ALL, host_port_is_last=True) as (standin, listed, node, client):
         standin.answer = lambda seen: None
         submit(client, 1)
-        await until(lambda: standin.seen)
+        await wait_until(lambda: standin.seen)
         node.director.apply_watch_event(relisted(2, listed[2], [listed[1]]))
         submit(client, 2)
-        await until(lambda: len(standin.seen) == 2)
+        await wait_until(lambda: len(standin.seen) == 2)
         assert [seen.address for seen in standin.seen] == listed[:2] and standin.open(listed[0]) == 1
         client.send(18, 1)
-        await until(lambda: standin.open(listed[0]) == 0)
+        await wait_until(lambda: standin.open(listed[0]) == 0)
 
 
-@trial
+@async_test
 async def test_an_address_that_passes_to_another_server_takes_over_neither_connections_nor_health() -> None:
     async with origin(ALL, host_port_is_last=True) as (standin, listed, node, client):
         submit(client, 1)
@@ -386,13 +388,13 @@
         node.director.apply_watch_event(notice(2, other))
         assert node.endpoints.registry.owner(parse(listed[0])) == "c1"
         assert not node.endpoints.health.is_avoided("c1", parse(listed[0]))
-        await until(lambda: standin.open(listed[0]) == 0)
+        await wait_until(lambda: standin.open(listed[0]) == 0)
         submit(client, 2)
         assert (await client.next())[:3] == (17, 2, 0)
         assert standin.seen[-1].address == listed[1]
 
 
-@trial
+@async_test
 async def test_no_descriptor_left_blames_no_address() -> None:
     endpoints = Endpoints(random.Random(1))
     with pytest.MonkeyPatch.context() as patch:
@@ -406,7 +408,7 @@
     assert not endpoints.health.is_avoided("r0", parse("[::1]:9"))
 
 
-@trial
+@async_test
 async def test_what_cannot_be_dialled_is_unreachable_and_leaves_no_descriptor() -> None:
     before = len(os.listdir("/proc/self/fd"))
     for text in ("[fe80::1%nosuchzone]:80", "unix:/nowhere/at/all.sock", "unix:@nobody-listens-here"):
@@ -417,7 +419,7 @@
     assert len(os.listdir("/proc/self/fd")) == before
 
 
-@trial
+@async_test
 async def test_a_stalled_address_is_tried_again_by_a_question_that_runs_nothing() -> None:
     async with origin(V6_FIRST) as (standin, listed, node, client):
         first = parse(listed[0])
@@ -445,7 +447,7 @@
             [sys.executable, "-m", "gladelane"], cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True
         )
         try:
-            client = await Client.to(await ready(process))
+            client = await Client.connect(await ready(process))
             stream = 0
 
             async def burst(count: int) -> None:
@@ -474,7 +476,7 @@
             assert standin.open(unix) > 0
             file.write_text("{}")
             process.send_signal(signal.SIGHUP)
-            await until(lambda: standin.open(unix) == 0)
+            await wait_until(lambda: standin.open(unix) == 0)
             await burst(4)
             assert standin.seen[-1].address == plain and max(standin.counts.values()) == 1
             process.send_signal(signal.SIGTERM)
--- a/tests/fleet/test_audit.py
+++ b/tests/fleet/test_audit.py
@@ -17,7 +17,7 @@
 import msgspec
 import pytest
 import uvloop
-from harness import Cache, Command, config, running, trial, until
+from harness import Command, ScriptedCache, async_test, config, running_director, wait_until
 from test_coming_back import fleet_of, said, struck
 
 from benchmarks.comeback.first_restart import time_imports
@@ -104,13 +104,13 @@
     """An audit that lets pass what it is told to."""
 
     def __init__(self) -> None:
-        self.open, self.answers, self.seen = True, True, list[str]()
+        self.open, self.answers, self.received = True, True, list[str]()
 
     def retry_after_ms(self, cls: str) -> float:
         return 0.0
 
     def may_send(self, cls: str) -> bool:
-        self.seen.append("may")
+        self.received.append("may")
         return self.open
 
     def may_answer(self, cls: str) -> bool:
@@ -120,13 +120,13 @@
         return 7
 
     def record_answer(self, cls: str, number: int) -> None:
-        self.seen.append(f"served {number}")
+        self.received.append(f"served {number}")
 
     def refresh_view(self) -> None:
-        self.seen.append("turned")
+        self.received.append("turned")
 
 
-@trial
+@async_test
 async def test_a_tenure_that_ends_while_a_cache_is_dialled_or_fills_stops_the_first_byte_or_the_answer() -> (
     None
 ):
@@ -138,19 +138,24 @@
         )  # over while these are under way
         return "served digest=d,dated=0,remark=h", b"\x00body"
 
-    cache, origin = Cache(script), Cache(script)
-    async with running(config({"c0": await cache.start(), "r0": await origin.start()})) as (node, client):
+    cache, origin = ScriptedCache(script), ScriptedCache(script)
+    async with running_director(config({"c0": await cache.start(), "r0": await origin.start()})) as (
+        node,
+        client,
+    ):
         node.director.audit = gate
 
         async def code(stream: int, **fields: str) -> int:
             client.ask(stream, **fields)
             return (await client.next())[2]
 
-        assert await code(1, o="00000000000000aa") == 0 and gate.seen[-1] == "served 7"
+        assert await code(1, o="00000000000000aa") == 0 and gate.received[-1] == "served 7"
         gate.open = False
-        assert await code(2, o="00000000000000ab") != 0 and len(cache.seen) == 1, "no byte has left"
+        assert await code(2, o="00000000000000ab") != 0 and len(cache.received) == 1, "no byte has left"
         gate.open = True
-        assert await code(3, o=shut) != 0 and len(cache.seen) >= 2 and gate.seen.count("served 7") == 1
+        assert (
+            await code(3, o=shut) != 0 and len(cache.received) >= 2 and gate.received.count("served 7") == 1
+        )
         # a write that was answered has run: its answer is passed on
         assert await code(4, c="sheet", o="00000000000000ac", k="5c" * 16) == 0 and not gate.answers
 
@@ -517,12 +522,12 @@
             assert holds() == 200
             await fleet.end(feed, signal.SIGKILL)
             assert holds(LEASES_ENDED_MS) == 0
-            await until(lambda: holds() == 0, WAIT_S)
+            await wait_until(lambda: holds() == 0, WAIT_S)
             before_s = await asyncio.to_thread(time_imports, 2)
             began = time.monotonic()
             await fleet.restart(feed)
             back = time.monotonic()
-            await until(lambda: holds() == 200, WAIT_S)
+            await wait_until(lambda: holds() == 200, WAIT_S)
             took = time.monotonic() - back
             import_s = max(before_s, await asyncio.to_thread(time_imports, 2))
             rows = (await asked(fleet, 0, "/fleet/versions"))["rows"]
@@ -570,9 +575,9 @@
                     *command, cwd=ROOT, env={**env, "GW_CONFIG": str(tmp_path / "newer.json")}, stderr=log
                 )
             try:
-                await until(lambda: "ready name=" in (tmp_path / "newer.log").read_text(), WAIT_S)
+                await wait_until(lambda: "ready name=" in (tmp_path / "newer.log").read_text(), WAIT_S)
                 await fleet.end(one, signal.SIGTERM)
-                await until(
+                await wait_until(
                     lambda: list((one.folder / "trail").glob("*.log"))
                     and "processes=1" in (tmp_path / "newer.log").read_text(),
                     WAIT_S,
--- a/tests/fleet/test_many_directors.py
+++ b/tests/fleet/test_many_directors.py
@@ -3,7 +3,7 @@
 import random
 from dataclasses import replace
 
-from conftest import Driver, some
+from conftest import Driver, actions_of
 
 from gladelane.discovery.client import BACKOFF_MOST_S, BACKOFF_S
 from gladelane.routing.events import Fetch, ListKind, Member, Note, Status, Timer
@@ -27,7 +27,7 @@
     ]
     for seed, d in enumerate(made):
         d.router = Router(d.settings, seed)
-        d.members(stores)
+        d.update_members(stores)
     return made
 
 
@@ -40,9 +40,9 @@
         for n, d in enumerate(directors):
             d.now += 20.0
             if step % 12 == n:
-                d.tell(Timer("sweep"))
+                d.handle(Timer("sweep"))
             if step % 2 == n % 2:
-                for fetch in some(d.ask(object=step * SEATS + n, cls="page"), Fetch):
+                for fetch in actions_of(d.ask(object=step * SEATS + n, cls="page"), Fetch):
                     sent.append((d.now, fetch.store, 100.0))
                     d.answer(fetch, note=Note.PARENT_HELD, after=0.0)
     began = directors[0].now - 20_000.0
@@ -64,7 +64,7 @@
     looks = 0
     for me, d in enumerate(fleet((*FOUR, *HUBS, ROOT))):
         for n in range(24):  # a second's requests, each for another object, and not an answer yet
-            for fetch in some(d.ask(object=1000 * me + n, cls="page"), Fetch):
+            for fetch in actions_of(d.ask(object=1000 * me + n, cls="page"), Fetch):
                 fills[fetch.source] = fills.get(fetch.source, 0) + (fetch.source != fetch.store)
                 looks += fetch.source == fetch.store
     assert 40 <= sum(fills.values()) <= 4 * 80 and looks > 0
@@ -77,14 +77,14 @@
     limit = d.router.origin.concurrency
     began = limit.limit
     for n in range(20):
-        waiting = [f for i in range(3) for f in some(d.ask(object=10 * n + i, cls="page"), Fetch)]
+        waiting = [f for i in range(3) for f in actions_of(d.ask(object=10 * n + i, cls="page"), Fetch)]
         for fetch in waiting:
             d.answer(fetch, note=Note.PARENT_HELD, after=20.0)
     assert began < 4.0 and limit.limit > 1.2 * began
     # a list that comes in parts, and a wider hub that joins later: neither opens the origin to all at once
     (d,) = fleet((FOUR[0], ROOT), 1)
     for hub in (HUBS[0], replace(HUBS[1], weight=200.0)):
-        d.members((hub,), ListKind.CHANGES)
+        d.update_members((hub,), ListKind.CHANGES)
         assert d.router.origin is not None and d.router.origin.concurrency.limit < 4.0
 
 
@@ -108,10 +108,10 @@
     for d in fleet((*FOUR, *HUBS, ROOT)):
         for n in range(240):  # 20 s of 12 a second
             d.now += 83.0
-            waiting = some(d.ask(object=n, cls="page"), Fetch)
+            waiting = actions_of(d.ask(object=n, cls="page"), Fetch)
             firsts += len(waiting)
             while waiting:
-                again = some(d.answer(waiting.pop(), Status.FULL, after=1.0), Fetch)
+                again = actions_of(d.answer(waiting.pop(), Status.FULL, after=1.0), Fetch)
                 repeats += len(again)
                 waiting += again
     assert firsts > 1000
@@ -126,8 +126,8 @@
         for n, d in enumerate(directors):
             d.now += 100.0
             if step % 3 == 0:
-                d.tell(Timer("sweep"))
-            for fetch in some(d.ask(object=step * 40 + n, size_kb=1600.0), Fetch):
+                d.handle(Timer("sweep"))
+            for fetch in actions_of(d.ask(object=step * 40 + n, size_kb=1600.0), Fetch):
                 sent += [d.now] * (fetch.source == "p0")
                 d.answer(fetch, note=Note.PARENT_HELD, after=0.0)
     for since in sorted(set(sent)):
@@ -148,7 +148,7 @@
         for n, d in enumerate(directors):
             d.now += 100.0
             for object in range(20):  # half of them go to the other hub
-                for fetch in some(d.ask(cls=cls, object=100 * n + object, size_kb=4.0 * work), Fetch):
+                for fetch in actions_of(d.ask(cls=cls, object=100 * n + object, size_kb=4.0 * work), Fetch):
                     sent += [(d.now, work)] * (fetch.source == cold.store)
     allowed = 5.0 * 0.1 * 2.0 * WINDOW_MS / 1000.0  # in requests of 1000 ms, the mean of both
     assert sum(work for _, work in sent) / 1000.0 <= allowed + 2.0 * allowed**0.5 + 2.0
--- a/tests/fleet/test_owners.py
+++ b/tests/fleet/test_owners.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import pytest
-from harness import until
+from harness import wait_until
 from test_coming_back import fleet_of, said, struck
 
 from gladelane.lab.fleet.fleet import Fleet
@@ -54,7 +54,7 @@
 
 async def busiest(fleet: Fleet, watch: Watch) -> FleetProcess:
     """The director with the most shards, once all are held. Who has which hangs on who started first."""
-    await until(lambda: watch.granted_count() == SHARDS, WAIT_S)
+    await wait_until(lambda: watch.granted_count() == SHARDS, WAIT_S)
     holder, _ = Counter(watch.holders().values()).most_common(1)[0]
     return next(one for one in fleet.directors if one.name == holder)
 
@@ -142,7 +142,7 @@
         before = {work: told[-1][2] for work, told in watch.owners().items()}
         await struck(fleet, "0 kill feeds:0-1 empty for 5")
         # a majority lost its disks: what stands is told by the third, and numbers go on from there
-        await until(lambda: watch.granted_count() == SHARDS, WAIT_S)
+        await wait_until(lambda: watch.granted_count() == SHARDS, WAIT_S)
         assert all(told[-1][2] >= before[work] for work, told in watch.owners().items())
         await load.purge(5, 0.5)
 
@@ -166,7 +166,7 @@
             numbers = {look.lease_server: look.numbers for look in sorted(watch.looks) if look.at > restarted}
             return len(numbers) == 3 and all(len(known) == SHARDS for known in numbers.values())
 
-        await until(learnt, WAIT_S)
+        await wait_until(learnt, WAIT_S)
 
     mean, missing = scene(tmp_path, act)
     assert missing == 0, mean
--- a/tests/fleet/test_rig.py
+++ b/tests/fleet/test_rig.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 import pytest
-from harness import trial, until
+from harness import async_test, wait_until
 
 from gladelane.audit.activity_log import ActivityLog
 from gladelane.audit.audit_store import AuditStore
@@ -196,7 +196,7 @@
     assert figures["full_service_s"] > 0.0, figures
 
 
-@trial
+@async_test
 async def test_a_relay_passes_cuts_silences_and_breaks_answers_off() -> None:
     async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(100):
@@ -232,7 +232,7 @@
     assert await asked(State.CLOSED) in (0, -2) and len(heard) == 1
     assert await asked(State.SILENT, 0.3) == -1 and len(heard) == 1
     assert await asked(State.REPLIES_BLOCKED, 0.3) == -1
-    await until(lambda: len(heard) == 3, 30.0)  # what the silent link held has come, too
+    await wait_until(lambda: len(heard) == 3, 30.0)  # what the silent link held has come, too
     began = time.monotonic()
     assert await asked(State.SLOW) == 1000 and time.monotonic() - began >= 2 * SLOW_S
     assert await asked(State.HALFWAY) in (-2, *range(401)) and relay.cut_short == 1
--- a/tests/golden/test_admin_endpoint.py
+++ b/tests/golden/test_admin_endpoint.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from harness import config, running
+from harness import config, running_director
 
 from gladelane.admin.metrics import Metrics
 
@@ -67,7 +67,7 @@
 
     async def run() -> list[bytes]:
         platform = {**json.loads(config(CACHES)), "ops": "127.0.0.1:0"}
-        async with running(json.dumps(platform).encode()) as (node, _):
+        async with running_director(json.dumps(platform).encode()) as (node, _):
             assert node.admin_endpoint is not None
             return [await asyncio.to_thread(send, node.admin_endpoint.port, call) for call in calls]
 
--- a/tests/golden/test_control_server.py
+++ b/tests/golden/test_control_server.py
@@ -11,7 +11,7 @@
 
 import msgspec
 import pytest
-from harness import trial
+from harness import async_test
 
 from gladelane.audit.activity_log import ActivityInterval, ClassCounts, LostIntervals
 from gladelane.audit.director_state import DirectorStatus
@@ -471,7 +471,7 @@
     return answer
 
 
-@trial
+@async_test
 async def test_a_call_is_written_so_and_its_answer_read() -> None:
     asked: list[bytes] = []
 
@@ -489,7 +489,7 @@
     assert asked == [REQUEST_HEAD % port, b'{"scope":"all"}']
 
 
-@trial
+@async_test
 async def test_a_call_is_read_so() -> None:
     reader = asyncio.StreamReader()
     reader.feed_data(REQUEST_HEAD.replace(b"/purges", b"/purges?a=1") % 1 + b'{"scope":"all"}')
@@ -502,7 +502,7 @@
     assert tuple(await read_request(reader, 100)) == ("POST", "/purges", "a=1", headers, b'{"scope":"all"}')
 
 
-@trial
+@async_test
 async def test_a_stream_begins_with_its_head_and_goes_on_with_events() -> None:
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         sink = EventSink(writer)
@@ -542,7 +542,7 @@
     assert asyncio.run(run()) == f"{head}\r\n\r\n{text}".encode()
 
 
-@trial
+@async_test
 async def test_an_order_to_a_server_is_written_so() -> None:
     asked: list[bytes] = []
 
--- a/tests/golden/test_discovery_events.py
+++ b/tests/golden/test_discovery_events.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from harness import config, trial
+from harness import async_test, config
 
 from gladelane.discovery.client import DiscoveryClient
 from gladelane.discovery.events import watch_event_decoder
@@ -95,7 +95,7 @@
     assert list(EventStream().feed(body)) == ['{"rev":42}', '{"rev":\n43}']
 
 
-@trial
+@async_test
 async def test_the_request_for_the_stream_and_what_is_heard_of_it() -> None:
     asked: list[bytes] = []
     heard: list[Any] = []
--- a/tests/golden/test_upgrade_channel.py
+++ b/tests/golden/test_upgrade_channel.py
@@ -13,7 +13,7 @@
 
 import pytest
 from channel_handler import RecordingHandler
-from harness import until
+from harness import wait_until
 
 from gladelane.admin.requests import AdminAction
 from gladelane.discovery.events import Instance, ListChange, PurgeEvent, WatchEvent
@@ -234,7 +234,7 @@
             for fd in (await asyncio.to_thread(line_of, sock))[1]:
                 os.close(fd)
             sock.sendall(line)
-            await until(lambda: heard)
+            await wait_until(lambda: heard)
             assert heard == [message]
             channel.broadcast(message)
             return (await asyncio.to_thread(line_of, sock))[0]
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""Real sockets for the network tests: a scripted cache, a client, and a whole node on ephemeral ports."""
+"""Helpers for tests over real sockets: a scripted cache, a client, and a complete director on ephemeral ports."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 FAMILY = {**WIRE["family_info"], "pass_on": [False, True], "good_for_ms": [0.0, 0.0], "segmented": [False, False],
           "straight": True, "notes_given": "hit"}  # fmt: skip
 LIMITS = {**WIRE["limits"], "max_streams": 100, "conn_idle_ms": 15000.0, "may_duplicate": True}
-Command = tuple[str, dict[str, str], bytes]
+Command = tuple[str, dict[str, str], bytes]  #: id, fields and body of a fetch
 
 
 def settings(**limits: Any) -> dict[str, Any]:
@@ -38,81 +38,87 @@
 
 
 def config(caches: dict[str, str], board: str = "127.0.0.1:1", **limits: Any) -> bytes:
-    """Caches by id and address; an id's first letter tells its kind: c box, p mid, r root."""
-    kinds = {"c": ("edge", "box"), "p": ("hub", "mid"), "r": ("hub", "root")}
+    """The platform's file for a director with these servers, given as addresses by id. The first letter of an id
+    says what the server is: `c` a cache, `p` a parent, `r` the origin."""
+    zones_and_kinds = {"c": ("edge", "box"), "p": ("hub", "mid"), "r": ("hub", "root")}
     return json.dumps({
         "name": "n0", "listen": "127.0.0.1:0", "seed": "0f", "board": board,
         "limits": {"cores": 1, "memory_mb": 192, "sockets": 1024}, "settings": settings(**limits),
         "known": {"rev": 1, "notices": [{"rev": 1, "pool": {"generation": 1, "reset": True, "instances": [
-            {"instanceId": id_, "hostPort": address, "zone": kinds[id_[0]][0], "machineType": kinds[id_[0]][1],
+            {"instanceId": id_, "hostPort": address, "zone": zones_and_kinds[id_[0]][0],
+             "machineType": zones_and_kinds[id_[0]][1],
              "cell": 0, "lifecycle": "in_service", "weight": 1, "startedAtMs": 0}
             for id_, address in caches.items()]}}]},
     }).encode()  # fmt: skip
 
 
-class Cache:
-    """Answers each fetch as `script` says: the words after the id and the body, or None for silence."""
+class ScriptedCache:
+    """A fake cache. `script` maps each fetch to the tokens after its id and the body, or to None for no answer."""
 
     def __init__(self, script: Callable[[Command], tuple[str, bytes] | None]) -> None:
         self.script = script
-        self.seen: list[Command] = []
-        self.aborted: list[str] = []
-        self.conns: list[asyncio.StreamWriter] = []
-        self.closed = 0
+        self.received: list[Command] = []
+        self.aborted_ids: list[str] = []
+        self.connections: list[asyncio.StreamWriter] = []
+        self.closed_count = 0
 
     async def start(self) -> str:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.conns.append(writer)
+        self.connections.append(writer)
         try:
-            while line := (await reader.readline()).decode().split():
-                if line[0] == "abort":
-                    self.aborted.append(line[1])
+            while tokens := (await reader.readline()).decode().split():
+                if tokens[0] == "abort":
+                    self.aborted_ids.append(tokens[1])
                     continue
-                body = (await reader.readexactly(int(line[3]) + 2))[:-2]
-                command = line[1], dict(pair.split("=", 1) for pair in line[2].split(",")), body
-                self.seen.append(command)
+                body = (await reader.readexactly(int(tokens[3]) + 2))[:-2]
+                command = tokens[1], dict(pair.split("=", 1) for pair in tokens[2].split(",")), body
+                self.received.append(command)
                 answer = self.script(command)
                 if answer is not None:
                     head, content = answer
-                    writer.write(f"{line[1]} {head} {len(content)}\r\n".encode() + content + b"\r\n")
+                    writer.write(f"{tokens[1]} {head} {len(content)}\r\n".encode() + content + b"\r\n")
         except (OSError, asyncio.IncompleteReadError):
             pass
-        self.closed += 1
+        self.closed_count += 1
         writer.close()
 
 
 def hit(command: Command) -> tuple[str, bytes] | None:
+    """A script that serves each fetch as a cache hit."""
     return "served digest=aa,dated=1,remark=h", b"\x00bytes of " + command[1]["thing"].encode()
 
 
-def mute(command: Command) -> tuple[str, bytes] | None:
+def never_respond(command: Command) -> tuple[str, bytes] | None:
+    """A script that answers nothing."""
     return None
 
 
 class Client:
+    """A client of a director, which reads and writes single frames."""
+
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
         self.decoder = FrameDecoder()
         self.frames: list[tuple[int, int, int, dict[str, str], bytes]] = []
 
     @classmethod
-    async def to(cls, port: int) -> Client:
+    async def connect(cls, port: int) -> Client:
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     def ask(self, stream: int, body: bytes = b"", drop: str = "", **fields: str) -> None:
-        plain = {"c": "film", "i": f"{stream:016x}", "d": "2000", "o": "7f3a9c21e0b4d655", "chunk": "3",
+        all_fields = {"c": "film", "i": f"{stream:016x}", "d": "2000", "o": "7f3a9c21e0b4d655", "chunk": "3",
                  "tag": "17", "m": "412.5", **fields}  # fmt: skip
-        plain.pop(drop, None)
-        self.send(16, stream, encode_fields(plain) + body)
+        all_fields.pop(drop, None)
+        self.send(16, stream, encode_fields(all_fields) + body)
 
     def send(self, type_: int, stream: int, payload: bytes = b"") -> None:
         self.writer.write(encode_frame(type_, stream, payload))  # type: ignore[arg-type]
 
     async def next(self, wait: float = 5.0) -> tuple[int, int, int, dict[str, str], bytes]:
-        """Type, stream, code, fields, body of the next frame."""
+        """The type, stream, code, fields and body of the next frame. Raises EOFError at the end."""
         while not self.frames:
             data = await asyncio.wait_for(self.reader.read(65536), wait)
             if not data:
@@ -124,26 +130,28 @@
                 )
         return self.frames.pop(0)
 
-    async def silent(self, wait: float = 0.15) -> bool:
+    async def receives_nothing(self, wait: float = 0.15) -> bool:
+        """Whether no frame arrives for `wait` seconds, or the connection ends."""
         try:
             return bool(await self.next(wait)) is None
         except (TimeoutError, EOFError):
             return True
 
 
-async def until(told: Callable[[], object], wait: float = 5.0) -> None:
+async def wait_until(condition: Callable[[], object], wait: float = 5.0) -> None:
     async with asyncio.timeout(wait):
-        while not told():
+        while not condition():
             await asyncio.sleep(0.005)
 
 
 @asynccontextmanager
-async def running(raw: bytes) -> AsyncIterator[tuple[Server, Client]]:
+async def running_director(raw: bytes) -> AsyncIterator[tuple[Server, Client]]:
+    """Runs a director with the given platform file, and a client that is connected to it."""
     node = Server(read_config(raw))
-    # a test machine that stalls must change no verdict: only the test of lag lets it count
+    # Stalls of the test machine must not change results: only the tests of lag restore both methods.
     node.timers.lag = lambda: 0.0  # type: ignore[method-assign]
     node.timers.margin = lambda: TICK_MS  # type: ignore[method-assign]
-    client = await Client.to(await node.start())
+    client = await Client.connect(await node.start())
     try:
         yield node, client
     finally:
@@ -151,8 +159,8 @@
         await node.close()
 
 
-def trial(test: Callable[[], Coroutine[Any, Any, None]]) -> Callable[[], None]:
-    """A test that runs in an event loop of its own."""
+def async_test(test: Callable[[], Coroutine[Any, Any, None]]) -> Callable[[], None]:
+    """Makes an asynchronous test run in an event loop of its own."""
 
     def run() -> None:
         asyncio.run(test())
--- a/tests/hot_restart/test_clock_across_processes.py
+++ b/tests/hot_restart/test_clock_across_processes.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import pytest
-from harness import trial, until
+from harness import async_test, wait_until
 from test_keys_across_processes import WINDOW_S, Origin, Upgrade, upgrade, wait_past_window
 
 from gladelane.clock import Clock
@@ -59,7 +59,7 @@
 def test_a_key_window_is_handed_over_despite_a_clock_step(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step_ms: float
 ) -> None:
-    @trial
+    @async_test
     async def test() -> None:
         clock = set_up_clock(tmp_path, monkeypatch)
         async with upgrade(Origin(), 1) as processes:
@@ -76,7 +76,7 @@
 def test_a_key_window_is_replicated_despite_a_clock_step(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, first_process: int, retry_process: int, step_ms: float
 ) -> None:
-    @trial
+    @async_test
     async def test() -> None:
         clock = set_up_clock(tmp_path, monkeypatch)
         async with upgrade(Origin(), 1) as processes:
@@ -101,7 +101,7 @@
 def test_a_key_window_survives_the_kill_of_its_process_despite_a_clock_step(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step_ms: float
 ) -> None:
-    @trial
+    @async_test
     async def test() -> None:
         clock = set_up_clock(tmp_path, monkeypatch)
         async with upgrade(Origin(), 1) as processes:
@@ -115,7 +115,7 @@
 
 
 def test_upgrades_during_clock_steps_lose_no_request(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    @trial
+    @async_test
     async def test() -> None:
         clock = set_up_clock(tmp_path, monkeypatch)
         async with upgrade(Origin(), 1) as processes:
@@ -129,7 +129,7 @@
                 clock.step(-2.0 * step_ms)
                 director.all[-2].send_signal(signal.SIGTERM)
                 assert await asyncio.wait_for(director.all[-2].wait(), 6.0) == 0
-                await until(lambda before=before: clock.readings and load.served > before, START_S)  # type: ignore[misc]
+                await wait_until(lambda before=before: clock.readings and load.served > before, START_S)  # type: ignore[misc]
             await load.stop()
             assert not load.lost and load.refused <= load.served / 5, (load.lost, load.refused, load.served)
 
--- a/tests/hot_restart/test_delayed_event_loop.py
+++ b/tests/hot_restart/test_delayed_event_loop.py
@@ -5,8 +5,8 @@
 from __future__ import annotations
 
 import pytest
-from conftest import Driver, only
-from harness import Cache, config, hit, running, trial
+from conftest import Driver, only_action
+from harness import ScriptedCache, async_test, config, hit, running_director
 
 from gladelane.routing.events import Action, Event, Fetch, Note, Outcome, Status
 
@@ -19,11 +19,15 @@
 def delayed_driver(status: Status, unread_ms: float) -> Driver:
     """Returns a driver whose router learns after a delay that all open attempts have ended at once."""
     driver = Driver()
-    fetches = [only(driver.ask(object=number, size_kb=1.0), Fetch) for number in range(1, OPEN_ATTEMPTS + 1)]
+    fetches = [
+        only_action(driver.ask(object=number, size_kb=1.0), Fetch) for number in range(1, OPEN_ATTEMPTS + 1)
+    ]
     driver.now += DELAY_MS + RESPONSE_MS
     for fetch in fetches:
         over = status is Status.OK
-        driver.tell(Outcome(fetch.id, 0, fetch.store, status, note=Note.HIT, over=over, unread_ms=unread_ms))
+        driver.handle(
+            Outcome(fetch.id, 0, fetch.store, status, note=Note.HIT, over=over, unread_ms=unread_ms)
+        )
     return driver
 
 
@@ -48,11 +52,11 @@
 def test_outcomes_state_how_long_an_answer_may_have_lain_unread(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    @trial
+    @async_test
     async def test() -> None:
-        cache, events = Cache(hit), []
+        cache, events = ScriptedCache(hit), []
         addresses = {"c0": await cache.start(), "p0": UNREACHABLE, "r0": UNREACHABLE}
-        async with running(config(addresses)) as (node, client):
+        async with running_director(config(addresses)) as (node, client):
             router = node.director.router
             handle = router.handle
 
--- a/tests/hot_restart/test_handover_faults.py
+++ b/tests/hot_restart/test_handover_faults.py
@@ -17,7 +17,7 @@
 import pytest
 from conftest import Driver
 from disk_faults import has_one_outage_logged
-from harness import trial, until
+from harness import async_test, wait_until
 from test_keys_across_processes import Origin, Upgrade, upgrade, wait_past_window
 
 from gladelane.admin.maintenance import MaintenanceRegister
@@ -149,7 +149,7 @@
         listener.close()
         handover = self.coordinator._inherited_handover
         self.learned_states = [handover.learned_state if handover is not None else None]
-        await until(lambda: len(self.received_requests) >= request_count)
+        await wait_until(lambda: len(self.received_requests) >= request_count)
         self.coordinator.close()
 
 
@@ -241,10 +241,10 @@
         for store in ("c0", "c1"):  # the second request arrives while the first is being written
             process.register.take_out(store, NOW_MS)
             process.coordinator.share_admin_request(AdminRequest(AdminAction.MAINT, store))
-            await until(write_started.is_set)
+            await wait_until(write_started.is_set)
         assert process.file.read(NAME) is None, "the event loop continues during the write"
         release.set()
-        await until(
+        await wait_until(
             lambda: (stored := process.file.read(NAME)) is not None
             and len(stored.maintenance_started_ms) == 2
         )
@@ -341,7 +341,7 @@
 ) -> None:
     """The old process sent the first attempt, and the new one gets no information about it."""
 
-    @trial
+    @async_test
     async def test() -> None:
         for _ in range(MAX_UPGRADES):
             if await has_upgraded_without_handover(has_earlier):
@@ -358,7 +358,7 @@
     """The old process is stopped (SIGSTOP) while the new one connects. The fault was that the new process
     then accepted a key that the old one had tried as a new key."""
 
-    @trial
+    @async_test
     async def test() -> None:
         origin = Origin()
         async with upgrade(origin, 1) as processes:
--- a/tests/hot_restart/test_keys_across_processes.py
+++ b/tests/hot_restart/test_keys_across_processes.py
@@ -19,7 +19,7 @@
 
 import pytest
 from channel_handler import RecordingHandler
-from harness import CLASSES, Cache, Client, Command, config, hit, trial, until
+from harness import CLASSES, Client, Command, ScriptedCache, async_test, config, hit, wait_until
 
 from gladelane.hot_restart.channel import MAX_UNSENT_BYTES, Channel, Peer
 from gladelane.hot_restart.messages import MAY_HAVE_RUN, NEVER_RAN, Message
@@ -31,7 +31,7 @@
 MAX_IDLE_S = 3.5
 
 
-class Origin(Cache):
+class Origin(ScriptedCache):
     """An origin that does not answer writes, or answers them with `write_answer`. Other requests are hits."""
 
     def __init__(self, write_answer: str = "") -> None:
@@ -72,7 +72,7 @@
         for process in others:
             process.send_signal(signal.SIGSTOP)
         try:
-            client, code = await Client.to(self.director.port), 1
+            client, code = await Client.connect(self.director.port), 1
             while code:  # a process whose event loop is late refuses requests
                 used_s = time.monotonic()
                 self._ask(client, c="film")
@@ -126,7 +126,7 @@
     it was tried.
     """
     with tempfile.TemporaryDirectory() as folder:
-        servers = {"c0": await Cache(hit).start(), "r0": await origin.start()}
+        servers = {"c0": await ScriptedCache(hit).start(), "r0": await origin.start()}
         if has_parent:
             servers["p0"] = "127.0.0.1:1"
         director = Processes(Path(folder), json.loads(config(servers)))
@@ -151,7 +151,7 @@
 def test_no_retry_is_sent_past_the_window_of_a_first_attempt_at_the_other_process(
     first_process: int, retry_process: int, end: str
 ) -> None:
-    @trial
+    @async_test
     async def test() -> None:
         origin = Origin()
         async with upgrade(origin) as processes:
@@ -170,7 +170,7 @@
     test()
 
 
-@trial
+@async_test
 async def test_a_retry_within_the_window_is_sent_and_does_not_extend_the_window() -> None:
     origin = Origin()
     async with upgrade(origin) as processes:
@@ -186,7 +186,7 @@
         assert len(origin.attempt_times_s) == attempt_count
 
 
-@trial
+@async_test
 async def test_a_first_attempt_is_known_after_two_upgrades() -> None:
     origin = Origin()
     async with upgrade(origin, 3) as processes:
@@ -224,18 +224,18 @@
     return Message("order", operation=operation, store="r0", key=f"{number:032x}", at_ms=float(number))
 
 
-@trial
+@async_test
 async def test_messages_that_a_peer_has_not_read_yet_arrive_in_order() -> None:
     received: list[Message] = []
     async with two_channels(received) as (old, _):
         sent = [key_update(number) for number in range(3000)]  # more than the kernel buffers
         for message in sent:
             old.broadcast(message)
-        await until(lambda: len(received) == len(sent))
+        await wait_until(lambda: len(received) == len(sent))
         assert received == sent and old.peer_count == 1
 
 
-@trial
+@async_test
 async def test_a_peer_that_reads_nothing_is_disconnected_but_receives_earlier_messages() -> None:
     received: list[Message] = []
     async with two_channels(received) as (old, new):
@@ -244,11 +244,11 @@
             old.broadcast(key_update(number))
             number += 1
         assert old.peer_count == 0
-        await until(lambda: new.peer_count == 0)
+        await wait_until(lambda: new.peer_count == 0)
         assert received and received == [key_update(number) for number in range(len(received))]
 
 
-@trial
+@async_test
 async def test_messages_sent_before_a_close_are_received_even_after_a_failed_write() -> None:
     received: list[Message] = []
     async with two_channels(received) as (old, new):
@@ -256,11 +256,11 @@
         old.broadcast(key_update(1, NEVER_RAN))
         old.close()
         new.broadcast(key_update(2))  # the peer has closed the socket
-        await until(lambda: new.peer_count == 0)
+        await wait_until(lambda: new.peer_count == 0)
         assert received == [key_update(1), key_update(1, NEVER_RAN)]
 
 
-@trial
+@async_test
 async def test_a_process_of_an_older_version_receives_no_key_updates() -> None:
     received: list[Message] = []
     async with two_channels(received) as (old, _):
@@ -269,5 +269,5 @@
         request = Message("order", operation="maint", store="c0")
         old.broadcast(key_update(1))
         old.broadcast(request)
-        await until(lambda: received)
+        await wait_until(lambda: received)
         assert received == [request]
--- a/tests/hot_restart/test_two_processes.py
+++ b/tests/hot_restart/test_two_processes.py
@@ -13,7 +13,7 @@
 
 import pytest
 from channel_handler import RecordingHandler
-from harness import Cache, Client, config, hit, trial, until
+from harness import Client, ScriptedCache, async_test, config, hit, wait_until
 
 from gladelane.hot_restart.channel import Channel
 from gladelane.hot_restart.decoding import HandoverError
@@ -36,15 +36,15 @@
         await director.end()
 
 
-async def config_with_cache(cache: Cache) -> bytes:
+async def config_with_cache(cache: ScriptedCache) -> bytes:
     """Returns the settings of a director whose only reachable server is this cache."""
     return config({"c0": await cache.start(), "p0": UNREACHABLE, "r0": UNREACHABLE})
 
 
 def run_upgrades(tmp_path: Path, upgrade_count: int, fault: str = "") -> None:
-    @trial
+    @async_test
     async def test() -> None:
-        cache = Cache(hit)
+        cache = ScriptedCache(hit)
         async with running_director(tmp_path, await config_with_cache(cache)) as director:
             load = Load(director.port)
             for _ in range(upgrade_count):
@@ -78,9 +78,9 @@
 
 
 def test_a_failed_start_of_a_new_version_does_not_affect_the_old_one(tmp_path: Path) -> None:
-    @trial
+    @async_test
     async def test() -> None:
-        cache = Cache(hit)
+        cache = ScriptedCache(hit)
         async with running_director(tmp_path, await config_with_cache(cache)) as director:
             load = Load(director.port)
             assert await (await director.start(board="nowhere")).wait() == 1
@@ -111,7 +111,7 @@
         read_message(line, "n0")
 
 
-@trial
+@async_test
 async def test_processes_of_different_directors_do_not_connect() -> None:
     with tempfile.TemporaryDirectory() as folder:
         channels = [Channel(folder, name, RecordingHandler()) for name in ("n0", "n1")]
@@ -127,11 +127,11 @@
         channels[0].close()
 
 
-async def count_requests_to(cache: Cache, port: int, first_object: int) -> int:
+async def count_requests_to(cache: ScriptedCache, port: int, first_object: int) -> int:
     """Sends twenty requests and returns how many reached this cache. Requests that a slow machine refuses are
     repeated."""
-    before = len(cache.seen)
-    client, stream = await Client.to(port), 0
+    before = len(cache.received)
+    client, stream = await Client.connect(port), 0
     for number in range(first_object, first_object + 20):
         code = 1
         while code == 1:
@@ -143,19 +143,19 @@
             await asyncio.sleep(0.02 * code)
         assert code == 0
     client.writer.close()
-    return len(cache.seen) - before
+    return len(cache.received) - before
 
 
-@trial
+@async_test
 async def test_a_second_upgrade_while_the_first_process_still_drains() -> None:
-    slow_cache = Cache(lambda command: None if command[1]["thing"].endswith("ff") else hit(command))
+    slow_cache = ScriptedCache(lambda command: None if command[1]["thing"].endswith("ff") else hit(command))
     with tempfile.TemporaryDirectory() as folder:
         async with running_director(Path(folder), await config_with_cache(slow_cache)) as director:
             first = director.all[0]
-            busy = await Client.to(director.port)
+            busy = await Client.connect(director.port)
             request_count = 0
             # An unanswered request keeps the first process running. A slow machine may refuse it at first.
-            while not slow_cache.seen:
+            while not slow_cache.received:
                 request_count += 1
                 busy.ask(request_count, i=f"aa{request_count:014x}", o="00000000000000ff", d="2500", m="1")
                 await asyncio.sleep(0.1)
@@ -183,13 +183,13 @@
 
 
 def test_an_old_process_that_ends_before_the_new_one_is_ready_loses_no_connection(tmp_path: Path) -> None:
-    @trial
+    @async_test
     async def test() -> None:
-        async with running_director(tmp_path, await config_with_cache(Cache(hit))) as director:
+        async with running_director(tmp_path, await config_with_cache(ScriptedCache(hit))) as director:
             old = director.all[0]
             load = Load(director.port)
             await director.start()
-            await until(lambda: "has the listening socket" in director.log(0), 20.0)
+            await wait_until(lambda: "has the listening socket" in director.log(0), 20.0)
             old.send_signal(signal.SIGTERM)
             await director.serving()
             assert await old.wait() == 0
@@ -212,9 +212,9 @@
     ],
 )
 def test_a_cache_in_maintenance_stays_out_of_service_across_an_upgrade(tmp_path: Path, scenario: str) -> None:
-    @trial
+    @async_test
     async def test() -> None:
-        cache, other_cache = Cache(hit), Cache(hit)
+        cache, other_cache = ScriptedCache(hit), ScriptedCache(hit)
         raw = config(
             {"c0": await cache.start(), "c1": await other_cache.start(), "p0": UNREACHABLE, "r0": UNREACHABLE}
         )
@@ -257,9 +257,9 @@
 
 
 def test_a_drain_is_handed_over_and_can_be_ended_at_the_new_process(tmp_path: Path) -> None:
-    @trial
+    @async_test
     async def test() -> None:
-        async with running_director(tmp_path, await config_with_cache(Cache(hit))) as director:
+        async with running_director(tmp_path, await config_with_cache(ScriptedCache(hit))) as director:
             old = director.all[0]
             assert (await director.call("POST", "/healthcheck/fail"))[0] == 200
             await director.start()
@@ -269,7 +269,7 @@
             for action, code in (("", 1), ("ok", 0), ("fail", 1), ("ok", 0)):
                 if action:
                     assert (await director.call("POST", f"/healthcheck/{action}"))[0] == 200
-                client = await Client.to(director.port)
+                client = await Client.connect(director.port)
                 client.send(32, 0, b"\x00")
                 assert (await client.next())[:3] == (33, 0, code)
 
@@ -277,9 +277,9 @@
 
 
 def test_reloads_are_counted_and_the_admin_endpoint_answers_without_free_descriptors(tmp_path: Path) -> None:
-    @trial
+    @async_test
     async def test() -> None:
-        raw = json.loads(await config_with_cache(Cache(hit)))
+        raw = json.loads(await config_with_cache(ScriptedCache(hit)))
         raw["limits"]["sockets"] = 128
         async with running_director(tmp_path, json.dumps(raw).encode()) as director:
             path, valid_text = tmp_path / "config1.json", (tmp_path / "config1.json").read_text()
@@ -293,12 +293,12 @@
                 path.write_text(text)
                 before = director.log().count("reload")
                 director.all[0].send_signal(signal.SIGHUP)
-                await until(lambda before=before: director.log().count("reload") > before)
+                await wait_until(lambda before=before: director.log().count("reload") > before)
             figures = await director.figures()
             assert (figures["reconfig_ok"], figures["reconfig_failed"]) == (1, 2)
             resource.prlimit(director.all[0].pid, resource.RLIMIT_NOFILE, (128, 128))
             # more connections than the process may have open
-            clients = [await Client.to(director.port) for _ in range(150)]
+            clients = [await Client.connect(director.port) for _ in range(150)]
             callers = [await asyncio.open_connection("127.0.0.1", director.ops[0]) for _ in range(30)]
             for _ in range(10):
                 assert (await director.call("GET", "/healthcheck"))[0] == 200
--- a/tests/lab/test_deployment_findings.py
+++ b/tests/lab/test_deployment_findings.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from conftest import PLAIN, Driver, only, some
+from conftest import BASE_SETTINGS, Driver, actions_of, only_action
 
 from gladelane.lab.deployed import DeployedFleet
 from gladelane.lab.deployment_draw import draw_deployment, draw_stepped
@@ -18,13 +18,13 @@
 ) -> None:
     """Found at seed 1730 of a trial: the only cache breaks the connection, then leaves, and the repeat went
     straight to the origin, which stands in another zone and drops no repeat of that cache's."""
-    row = {**PLAIN["classes"][2], "group": group, "cacheable": True}
+    row = {**BASE_SETTINGS["classes"][2], "group": group, "cacheable": True}
     cache, origin = Member("c0", "edge", "box"), Member("root", "hub", "root", cell=9)
     driver = Driver((cache, origin), classes=[row], straight=True, parent_kind="")
-    first = only(driver.ask(cls="sale"), Fetch)
+    first = only_action(driver.ask(cls="sale"), Fetch)
     assert first.store == "c0"
-    driver.tell(Members(ListKind.CHANGES, (Member("c0", "edge", "box", state=State.DRAINING),)))
-    again = some(driver.answer(first, Status.RESET), Fetch)
+    driver.handle(Members(ListKind.CHANGES, (Member("c0", "edge", "box", state=State.DRAINING),)))
+    again = actions_of(driver.answer(first, Status.RESET), Fetch)
     assert [fetch.store for fetch in again] == (["root"] if goes_straight else [])
 
 
--- a/tests/lab/test_deployment_parts.py
+++ b/tests/lab/test_deployment_parts.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from conftest import PLAIN, settings
+from conftest import BASE_SETTINGS, settings
 
 from gladelane.clock import UnixMs
 from gladelane.discovery.events import Instance, ListChange, WatchEvent
@@ -112,7 +112,7 @@
 def test_repeats_of_a_key_stay_within_its_group(group: str, store: str, sound: bool) -> None:
     found: list[Broken] = []
     watch = monitor(found)
-    row = {**PLAIN["classes"][2], "group": group}
+    row = {**BASE_SETTINGS["classes"][2], "group": group}
     spec = settings(classes=[row]).classes["sale"]
     for number, sent_to in ((1, "c0"), (2, store)):  # two tries of one client
         watch.request("d0", number, spec, 10_000.0, "key")
--- a/tests/lab/test_preload.py
+++ b/tests/lab/test_preload.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from harness import Cache, config, hit
+from harness import ScriptedCache, config, hit
 
 from gladelane.lab.client import Client
 from gladelane.lab.preload.build import compile_library
@@ -122,7 +122,7 @@
     """Which kinds of calls come by the library. Reads, writes and waits of the serving path are libuv's."""
 
     async def scene() -> None:
-        cache = Cache(hit)
+        cache = ScriptedCache(hit)
         director = Processes(tmp_path, json.loads(config({"c0": await cache.start()})), faults.environment())
         try:
             await director.start()
--- a/tests/lab/test_virtual.py
+++ b/tests/lab/test_virtual.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from conftest import PLAIN
+from conftest import BASE_SETTINGS
 
 from gladelane.lab.virtual import Fleet, Plan
 from gladelane.lab.virtual_director import PendingRequest
@@ -19,7 +19,7 @@
 
 
 def plan(**more: Any) -> Plan:
-    settings = Settings.read({**PLAIN, "zone": "z0", "zones": ["hub", "z0", "z1"], "hub_of": [0, 0, 0], "weights": "nominal",
+    settings = Settings.read({**BASE_SETTINGS, "zone": "z0", "zones": ["hub", "z0", "z1"], "hub_of": [0, 0, 0], "weights": "nominal",
                               "seats_by_zone": [0, 1, 1], "proxies": 2, "straight": True})  # fmt: skip
     return Plan(settings, **{"locations": 2, "rate": 60.0, **more})
 
--- a/tests/net/raw_client.py
+++ b/tests/net/raw_client.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from harness import until
+from harness import wait_until
 
 from gladelane.net.client_connection import ClientConnection
 from gladelane.net.client_protocol import FrameDecoder, encode_fields, encode_frame
@@ -67,7 +67,7 @@
         found[:] = [c for c in node.front.connections if c.sock.getpeername() == name]
         return bool(found)
 
-    await until(there)
+    await wait_until(there)
     return found[0]
 
 
--- a/tests/net/test_beyond_configurations.py
+++ b/tests/net/test_beyond_configurations.py
@@ -9,7 +9,7 @@
 
 import pytest
 from conftest import settings as plain_settings
-from harness import Cache, config, hit, mute, running
+from harness import ScriptedCache, config, hit, never_respond, running_director
 from hypothesis import given
 from hypothesis import strategies as st
 from virtual_time import VirtualClock, virtual
@@ -67,9 +67,9 @@
     # the third one took it for known that the class is keyed, and requests without a key were failed
     @virtual
     async def scene(clock: VirtualClock) -> None:
-        cache = Cache(hit)
+        cache = ScriptedCache(hit)
         places = {"c0": await cache.start(), "r0": REFUSED}
-        async with running(config(places)) as (node, client):
+        async with running_director(config(places)) as (node, client):
             node.reload(configured(places, Effect.KEYED))
             await asyncio.sleep(gap_s)
             node.reload(configured(places, Effect.KEYED, max_attempts=3))
@@ -90,14 +90,14 @@
 
 @virtual
 async def test_a_second_copy_waits_until_all_go_by_the_file_that_permits_it(clock: VirtualClock) -> None:
-    caches = [Cache(mute), Cache(mute)]
+    caches = [ScriptedCache(never_respond), ScriptedCache(never_respond)]
     places = {**{f"c{n}": await cache.start() for n, cache in enumerate(caches)}, "r0": REFUSED}
-    async with running(config(places, may_duplicate=False)) as (node, client):
+    async with running_director(config(places, may_duplicate=False)) as (node, client):
         node.reload(read_config(config(places, may_duplicate=True)))
         client.ask(1, d="1000")
         assert (await client.next())[2] == 1
-        assert sum(len(cache.seen) for cache in caches) == 1
+        assert sum(len(cache.received) for cache in caches) == 1
         await asyncio.sleep(1.6)
         client.ask(2, d="1000", i=f"{2:016x}")
         assert (await client.next())[2] == 1
-        assert sum(len(cache.seen) for cache in caches) == 3
+        assert sum(len(cache.received) for cache in caches) == 3
--- a/tests/net/test_beyond_crossing.py
+++ b/tests/net/test_beyond_crossing.py
@@ -9,7 +9,7 @@
 from enum import Enum, auto
 
 import pytest
-from harness import Cache, config, hit, running, trial, until
+from harness import ScriptedCache, async_test, config, hit, running_director, wait_until
 from raw_client import Raw, connected, request
 
 import gladelane.net.client_listener as front_module
@@ -63,17 +63,17 @@
 def test_a_request_that_crosses_the_end_is_answered_whole_or_not_sent_on(
     ending: Ending, moment: Moment
 ) -> None:
-    @trial
+    @async_test
     async def scene() -> None:
-        cache = Cache(hit)
+        cache = ScriptedCache(hit)
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(front_module, "CLOSE_S", 1.0)
-            async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, other):
+            async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, other):
                 raw = Raw(node)
                 conn = await connected(node, raw)
                 if ending is not Ending.NEVER_ASKED:
                     raw.send(request(1))
-                    await until(lambda: len(cache.seen) == 1 and not conn.open)
+                    await wait_until(lambda: len(cache.received) == 1 and not conn.open)
                 crossing = bytes(request(2, i=f"{2:016x}"))
                 if moment is Moment.BEFORE and ending is not Ending.ERROR:
                     raw.send(crossing)
@@ -81,7 +81,7 @@
                     conn.unread = once(conn.unread, lambda: raw.send(crossing))  # type: ignore[method-assign]
                 end(node, conn, raw, ending)
                 if moment is Moment.AFTER or ending is Ending.ERROR:
-                    await until(lambda: conn.shut_ms or not conn.is_idle() or conn.open)
+                    await wait_until(lambda: conn.shut_ms or not conn.is_idle() or conn.open)
                     raw.send(crossing)
                 await asyncio.sleep(0.05)
                 conn.stop_taking()  # where it was not ended, since the request was seen
@@ -91,7 +91,7 @@
                     payload for type_, stream, payload in frames if (type_, stream) == (Type.ANSWER, 2)
                 ]
                 assert how == "end of file" and len(answers) <= 1
-                sent_on = [command for command in cache.seen if command[0] == f"{2:016x}"]
+                sent_on = [command for command in cache.received if command[0] == f"{2:016x}"]
                 assert len(sent_on) == len(answers)
                 assert all(payload[0] == 0 for payload in answers)
                 if moment is Moment.BEFORE and ending not in (Ending.SHUTDOWN, Ending.ERROR):
--- a/tests/net/test_beyond_discovery.py
+++ b/tests/net/test_beyond_discovery.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from harness import Cache, Client, Command, config, hit, running, trial, until
+from harness import Client, Command, ScriptedCache, async_test, config, hit, running_director, wait_until
 from virtual_time import VirtualClock, virtual
 
 import gladelane.discovery.client as board_module
@@ -140,19 +140,19 @@
 def test_requests_go_on_through_a_long_outage_and_nothing_is_missed_at_its_end(state: State) -> None:
     @virtual
     async def scene(clock: VirtualClock) -> None:
-        cache, other, discovery = Cache(hit), Cache(fetched_now), Discovery()
+        cache, other, discovery = ScriptedCache(hit), ScriptedCache(fetched_now), Discovery()
         address = await cache.start()
         raw = config({"c0": address, "r0": REFUSED}, await discovery.start())
-        async with running(raw) as (node, first):
+        async with running_director(raw) as (node, first):
             assert await asked(first, 1) == 0
-            await until(lambda: discovery.calls_s)
+            await wait_until(lambda: discovery.calls_s)
             await discovery.become(state)
             began_s, calls = clock.elapsed_s, len(discovery.calls_s)
             while clock.elapsed_s < began_s + OUTAGE_S:
                 clock.is_quiet = True
                 await asyncio.sleep(OUTAGE_S / 4)
                 clock.is_quiet = False
-                client = await Client.to(node.port)
+                client = await Client.connect(node.port)
                 assert await asked(client, 1) == 0
                 client.writer.close()
             # meanwhile one cache was replaced by another, and a purge was told
@@ -162,12 +162,12 @@
             calls = len(discovery.calls_s) - calls
             await discovery.become(State.UP)
             back_s = clock.elapsed_s
-            await until(lambda: node.director.rev == last, TOLD_S)
+            await wait_until(lambda: node.director.rev == last, TOLD_S)
             assert clock.elapsed_s - back_s < TOLD_S
-            client = await Client.to(node.port)
-            before = len(other.seen)
+            client = await Client.connect(node.port)
+            before = len(other.received)
             assert await asked(client, 1) == 0
-            assert len(other.seen) == before + 1 and "accept" in other.seen[-1][1]
+            assert len(other.received) == before + 1 and "accept" in other.received[-1][1]
             # each call comes a backoff after the last at the soonest, half of it by chance
             assert calls < OUTAGE_S / (board_module.BACKOFF_MOST_S / 2)
             client.writer.close()
@@ -176,12 +176,12 @@
     scene()
 
 
-@trial
+@async_test
 async def test_a_burst_of_events_holds_up_no_turn_of_the_loop() -> None:
     # 500 changes of a list of 200 caches were applied in one turn of 150 ms, of 3,200 caches in one of 1.4 s:
     # past 150 ms behind every request is turned away
     discovery = Discovery()
-    async with running(config({"r0": REFUSED}, await discovery.start())) as (node, _):
+    async with running_director(config({"r0": REFUSED}, await discovery.start())) as (node, _):
         turns = [0]
         notice = node.director.apply_watch_event
 
@@ -202,7 +202,7 @@
         await discovery.become(State.REFUSES)
 
 
-@trial
+@async_test
 async def test_a_burst_counts_as_heard_once_all_of_it_is_applied() -> None:
     # who acts on what was heard would act on a view that lacks the rest of it
     discovery = Discovery()
@@ -218,7 +218,7 @@
     board = DiscoveryClient(host, int(port), lambda: revisions[-1], slowly, random.Random(1))
     board.heard = lambda _: heard_at.append(revisions[-1])
     task = asyncio.create_task(board.run())
-    await until(lambda: heard_at and revisions[-1] == last)
+    await wait_until(lambda: heard_at and revisions[-1] == last)
     task.cancel()
     assert set(heard_at) == {last}
     await discovery.become(State.REFUSES)
@@ -268,9 +268,9 @@
         discovery = SlowDiscovery(how)
         for number in range(3):
             last = discovery.tell(flush={"collection": number, "ms": 1})
-        async with running(config({"r0": REFUSED}, await discovery.start())) as (node, _):
+        async with running_director(config({"r0": REFUSED}, await discovery.start())) as (node, _):
             clock.is_quiet = True  # what is waited for is a timer of one side or the other
-            await until(lambda: node.director.rev == last, 30.0)
+            await wait_until(lambda: node.director.rev == last, 30.0)
             await discovery.become(State.REFUSES)
 
     scene()
@@ -284,18 +284,18 @@
     pool = json.loads(config({**stores, "r0": REFUSED}))["known"]["notices"][0]["pool"]
     last = discovery.tell(pool=pool)
     assert len(discovery.events[0]) > 50_000  # in 80 pieces within 4 s
-    async with running(config({"r0": REFUSED}, await discovery.start())) as (node, _):
+    async with running_director(config({"r0": REFUSED}, await discovery.start())) as (node, _):
         clock.is_quiet = True
-        await until(lambda: node.director.rev == last, 30.0)
+        await wait_until(lambda: node.director.rev == last, 30.0)
         assert len(discovery.calls_s) == 1 and len(node.director.known_endpoints()) == 401
         await discovery.become(State.REFUSES)
 
 
-@trial
+@async_test
 async def test_moves_of_discovery_in_the_middle_of_a_burst_miss_and_repeat_nothing() -> None:
     first, second = Discovery(), Discovery()
     addresses = [await first.start(), await second.start()]
-    async with running(config({"r0": REFUSED}, addresses[0])) as (node, _):
+    async with running_director(config({"r0": REFUSED}, addresses[0])) as (node, _):
         known: list[int] = []
         notice = node.director.apply_watch_event
 
--- a/tests/net/test_beyond_idle.py
+++ b/tests/net/test_beyond_idle.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from harness import Cache, Client, config, hit, mute, running, until
+from harness import Client, ScriptedCache, config, hit, never_respond, running_director, wait_until
 from virtual_time import VirtualClock, virtual
 
 from gladelane.lab.fleet.relay import reset
@@ -27,7 +27,7 @@
     SILENT = auto()  # what comes is answered with nothing
 
 
-class ForgetfulCache(Cache):
+class ForgetfulCache(ScriptedCache):
     """Answers what comes on new connections."""
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
 
     def forget(self, trouble: Trouble) -> None:
         self.trouble = trouble
-        self.forgotten = {writer for writer in self.conns if not writer.is_closing()}
+        self.forgotten = {writer for writer in self.connections if not writer.is_closing()}
         for writer in self.forgotten:
             if trouble is Trouble.CLOSED:
                 writer.close()
@@ -45,15 +45,15 @@
                 reset(writer)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.conns.append(writer)
+        self.connections.append(writer)
         try:
             while line := (await reader.readline()).decode().split():
                 if line[0] == "abort":
                     continue
                 body = (await reader.readexactly(int(line[3]) + 2))[:-2]
-                self.seen.append((line[1], dict(pair.split("=", 1) for pair in line[2].split(",")), body))
+                self.received.append((line[1], dict(pair.split("=", 1) for pair in line[2].split(",")), body))
                 if writer not in self.forgotten:
-                    head, content = hit(self.seen[-1]) or ("", b"")
+                    head, content = hit(self.received[-1]) or ("", b"")
                     writer.write(f"{line[1]} {head} {len(content)}\r\n".encode() + content + b"\r\n")
                 elif self.trouble is Trouble.RESET_AT_WRITE:
                     reset(writer)
@@ -101,19 +101,19 @@
     @virtual
     async def scene(clock: VirtualClock) -> None:
         cache = ForgetfulCache()
-        async with running(three_classes(await cache.start())) as (node, client):
+        async with running_director(three_classes(await cache.start())) as (node, client):
             client.ask(1, c=cls, k="aa")
             assert (await client.next())[:3] == (17, 1, SERVED)
             await rest(clock)
             cache.forget(trouble)
-            late = await Client.to(node.port)  # the first one's connection has rested, too
+            late = await Client.connect(node.port)  # the first one's connection has rested, too
             asked_s = clock.elapsed_s
             late.ask(1, i=f"{2:016x}", c=cls, k="bb")
             assert (await late.next())[:3] == (17, 1, code)
             assert clock.elapsed_s - asked_s <= most_s
-            assert await late.silent()
+            assert await late.receives_nothing()
             if cls == "order":
-                assert [command[0] for command in cache.seen] == [f"{n:016x}" for n in (1, 2)]
+                assert [command[0] for command in cache.received] == [f"{n:016x}" for n in (1, 2)]
             late.writer.close()
 
     scene()
@@ -124,14 +124,14 @@
     @virtual
     async def scene(clock: VirtualClock) -> None:
         cache = ForgetfulCache()
-        async with running(three_classes(await cache.start())) as (node, client):
+        async with running_director(three_classes(await cache.start())) as (node, client):
             for stream in range(1, 21):
                 client.ask(stream, c=cls, k=f"{stream:032x}", o=f"{stream:016x}")
             for _ in range(20):
                 assert (await client.next())[2] == SERVED
             await rest(clock)
             cache.forget(Trouble.RESET)
-            late = await Client.to(node.port)
+            late = await Client.connect(node.port)
             for stream in range(1, 21):
                 late.ask(stream, i=f"{99 + stream:016x}", c=cls, k=f"{99 + stream:032x}", o=f"{stream:016x}")
             answered = [await late.next() for _ in range(20)]
@@ -148,17 +148,17 @@
 
 @virtual
 async def test_a_second_copy_that_is_refused_at_once_leaves_the_first_its_time(clock: VirtualClock) -> None:
-    first = Cache(mute)
-    async with running(config({"c0": await first.start(), "r0": REFUSED})) as (node, client):
+    first = ScriptedCache(never_respond)
+    async with running_director(config({"c0": await first.start(), "r0": REFUSED})) as (node, client):
         client.ask(1)
-        await until(lambda: first.seen)
-        attempt = first.seen[0][0]
+        await wait_until(lambda: first.received)
+        attempt = first.received[0][0]
         first.server.close()  # the second copy wants a connection of its own, and is refused
         await asyncio.sleep(1.0)
-        assert len(first.seen) == 1 and len(node.director.live) == 1
-        first.conns[0].write(f"{attempt} served digest=aa,dated=1,remark=h 2\r\nok\r\n".encode())
+        assert len(first.received) == 1 and len(node.director.live) == 1
+        first.connections[0].write(f"{attempt} served digest=aa,dated=1,remark=h 2\r\nok\r\n".encode())
         assert (await client.next())[:3] == (17, 1, SERVED)
-        assert await client.silent() and not node.director.live
+        assert await client.receives_nothing() and not node.director.live
 
 
 @pytest.mark.parametrize("second", ["refused", "overloaded", "reset"])
@@ -166,9 +166,12 @@
 def test_attempts_that_all_fail_at_once_get_one_answer_at_once(cls: str, second: str) -> None:
     @virtual
     async def scene(clock: VirtualClock) -> None:
-        cache = ForgetfulCache() if second == "reset" else Cache(overloaded)
+        cache = ForgetfulCache() if second == "reset" else ScriptedCache(overloaded)
         address = await cache.start()
-        async with running(three_classes(REFUSED if second == "refused" else address)) as (node, client):
+        async with running_director(three_classes(REFUSED if second == "refused" else address)) as (
+            node,
+            client,
+        ):
             if isinstance(cache, ForgetfulCache):
                 cache.trouble, cache.forgotten = Trouble.RESET_AT_WRITE, Always()
             asked_s = clock.elapsed_s
@@ -178,7 +181,7 @@
             # a refusing origin is asked again for a part of the time by classes that only it can answer
             most_s = 1.0 if cls != "film" and second == "overloaded" else AT_ONCE_S
             assert clock.elapsed_s - asked_s <= most_s
-            assert await client.silent() and not node.director.live
+            assert await client.receives_nothing() and not node.director.live
 
     scene()
 
@@ -192,7 +195,7 @@
 
 async def ask_once(port: int, number: int, cls: str, wait_ms: int = 2000) -> int:
     """The code of the answer to one request of a client of its own."""
-    client = await Client.to(port)
+    client = await Client.connect(port)
     client.ask(1, i=f"{number:016x}", o=f"{number:016x}", c=cls, k=f"{number:032x}", d=str(wait_ms))
     code = (await client.next())[2]
     client.writer.close()
@@ -207,7 +210,7 @@
         caches = [ForgetfulCache() for _ in range(6)]
         places = {f"c{number}": await cache.start() for number, cache in enumerate(caches)}
         raw = config({**places, "r0": REFUSED}, may_duplicate=second_copies)
-        async with running(raw) as (node, _):
+        async with running_director(raw) as (node, _):
             first = [ask_once(node.port, number, "film") for number in range(40)]
             assert set(await asyncio.gather(*first)) == {SERVED}
             await rest(clock)
@@ -229,12 +232,15 @@
     # what may not be sent again is never given up for it; what may is only where later ones are answered
     @virtual
     async def scene(clock: VirtualClock) -> None:
-        cache = Cache(lambda command: None if command[1]["nth"] == "9" else hit(command))
-        async with running(three_classes(await cache.start(), may_duplicate=False)) as (node, client):
+        cache = ScriptedCache(lambda command: None if command[1]["nth"] == "9" else hit(command))
+        async with running_director(three_classes(await cache.start(), may_duplicate=False)) as (
+            node,
+            client,
+        ):
             client.ask(1, c=cls)
             assert (await client.next())[2] == SERVED
             await rest(clock)
-            slow = await Client.to(node.port)
+            slow = await Client.connect(node.port)
             slow.ask(1, i=f"{2:016x}", c=cls, chunk="9", d="3000")
             await asyncio.sleep(0.4)
             other = (
@@ -242,10 +248,10 @@
             )
             assert await asyncio.gather(*other) == [SERVED] * len(other)
             await asyncio.sleep(1.6)
-            (writer,) = cache.conns[:1]
+            (writer,) = cache.connections[:1]
             writer.write(f"{2:016x} served digest=aa,dated=1,remark=h 4\r\nslow\r\n".encode())
             assert (await slow.next())[2:] == (SERVED, {}, b"slow")
-            assert [command[0] for command in cache.seen].count(f"{2:016x}") == 1
+            assert [command[0] for command in cache.received].count(f"{2:016x}") == 1
             slow.writer.close()
 
     scene()
@@ -255,7 +261,10 @@
 async def test_a_connection_that_was_forgotten_says_nothing_of_its_address(clock: VirtualClock) -> None:
     # where a store has further addresses this one would have been passed over as if it had stalled
     cache = ForgetfulCache()
-    async with running(config({"c0": await cache.start(), "r0": REFUSED}, may_duplicate=False)) as (node, _):
+    async with running_director(config({"c0": await cache.start(), "r0": REFUSED}, may_duplicate=False)) as (
+        node,
+        _,
+    ):
         assert await ask_once(node.port, 1, "film") == SERVED
         await rest(clock)
         cache.forget(Trouble.SILENT)
@@ -268,4 +277,4 @@
         codes = await asyncio.gather(*asked)
         # of those that came within a quarter of a second all but the first one have to wait it out
         assert codes.count(SERVED) >= 18
-        assert not stalled and len(cache.conns) == 2
+        assert not stalled and len(cache.connections) == 2
--- a/tests/net/test_beyond_short.py
+++ b/tests/net/test_beyond_short.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from harness import Cache, Client, Command, config, hit, running
+from harness import Client, Command, ScriptedCache, config, hit, running_director
 from virtual_time import VirtualClock, virtual
 
 from gladelane.net.client_protocol import Type
@@ -24,16 +24,16 @@
 def test_requests_with_1_to_60_ms_left_get_one_answer_each_in_time(cls: str) -> None:
     @virtual
     async def scene(clock: VirtualClock) -> None:
-        cache = Cache(drops_short)
+        cache = ScriptedCache(drops_short)
         address = await cache.start()
-        async with running(config({"c0": address, "r0": address})) as (node, client):
+        async with running_director(config({"c0": address, "r0": address})) as (node, client):
             for left_ms in range(1, SHORT_MS + 1):
                 asked_s = clock.elapsed_s
                 client.ask(left_ms, c=cls, k=f"{left_ms:032x}", d=str(left_ms))
                 type_, stream, code, *_ = await client.next()
                 assert (type_, stream) == (Type.ANSWER, left_ms) and code in (1, 2)
                 assert clock.elapsed_s - asked_s < left_ms / 1000.0 + LATE_S
-            assert await client.silent() and not node.director.live
+            assert await client.receives_nothing() and not node.director.live
 
     scene()
 
@@ -42,29 +42,29 @@
 async def test_short_requests_that_a_cache_drops_cost_it_neither_its_connection_nor_others_their_answer(
     clock: VirtualClock,
 ) -> None:
-    cache = Cache(drops_short)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+    cache = ScriptedCache(drops_short)
+    async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
         client.ask(1)
         assert (await client.next())[2] == 0
         for stream in range(2, 12):
             client.ask(stream, d=str(SHORT_MS - 10))
             assert (await client.next())[:3] == (17, stream, 1)
-        assert len(cache.seen) == 11
+        assert len(cache.received) == 11
         assert not node.director.router.stores["c0"].resting(node.clock.now())
         client.ask(12)
         assert (await client.next())[:3] == (17, 12, 0)
-        assert len(cache.conns) == 1
+        assert len(cache.connections) == 1
 
 
 @virtual
 async def test_a_cache_that_has_gone_silent_is_left_also_when_most_requests_are_short(
     clock: VirtualClock,
 ) -> None:
-    cache = Cache(lambda command: hit(command) if len(cache.seen) < 2 else None)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+    cache = ScriptedCache(lambda command: hit(command) if len(cache.received) < 2 else None)
+    async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
         client.ask(1)
         assert (await client.next())[2] == 0
-        clients = [await Client.to(node.port) for _ in range(3)]
+        clients = [await Client.connect(node.port) for _ in range(3)]
         for stream, one in enumerate(clients, 2):
             one.ask(stream, d="400")
         for one in clients:
--- a/tests/net/test_beyond_signals.py
+++ b/tests/net/test_beyond_signals.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 import pytest
-from harness import Cache, Client, config, hit, mute, until
+from harness import Client, ScriptedCache, config, hit, never_respond, wait_until
 from test_beyond_discovery import Discovery, State
 
 from gladelane.lab.free_ports import free_port
@@ -103,20 +103,20 @@
     tmp_path: Path,
 ) -> None:
     async def scene() -> None:
-        cache, loop = Cache(mute), asyncio.get_running_loop()
+        cache, loop = ScriptedCache(never_respond), asyncio.get_running_loop()
         async with started(short_deadlines({"c0": await cache.start(), "r0": REFUSED}), tmp_path) as running:
             await running.ready()
-            kept = [await Client.to(running.port) for _ in range(4)]
+            kept = [await Client.connect(running.port) for _ in range(4)]
             for client in kept:
                 client.ask(1, d="1000")
-            await until(lambda: len(cache.seen) >= 4)
+            await wait_until(lambda: len(cache.received) >= 4)
             running.signal(signal.SIGTERM)
             began_s = loop.time()
             streams = {client: 1 for client in kept}
             while loop.time() - began_s < 0.6:
                 await asyncio.sleep(0.05)
                 if loop.time() - began_s < 0.4:
-                    kept.append(await Client.to(running.port))
+                    kept.append(await Client.connect(running.port))
                     streams[kept[-1]] = 0
                 for client in kept:
                     streams[client] += 1
@@ -169,7 +169,9 @@
         command = "/bin/sh", "-c", run.replace(".venv/bin/python", sys.executable)
         async with started(short_deadlines({"r0": REFUSED}, places[0]), tmp_path, command) as running:
             program = Path(f"/proc/{running.process.pid}/cmdline")
-            await until(lambda: b"-c" not in program.read_bytes().split(b"\0"))  # the shell has given way
+            await wait_until(
+                lambda: b"-c" not in program.read_bytes().split(b"\0")
+            )  # the shell has given way
             await asyncio.sleep(after_s)
             running.configure(
                 json.dumps(
@@ -178,7 +180,7 @@
             )
             running.signal(signal.SIGHUP)
             await running.ready()
-            await until(lambda: discoveries[1].calls_s)
+            await wait_until(lambda: discoveries[1].calls_s)
             running.signal(signal.SIGTERM)
             assert await running.ended() == 0 and "Traceback" not in running.log
             for one in discoveries:
@@ -190,10 +192,10 @@
 def test_signals_that_come_again_and_again_change_nothing_of_an_end(tmp_path: Path) -> None:
     # the last of them met a process that had given its handlers back, and was its end
     async def scene() -> None:
-        cache = Cache(hit)
+        cache = ScriptedCache(hit)
         async with started(short_deadlines({"c0": await cache.start(), "r0": REFUSED}), tmp_path) as running:
             await running.ready()
-            client = await Client.to(running.port)
+            client = await Client.connect(running.port)
             client.ask(1)
             assert await code_of(client, 1) == 0
             running.signal(signal.SIGTERM)
@@ -211,14 +213,14 @@
 
 def test_a_process_told_to_end_while_all_caches_drain_answers_what_it_has_taken(tmp_path: Path) -> None:
     async def scene() -> None:
-        cache, origin, discovery = Cache(hit), Cache(hit), Discovery()
+        cache, origin, discovery = ScriptedCache(hit), ScriptedCache(hit), Discovery()
         address = await cache.start()
         stores = {"c0": address, "r0": await origin.start()}
         raw = short_deadlines(stores, await discovery.start())
         async with started(raw, tmp_path) as running:
             await running.ready()
-            await until(lambda: discovery.calls_s)
-            clients = [await Client.to(running.port) for _ in range(8)]
+            await wait_until(lambda: discovery.calls_s)
+            clients = [await Client.connect(running.port) for _ in range(8)]
             for stream in range(1, 31):
                 if stream == 10:
                     discovery.tell_state("c0", "terminating", address)
@@ -240,7 +242,7 @@
 
 def test_configurations_in_a_row_leave_the_last_good_one(tmp_path: Path) -> None:
     async def scene() -> None:
-        cache = Cache(hit)
+        cache = ScriptedCache(hit)
         discoveries = [Discovery() for _ in range(4)]
         places = [await one.start() for one in discoveries]
         stores = {"c0": await cache.start(), "r0": REFUSED}
@@ -252,7 +254,7 @@
                 raw["settings"]["limits"].update(changes)
                 return json.dumps(raw).encode()
 
-            client = await Client.to(running.port)
+            client = await Client.connect(running.port)
             good = [text(places[1 + n % 2], max_attempts=2 + n % 5) for n in range(8)] + [text(places[3])]
             stream = 0
             for whole in good:
@@ -269,9 +271,9 @@
                     code = await code_of(client, stream)
                     assert code in (0, 1) and stream < 200
                     await asyncio.sleep(0.01 * code)
-            await until(lambda: discoveries[3].calls_s)
+            await wait_until(lambda: discoveries[3].calls_s)
             discoveries[3].tell(flush={"collection": 17, "ms": int(time.time() * 1000.0)})
-            while "accept" not in cache.seen[-1][1]:  # what is told there is heard
+            while "accept" not in cache.received[-1][1]:  # what is told there is heard
                 stream += 1
                 client.ask(stream, i=f"{stream:016x}")
                 await code_of(client, stream)
--- a/tests/net/test_beyond_together.py
+++ b/tests/net/test_beyond_together.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 import pytest
-from harness import Client, config, running, until
+from harness import Client, config, running_director, wait_until
 from test_beyond_discovery import Discovery, State
 from test_beyond_idle import ForgetfulCache, Trouble, three_classes
 from virtual_time import VirtualClock, virtual
@@ -40,7 +40,7 @@
         self.hangs = False
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.conns.append(writer)
+        self.connections.append(writer)
         try:
             while line := (await reader.readline()).decode().split():
                 if line[0] != "fetch":
@@ -127,7 +127,7 @@
         """None: the connection ended instead."""
         try:
             if self.client is None:
-                self.client, self.stream = await Client.to(self.node.port), 0
+                self.client, self.stream = await Client.connect(self.node.port), 0
             self.stream += 1
             self.client.ask(self.stream, i=id_, c=cls, k=id_, o=id_, d=str(wait_ms))
             while True:
@@ -183,14 +183,14 @@
         discovery = [Discovery(), Discovery()]
         boards = [await one.start() for one in discovery]
         raws = [configured(stores, board, most) for board in boards for most in (2, 4)]
-        async with running(raws[0]) as (node, first):
+        async with running_director(raws[0]) as (node, first):
             first.writer.close()
             task = asyncio.create_task(trouble(rng, node, [*caches, origin, origin], discovery, raws))
             until_s = time.monotonic() + DAY_S
             clients = [DayClient(number, node, day, seed) for number in range(CLIENTS)]
             await asyncio.gather(*(client.live(until_s) for client in clients))
             task.cancel()
-            await until(lambda: not node.director.live)
+            await wait_until(lambda: not node.director.live)
             for one in discovery:
                 await one.become(State.REFUSES)
         day.judge()
--- a/tests/net/test_board_crossings.py
+++ b/tests/net/test_board_crossings.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from harness import config, running, trial, until
+from harness import async_test, config, running_director, wait_until
 
 import gladelane.discovery.client as board_module
 import gladelane.sse as sse_module
@@ -79,13 +79,13 @@
         "event": (HEADERS + b"data: {", b" "),
     }[half]
 
-    @trial
+    @async_test
     async def scene() -> None:
         feed = Feed(endless(start, piece), told)
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(board_module, "SILENT_S", 0.3)
             patch.setattr(board_module, "ANSWER_S", 0.3)
-            async with running(config({"r0": REFUSED})) as (node, _):
+            async with running_director(config({"r0": REFUSED})) as (node, _):
                 board = DiscoveryClient(
                     *await feed.start(),
                     lambda: node.director.rev,
@@ -93,7 +93,7 @@
                     random.Random(1),
                 )
                 task = asyncio.create_task(board.run())
-                await until(lambda: node.director.rev == 2)
+                await wait_until(lambda: node.director.rev == 2)
                 task.cancel()
                 assert feed.asked[:2] == [1, 1]
 
@@ -112,7 +112,7 @@
     node.follow_discovery()
 
 
-@trial
+@async_test
 async def test_a_move_while_an_event_is_half_read_loses_and_mixes_nothing() -> None:
     # ruled out as it was: the old watch ends in the turn of the move, the new one asks from what is known
     goes_on = asyncio.Event()
@@ -127,16 +127,16 @@
         await asyncio.sleep(5.0)
 
     first, second = Feed(half), Feed(rest)
-    async with running(config({"r0": REFUSED})) as (node, _):
+    async with running_director(config({"r0": REFUSED})) as (node, _):
         await follow(node, await first.start())
-        await until(lambda: node.director.rev == 2)
+        await wait_until(lambda: node.director.rev == 2)
         await follow(node, await second.start())
         goes_on.set()
-        await until(lambda: node.director.rev == 4 and first.over)
+        await wait_until(lambda: node.director.rev == 4 and first.over)
         assert second.asked == [2] and node.director.rev == 4
 
 
-@trial
+@async_test
 async def test_a_move_while_a_dial_is_under_way_leaves_one_watch() -> None:
     # the first board's queue is full: its dial hangs
     import socket
@@ -149,11 +149,11 @@
         filler.connect_ex(hung.getsockname())
         fillers.append(filler)
     feed = Feed(told)
-    async with running(config({"r0": REFUSED})) as (node, _):
+    async with running_director(config({"r0": REFUSED})) as (node, _):
         await follow(node, hung.getsockname())
         await asyncio.sleep(0)
         await follow(node, await feed.start())
-        await until(lambda: node.director.rev == 2)
+        await wait_until(lambda: node.director.rev == 2)
         assert feed.asked == [1]
     for sock in (*fillers, hung):
         sock.close()
@@ -170,7 +170,7 @@
     return {instance.instance_id for instance in whole.instances} if whole is not None else set()
 
 
-@trial
+@async_test
 async def test_a_whole_list_in_pieces_holds_as_a_whole_and_drops_what_it_lacks() -> None:
     # ruled out as it was: no half of a list is acted on, and one that has shrunk takes stores away
     goes_on = asyncio.Event()
@@ -185,20 +185,20 @@
         await asyncio.sleep(5.0)
 
     feed = Feed(play)
-    async with running(config({"c0": REFUSED, "c1": REFUSED, "r0": REFUSED})) as (node, _):
+    async with running_director(config({"c0": REFUSED, "c1": REFUSED, "r0": REFUSED})) as (node, _):
         await follow(node, await feed.start())
-        await until(lambda: feed.asked)
+        await wait_until(lambda: feed.asked)
         await asyncio.sleep(0.1)
         assert node.director.rev == 1 and listed(node) == {"c0", "c1", "r0"}
         goes_on.set()
-        await until(lambda: node.director.rev == 2)
+        await wait_until(lambda: node.director.rev == 2)
         assert listed(node) == {"c1", "r0"}
 
 
 def test_a_silence_in_the_middle_of_a_list_ends_the_watch_and_its_half_is_forgotten() -> None:
     # ruled out as it was: the next call asks from what is known, and its bytes join no half of the last one's
 
-    @trial
+    @async_test
     async def scene() -> None:
         async def half(writer: asyncio.StreamWriter) -> None:
             writer.write(HEADERS + pool(2, "r0")[:-30])
@@ -211,9 +211,9 @@
         feed = Feed(half, rest)
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(board_module, "SILENT_S", 0.3)
-            async with running(config({"c0": REFUSED, "r0": REFUSED})) as (node, _):
+            async with running_director(config({"c0": REFUSED, "r0": REFUSED})) as (node, _):
                 await follow(node, await feed.start())
-                await until(lambda: node.director.rev == 3)
+                await wait_until(lambda: node.director.rev == 3)
                 assert feed.asked[:2] == [1, 1]
                 assert listed(node) == {"c1", "r0"}
 
@@ -241,7 +241,7 @@
     all the same, and what was applied vouches for nothing."""
     monkeypatch.setattr(board_module, "SILENT_S", 0.2)
 
-    @trial
+    @async_test
     async def scene() -> None:
         heard: list[int] = []
         vouched: list[float] = []
@@ -261,7 +261,7 @@
         clock = [0.0]
         board.steady, board.heard = lambda: clock[0], vouched.append
         watch = asyncio.create_task(board.run())
-        await until(lambda: heard == [2])
+        await wait_until(lambda: heard == [2])
         writer = feed.writers[0]
         writer.write(event(3))
         time.sleep(0.5)  # the whole process, past the silence that ends a watch
@@ -271,7 +271,7 @@
         await asyncio.sleep(board_module.UNREAD_S / 2)
         assert heard == [2, 3] and feed.asked == [0]
         if steady_ms:
-            await until(lambda: len(feed.asked) == 2)
+            await wait_until(lambda: len(feed.asked) == 2)
             assert len(vouched) == marks or vouched[-1] >= steady_ms
         watch.cancel()
 
--- a/tests/net/test_cache_crossings.py
+++ b/tests/net/test_cache_crossings.py
@@ -7,7 +7,16 @@
 import socket
 
 import pytest
-from harness import Cache, Client, config, hit, mute, running, trial, until
+from harness import (
+    Client,
+    ScriptedCache,
+    async_test,
+    config,
+    hit,
+    never_respond,
+    running_director,
+    wait_until,
+)
 from raw_cache import OK, Peer, ask, asked, heard, only
 
 import gladelane.net.carried_attempts as attempts_module
@@ -17,11 +26,11 @@
 REFUSED = "127.0.0.1:1"
 
 
-@trial
+@async_test
 async def test_a_request_does_not_go_into_a_close_of_the_cache_that_was_not_read_yet() -> None:
     # it counted as run: a keyed one could be answered no better than by a failure
     peer = Peer()
-    async with running(config({"c0": peer.address, "r0": REFUSED})) as (node, client):
+    async with running_director(config({"c0": peer.address, "r0": REFUSED})) as (node, client):
         client.ask(1)
         first = await peer.accepted()
         await heard(first, b"\r\n")
@@ -33,21 +42,21 @@
         second = await peer.accepted()
         await heard(second, b"\r\n")
         second.send(OK % (b"%016x" % 2, 2, b"ok"))
-        await until(lambda: [final.code for final in finals] == [0])
+        await wait_until(lambda: [final.code for final in finals] == [0])
         assert node.director.metrics.backend_calls == 2
         second.close()
 
 
-@trial
+@async_test
 async def test_an_answer_that_has_come_is_read_before_its_connection_is_cut() -> None:
     # the sweep cancelled the reading task, and what lay in its reader or the system went with it
     peer = Peer()
-    async with running(config({"c0": peer.address, "r0": REFUSED})) as (node, client):
+    async with running_director(config({"c0": peer.address, "r0": REFUSED})) as (node, client):
         sock = await asked(peer, client)
         whole = OK % (b"%016x" % 1, 2, b"ok")
         sock.send(whole[:20])
         conn = only(node, "c0")
-        await until(lambda: conn.decoder.pending())
+        await wait_until(lambda: conn.decoder.pending())
         sock.send(whole[20:])
         conn.sweep(node.clock.now() + 2000.0, 0.0)
         assert (await client.next())[:3] == (17, 1, 0) and not conn.finished
@@ -59,10 +68,10 @@
     what: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     # each byte counted as life, and all others on the connection waited behind it until their time was over
-    @trial
+    @async_test
     async def scene() -> None:
         peer = Peer()
-        async with running(config({"c0": peer.address, "r0": REFUSED})) as (node, client):
+        async with running_director(config({"c0": peer.address, "r0": REFUSED})) as (node, client):
             sock = await asked(peer, client)
             if what == "answer to a request given up":
                 client.send(18, 1)
@@ -86,14 +95,14 @@
         scene()
 
 
-@trial
+@async_test
 async def test_an_answer_that_is_slow_and_will_be_whole_in_time_is_waited_for() -> None:
     peer = Peer()
-    async with running(config({"c0": peer.address, "r0": REFUSED})) as (node, client):
+    async with running_director(config({"c0": peer.address, "r0": REFUSED})) as (node, client):
         sock = await asked(peer, client)
         conn = only(node, "c0")
         sock.send(b"%016x served - 8\r\nxxxx" % 1)
-        await until(lambda: conn.decoder.under_way()[1] == 0.4)
+        await wait_until(lambda: conn.decoder.under_way()[1] == 0.4)
         conn.attempts.responses.begun_ms -= 400.0  # half of it in 0.4 s, and 2 s to go
         conn.sweep(conn.attempts.responses.heard_ms + 1.0, 0.0)
         sock.send(b"xxxx\r\n")
@@ -104,10 +113,10 @@
 @pytest.mark.parametrize("late", [False, True])
 def test_a_keyed_repeat_whose_dial_comes_up_past_the_window_is_not_written(late: bool) -> None:
     # the window was looked at when the module decided, and a dial may take longer than it lasts
-    @trial
+    @async_test
     async def scene() -> None:
-        origin = Cache(hit)
-        async with running(config({"c0": REFUSED, "r0": await origin.start()})) as (node, client):
+        origin = ScriptedCache(hit)
+        async with running_director(config({"c0": REFUSED, "r0": await origin.start()})) as (node, client):
             node.director.keys.take_over({"aa": [(node.clock.now() - 1000.0, "r0")]})
             send, clock = node.upstream.send, node.director.clock
 
@@ -119,15 +128,15 @@
             node.upstream.send = sends  # type: ignore[method-assign]
             client.ask(1, c="sheet", k="aa", d="3000")
             assert (await client.next())[:3] == (17, 1, 1 if late else 0)
-            assert len(origin.seen) == (0 if late else 1)
+            assert len(origin.received) == (0 if late else 1)
 
     scene()
 
 
-@trial
+@async_test
 async def test_a_repeat_of_the_same_request_past_the_window_is_not_written_either() -> None:
     # without a key of the client's nothing but the exchange knows of its first attempt
-    async with running(config({"c0": REFUSED, "r0": REFUSED})) as (node, _):
+    async with running_director(config({"c0": REFUSED, "r0": REFUSED})) as (node, _):
         node.director.admit(ask(1, cls="sheet", key="bb"), lambda final: None)
         exchange = next(iter(node.director.live.values()))
         now = node.clock.now()
@@ -138,115 +147,125 @@
         assert node.director.recheck(attempt) is AttemptOutcome.EXPIRED
 
 
-@trial
+@async_test
 async def test_a_second_copy_that_waits_for_a_dial_is_not_sent_once_the_first_was_answered() -> None:
     # with no cancels allowed nothing took it back
-    cache = Cache(mute)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED}, cancel=False)) as (node, client):
+    cache = ScriptedCache(never_respond)
+    async with running_director(config({"c0": await cache.start(), "r0": REFUSED}, cancel=False)) as (
+        node,
+        client,
+    ):
         client.ask(1)
-        await until(lambda: cache.seen)
+        await wait_until(lambda: cache.received)
         exchange = next(iter(node.director.live.values()))
         now = node.clock.now()
         second = Attempt(exchange, 1, "c0", now, now + 1000.0)
         exchange.sends, exchange.open[1] = 2, second
         node.upstream.send(second)  # its id is open there: a further connection is dialled
-        cache.conns[0].write(OK % (b"%016x" % 1, 2, b"ok"))
-        await cache.conns[0].drain()
+        cache.connections[0].write(OK % (b"%016x" % 1, 2, b"ok"))
+        await cache.connections[0].drain()
         assert (await client.next())[:3] == (17, 1, 0)
-        await until(lambda: not exchange.open)
-        assert len(cache.seen) == 1
+        await wait_until(lambda: not exchange.open)
+        assert len(cache.received) == 1
 
 
-@trial
+@async_test
 async def test_a_request_given_up_behind_bytes_that_a_cache_does_not_take_goes_out_no_more() -> None:
     peer = Peer(takes=4096)
-    async with running(config({"c0": peer.address, "r0": REFUSED})) as (node, client):
+    async with running_director(config({"c0": peer.address, "r0": REFUSED})) as (node, client):
         sock = await asked(peer, client)
         conn = only(node, "c0")
         assert conn.writer is not None and conn.sock is not None
         conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         conn.writer.write(b"x" * 4_000_000)  # the peer reads no more: what is written from here on waits
-        await until(conn.attempts.queue.is_stuck)
+        await wait_until(conn.attempts.queue.is_stuck)
         client.ask(2)
         fresh = await peer.accepted()  # and is sent elsewhere
         assert f"{2:016x}".encode() in await heard(fresh, b"\r\n")
         client.send(18, 1)
-        await until(lambda: conn.finished)
+        await wait_until(lambda: conn.finished)
         fresh.close()
         sock.close()
 
 
-@trial
+@async_test
 async def test_an_answer_under_an_id_that_was_never_asked_harms_no_other_request() -> None:
-    cache = Cache(lambda command: hit(command) if command[1]["nth"] == "7" else None)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (_, client):
+    cache = ScriptedCache(lambda command: hit(command) if command[1]["nth"] == "7" else None)
+    async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (_, client):
         client.ask(1)
-        await until(lambda: cache.seen)
-        cache.conns[0].write(
+        await wait_until(lambda: cache.received)
+        cache.connections[0].write(
             OK % (b"%016x" % 99, 2, b"no") + OK % (b"%016x" % 1, 2, b"ok") + OK % (b"%016x" % 1, 2, b"no")
         )
         assert (await client.next())[4] == b"ok"
         client.ask(2, chunk="7")
-        assert (await client.next())[:3] == (17, 2, 0) and len(cache.conns) == 1
+        assert (await client.next())[:3] == (17, 2, 0) and len(cache.connections) == 1
 
 
-@trial
+@async_test
 async def test_a_reset_long_after_an_answer_has_begun_ends_the_attempt_once() -> None:
     peer = Peer()
-    async with running(config({"c0": peer.address, "r0": REFUSED}, max_attempts=1)) as (node, client):
+    async with running_director(config({"c0": peer.address, "r0": REFUSED}, max_attempts=1)) as (
+        node,
+        client,
+    ):
         sock = await asked(peer, client)
         sock.send(b"%016x served - 8\r\nxxxx" % 1)
-        await until(lambda: only(node, "c0").decoder.pending())
+        await wait_until(lambda: only(node, "c0").decoder.pending())
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         sock.close()
         assert (await client.next())[:3] == (17, 1, 1)
-        assert await client.silent() and not node.director.live
+        assert await client.receives_nothing() and not node.director.live
 
 
-@trial
+@async_test
 async def test_a_new_key_is_refused_where_no_further_one_can_be_kept() -> None:
-    origin = Cache(mute)
-    async with running(config({"c0": REFUSED, "r0": await origin.start()})) as (node, _):
+    origin = ScriptedCache(never_respond)
+    async with running_director(config({"c0": REFUSED, "r0": await origin.start()})) as (node, _):
         node.director.keys.max_keys = 1
-        clients = [await Client.to(node.port) for _ in range(2)]
+        clients = [await Client.connect(node.port) for _ in range(2)]
         clients[0].ask(1, c="sheet", k="aa")
-        await until(lambda: origin.seen)
+        await wait_until(lambda: origin.received)
         clients[1].ask(2, c="sheet", k="bb")
-        assert (await clients[1].next())[:3] == (17, 2, 1) and len(origin.seen) == 1
+        assert (await clients[1].next())[:3] == (17, 2, 1) and len(origin.received) == 1
         for one in clients:
             one.writer.close()
 
 
-@trial
+@async_test
 async def test_answers_that_nobody_waits_for_end_their_connection_where_they_do_not_end() -> None:
     # each was parsed and passed over, as many as the peer cared to send
     peer = Peer()
-    async with running(config({"c0": peer.address, "r0": REFUSED})) as (node, client):
+    async with running_director(config({"c0": peer.address, "r0": REFUSED})) as (node, client):
         sock = await asked(peer, client)
         conn = only(node, "c0")
         answer, second = OK % (b"%016x" % 1, 2, b"ok"), b"%016x served - 0\r\n\r\n" % 1
         sock.send(answer + second * attempts_module.MAX_UNEXPECTED_RESPONSES)
         assert (await client.next())[:3] == (17, 1, 0)
-        await until(lambda: conn.attempts.unexpected_responses == attempts_module.MAX_UNEXPECTED_RESPONSES)
+        await wait_until(
+            lambda: conn.attempts.unexpected_responses == attempts_module.MAX_UNEXPECTED_RESPONSES
+        )
         assert not conn.finished
         sock.send(second)
-        await until(lambda: conn.finished)
+        await wait_until(lambda: conn.finished)
         assert conn.end is AttemptOutcome.GARBLED
         sock.close()
 
 
-@trial
+@async_test
 async def test_a_silent_connection_is_told_also_where_it_carries_fewer_than_the_usual_count() -> None:
     # three attempts had to wait on it: with two streams a connection none was ever told to be silent
-    cache = Cache(lambda command: None if len(cache.conns) == 1 else hit(command))
-    async with running(config({"c0": await cache.start(), "r0": REFUSED}, max_streams=2, cancel=False)) as (
+    cache = ScriptedCache(lambda command: None if len(cache.connections) == 1 else hit(command))
+    async with running_director(
+        config({"c0": await cache.start(), "r0": REFUSED}, max_streams=2, cancel=False)
+    ) as (
         node,
         client,
     ):
         client.ask(1, d="5000")
         client.ask(2, d="5000")
-        await until(lambda: len(cache.seen) == 2)
+        await wait_until(lambda: len(cache.received) == 2)
         conn, now = only(node, "c0"), node.clock.now()
         conn.sweep(now + 700.0, now + 600.0)  # past the aims, and a later one was answered elsewhere
-        await until(lambda: conn.finished)
+        await wait_until(lambda: conn.finished)
         assert conn.end is AttemptOutcome.SILENT
--- a/tests/net/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from harness import Cache, config, hit, mute, running, trial, until
+from harness import ScriptedCache, async_test, config, hit, never_respond, running_director, wait_until
 from machine import waited_for_core_s
 
 from gladelane.clock import Clock
@@ -90,7 +90,7 @@
 class Stepped:
     """A director, its clients, and the wall clock of its machine."""
 
-    def __init__(self, clock: SteppedClock, director: Processes, origin: Cache) -> None:
+    def __init__(self, clock: SteppedClock, director: Processes, origin: ScriptedCache) -> None:
         self.clock, self.director, self.origin = clock, director, origin
         self.askers: list[Asker] = []
 
@@ -105,12 +105,12 @@
         for process in self.director.all:
             if process.returncode is None:
                 process.send_signal(signal.SIGHUP)
-        await until(lambda: self.clock.readings)
+        await wait_until(lambda: self.clock.readings)
 
     async def hanging_writes(self, wait_ms: int) -> list[asyncio.Task[Answer]]:
         """One that has reached the origin, and before it those that a busy machine had refused."""
         asker, writes = await self.asker(), []
-        while not self.origin.seen:
+        while not self.origin.received:
             writes.append(asyncio.create_task(asker.ask(WRITES, wait_ms)))
             await asyncio.sleep(0.05)
         return writes
@@ -137,8 +137,10 @@
     clock.step(shift_ms)
     for name, value in clock.environment.items():
         monkeypatch.setenv(name, value)
-    origin = Cache(mute)
-    raw = raw or config({"c0": await Cache(hit).start(), "p0": "127.0.0.1:1", "r0": await origin.start()})
+    origin = ScriptedCache(never_respond)
+    raw = raw or config(
+        {"c0": await ScriptedCache(hit).start(), "p0": "127.0.0.1:1", "r0": await origin.start()}
+    )
     director = Processes(folder, json.loads(raw))
     made = Stepped(clock, director, origin)
     try:
@@ -155,7 +157,7 @@
 
 
 def test_steps_under_load_cost_no_answer(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    @trial
+    @async_test
     async def test() -> None:
         async with stepped(tmp_path, monkeypatch) as made:
             for _ in range(4):
@@ -170,7 +172,7 @@
 
 
 def test_repeated_steps_cost_no_answer(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    @trial
+    @async_test
     async def test() -> None:
         async with stepped(tmp_path, monkeypatch) as made:
             for _ in range(4):
@@ -188,7 +190,7 @@
 def test_what_hangs_across_a_step_is_answered_in_its_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, by_ms: float
 ) -> None:
-    @trial
+    @async_test
     async def test() -> None:
         async with stepped(tmp_path, monkeypatch) as made:
             writes = await made.hanging_writes(WAIT_MS)
@@ -204,7 +206,7 @@
 def test_a_clock_that_is_wrong_from_the_start_and_set_right_costs_no_answer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, shift_ms: float
 ) -> None:
-    @trial
+    @async_test
     async def test() -> None:
         async with stepped(tmp_path, monkeypatch, shift_ms) as made:
             for _ in range(2):
@@ -220,7 +222,7 @@
 def test_a_step_after_sigterm_changes_neither_answers_nor_the_end(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, by_ms: float
 ) -> None:
-    @trial
+    @async_test
     async def test() -> None:
         async with stepped(tmp_path, monkeypatch) as made:
             process = made.director.all[0]
@@ -244,7 +246,7 @@
 def test_a_director_that_stood_still_serves_at_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Short requests were refused for seconds after a stop: the stop was taken for how late timers are."""
 
-    @trial
+    @async_test
     async def test() -> None:
         async with stepped(tmp_path, monkeypatch) as made:
             process, asker = made.director.all[0], await made.asker()
@@ -276,7 +278,7 @@
 def test_a_purge_holds_whichever_way_the_clock_is_wrong_and_is_stepped(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, shift_ms: float
 ) -> None:
-    @trial
+    @async_test
     async def test() -> None:
         origin, board = FakeCacheStore(), FakeDiscovery()
         cache = LyingShelf({"r0": origin})
@@ -322,17 +324,17 @@
 ) -> None:
     monkeypatch.setattr("gladelane.server.Clock", lambda: Clock(lambda: time.time() + shift_ms / 1000.0))
 
-    @trial
+    @async_test
     async def test() -> None:
-        cache = Cache(hit)
+        cache = ScriptedCache(hit)
         raw = json.loads(config({"c0": await cache.start(), "r0": "127.0.0.1:1"}))
         purge = {"rev": 2, "flush": {"collection": 17, "ms": int(now_ms()) - 50}}
         raw["known"] = {"rev": 2, "notices": [*raw["known"]["notices"], purge]}
         began = now_ms()
-        async with running(json.dumps(raw).encode()) as (_, client):
+        async with running_director(json.dumps(raw).encode()) as (_, client):
             client.ask(1, tag="17")
             await client.next()
-            assert 1 <= int(cache.seen[0][1]["accept"]) <= now_ms() - began + 1.0
+            assert 1 <= int(cache.received[0][1]["accept"]) <= now_ms() - began + 1.0
 
     test()
 
@@ -343,10 +345,10 @@
 ) -> None:
     monkeypatch.setattr("gladelane.server.Clock", lambda: Clock(lambda: time.time() + shift_ms / 1000.0))
 
-    @trial
+    @async_test
     async def test() -> None:
-        cache = Cache(hit)
-        async with running(config({"c0": await cache.start(), "r0": "127.0.0.1:1"})) as (node, _):
+        cache = ScriptedCache(hit)
+        async with running_director(config({"c0": await cache.start(), "r0": "127.0.0.1:1"})) as (node, _):
             began = now_ms() - 100.0
             late = Instance("c1", "127.0.0.1:1", "edge", "box", "in_service", started_at_ms=began)
             node.director.apply_watch_event(WatchEvent(2, ListChange([late])))
--- a/tests/net/test_control_server_clock_steps.py
+++ b/tests/net/test_control_server_clock_steps.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 import pytest
-from harness import config, trial, until
+from harness import async_test, config, wait_until
 from test_clock_steps import HOUR_MS, OLD_MS, READS, SERVED, Asker, LyingShelf
 
 from gladelane.clock import REQUIRED_FRESH_COPIES, Clock
@@ -156,7 +156,7 @@
     async def step(self, by_ms: float) -> None:
         """Returns once the server has read the stepped clock, as it does to date what it tells."""
         self.clock.step(by_ms)
-        await until(lambda: self.clock.readings, START_S)
+        await wait_until(lambda: self.clock.readings, START_S)
 
     async def check_purge(self, server: ControlServerProcess, when: str) -> None:
         """A copy from before it is served before, and by nobody once the purge is known there."""
@@ -173,13 +173,13 @@
         for node in self.directors:
             held = node.purges
             assert held is not None
-            await until(lambda held=held: len(held.active) >= self.purges, START_S)
+            await wait_until(lambda held=held: len(held.active) >= self.purges, START_S)
         self.cache.copies[thing, 3] = purged_ms - OLD_MS  # another cache's fill that was under way
         async with self.asking() as askers:
             for node, asker in zip(self.directors, askers, strict=True):
                 answers = []
                 for _ in range(READS_AFTER):  # within less than the tick for which a held-up loop refuses
-                    await until(lambda node=node: not node.front.rejects_requests(), START_S)
+                    await wait_until(lambda node=node: not node.front.rejects_requests(), START_S)
                     answers.append(await asker.ask(READS, o=thing, chunk="3"))
                 served = [answer for answer in answers if answer.code == SERVED]
                 assert all(dated(answer) >= purged_ms - 1.0 for answer in served), f"{when}: stale"
@@ -213,7 +213,7 @@
             status = await server.status()
             assert not status["losses"] and not status["horizon_ms"], f"{when}: {status}"
             assert status["followers"] >= len(self.directors), f"{when}: {status}"
-        await until(lambda: len(self._leases()) == SHARDS, START_S)
+        await wait_until(lambda: len(self._leases()) == SHARDS, START_S)
 
     def _leases(self) -> list[str]:
         """That are held now, by whichever director."""
@@ -279,7 +279,7 @@
 def test_a_step_of_control_servers_clocks_and_back_costs_no_purge_and_no_follower(
     tmp_path: Path, by_ms: float, stepped: int
 ) -> None:
-    @trial
+    @async_test
     async def test() -> None:
         async with site(tmp_path, stepped) as made:
             first, last = made.servers[0], made.servers[-1]
@@ -299,7 +299,7 @@
 def test_a_control_server_that_starts_again_after_a_step_goes_on_where_it_was(
     tmp_path: Path, by_ms: float
 ) -> None:
-    @trial
+    @async_test
     async def test() -> None:
         async with site(tmp_path, 1) as made:
             first, last = made.servers[0], made.servers[-1]
@@ -324,7 +324,7 @@
     """Both are ahead of the origin: its new copies were refused until its clock reached theirs."""
     monkeypatch.setattr("gladelane.server.Clock", lambda: Clock(lambda: time.time() + HOUR_MS / 1000.0))
 
-    @trial
+    @async_test
     async def test() -> None:
         async with site(tmp_path, SERVERS, HOUR_MS) as made:
             purged, thing = made.servers[0], f"{1:016x}"
@@ -339,7 +339,7 @@
             for node in made.directors:
                 held = node.purges
                 assert held is not None
-                await until(lambda held=held: len(held.active) == 1, START_S)
+                await wait_until(lambda held=held: len(held.active) == 1, START_S)
             async with made.asking() as askers:
                 for asker in askers:
                     made.cache.lies = True  # the date alone shows that its copy is from before
--- a/tests/net/test_deadlines.py
+++ b/tests/net/test_deadlines.py
@@ -13,7 +13,16 @@
 
 import pytest
 import uvloop
-from harness import Cache, Command, config, hit, mute, running, trial, until
+from harness import (
+    Command,
+    ScriptedCache,
+    async_test,
+    config,
+    hit,
+    never_respond,
+    running_director,
+    wait_until,
+)
 from machine import waited_for_core_s
 from raw_cache import Peer, heard, only
 from raw_client import GONE, Raw, connected, request, waits_for_a_dial
@@ -44,18 +53,21 @@
 def test_the_time_in_the_queue_for_room_counts(runner: Callable[[Any], None]) -> None:
     # it was counted from the accept, however long the connection had waited in the system's queue
     async def scene() -> None:
-        cache = Cache(lambda command: hit(command) if command[0] == f"{2:016x}" else None)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
+        cache = ScriptedCache(lambda command: hit(command) if command[0] == f"{2:016x}" else None)
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (
+            node,
+            client,
+        ):
             client.ask(1)
-            await until(lambda: cache.seen)
+            await wait_until(lambda: cache.received)
             node.front.cap = 1
             raw = Raw(node)
             raw.send(request(2, d=str(WAIT_MS)))
             await asyncio.sleep(HELD_UP_MS / 1000.0)
             client.send(Type.GONE, 1)
             node.front.cap = 9
-            await until(lambda: len(cache.seen) == 2)
-            assert is_honest(cache.seen[1])
+            await wait_until(lambda: len(cache.received) == 2)
+            assert is_honest(cache.received[1])
             late = Raw(node)  # nobody waits any more: nothing is taken off
             conn = await connected(node, late)
             assert conn._queued_ms == 0.0
@@ -67,10 +79,10 @@
 
 @pytest.mark.parametrize("read_bytes", [65_536, 100])  # in one read, in a later one
 def test_the_time_behind_what_the_same_client_sent_before_counts(read_bytes: int) -> None:
-    @trial
+    @async_test
     async def scene() -> None:
-        cache = Cache(hit)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
+        cache = ScriptedCache(hit)
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
             raw = Raw(node)
             conn = await connected(node, raw)
             handle = conn._handle_all
@@ -82,8 +94,8 @@
             conn._handle_all = handled  # type: ignore[method-assign]
             ping = encode_frame(Type.ASK_READY, 0, encode_fields({}))
             raw.send(ping * 20 + request(1, d=str(WAIT_MS)))
-            await until(lambda: cache.seen)
-            assert is_honest(cache.seen[0])
+            await wait_until(lambda: cache.received)
+            assert is_honest(cache.received[0])
             raw.sock.close()
 
     with pytest.MonkeyPatch.context() as patch:
@@ -92,26 +104,26 @@
         scene()
 
 
-@trial
+@async_test
 async def test_the_time_of_a_loop_that_was_held_up_counts() -> None:
-    cache = Cache(hit)
+    cache = ScriptedCache(hit)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(front_module, "SHED_MS", 1e9)  # else so late a request is refused at sight
-        async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
             del node.timers.lag, node.timers.margin  # type: ignore[misc]
             raw = Raw(node)
             await connected(node, raw)
             raw.send(request(1, d=str(WAIT_MS)))
             time.sleep(HELD_UP_MS / 1000.0)
-            await until(lambda: cache.seen)
-            assert is_honest(cache.seen[0])
+            await wait_until(lambda: cache.received)
+            assert is_honest(cache.received[0])
             raw.sock.close()
 
 
-@trial
+@async_test
 async def test_the_time_of_a_dial_counts() -> None:
-    cache = Cache(hit)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
+    cache = ScriptedCache(hit)
+    async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
         raw = Raw(node)
 
         async def waits(attempt: Attempt) -> None:
@@ -119,19 +131,19 @@
 
         waits_for_a_dial(node, waits)
         raw.send(request(1, d=str(WAIT_MS)))
-        await until(lambda: cache.seen)
-        assert is_honest(cache.seen[0])
+        await wait_until(lambda: cache.received)
+        assert is_honest(cache.received[0])
         raw.sock.close()
 
 
 @pytest.mark.parametrize("hedge", [False, True])
 def test_the_time_before_a_further_attempt_counts(hedge: bool) -> None:
-    @trial
+    @async_test
     async def scene() -> None:
-        caches = [Cache(mute) for _ in range(2)]
+        caches = [ScriptedCache(never_respond) for _ in range(2)]
         listed = {f"c{n}": await cache.start() for n, cache in enumerate(caches)}
         listed["r0"] = REFUSED_ADDRESS
-        async with running(config(listed, may_duplicate=hedge)) as (node, _):
+        async with running_director(config(listed, may_duplicate=hedge)) as (node, _):
             if hedge:
                 node.director.router.budgets.hedges = 5.0
             attempts, send = list[Attempt](), node.upstream.send
@@ -143,32 +155,32 @@
             node.upstream.send = sends  # type: ignore[method-assign]
             raw = Raw(node)
             raw.send(request(1, d=str(WAIT_MS)))
-            await until(lambda: any(cache.seen for cache in caches))
-            (first,) = (cache for cache in caches if cache.seen)
+            await wait_until(lambda: any(cache.received for cache in caches))
+            (first,) = (cache for cache in caches if cache.received)
             if not hedge:
                 await asyncio.sleep(HELD_UP_MS / 1000.0)
-                first.conns[0].write(b"%016x overload - 0\r\n\r\n" % 1)
-            await until(lambda: all(cache.seen for cache in caches))
+                first.connections[0].write(b"%016x overload - 0\r\n\r\n" % 1)
+            await wait_until(lambda: all(cache.received for cache in caches))
             (second,) = (cache for cache in caches if cache is not first)
             # by the moments of writing: what this loop was late by when it looked is in neither
             waited_ms = attempts[1].written_ms - attempts[0].written_ms
             assert waited_ms >= (0.0 if hedge else HELD_UP_MS)
-            assert stated_ms(second.seen[0]) <= WAIT_MS - waited_ms + SLACK_MS
+            assert stated_ms(second.received[0]) <= WAIT_MS - waited_ms + SLACK_MS
             raw.sock.close()
 
     scene()
 
 
-@trial
+@async_test
 async def test_a_request_that_a_cache_does_not_take_lies_in_no_buffer_until_its_time_is_wrong() -> None:
     # it lay in the system's buffer with the time it had when it was written, and left when the cache read on
     peer = Peer(takes=4096)
     with pytest.MonkeyPatch.context() as patch:
-        async with running(config({"c0": peer.address, "r0": REFUSED_ADDRESS})) as (node, client):
+        async with running_director(config({"c0": peer.address, "r0": REFUSED_ADDRESS})) as (node, client):
             client.ask(9, body=b"x" * BODY, d="20000")
             slow = await peer.accepted()
             conn = only(node, "c0")
-            await until(lambda: conn.sock is not None and unsent_bytes(conn.sock))
+            await wait_until(lambda: conn.sock is not None and unsent_bytes(conn.sock))
             raw, look = Raw(node), outgoing_module.unsent_bytes
 
             def looks(sock: Any) -> int:
@@ -178,7 +190,7 @@
 
             patch.setattr(outgoing_module, "unsent_bytes", looks)
             raw.send(request(1, d=str(WAIT_MS)))
-            await until(lambda: len(conn.open) == 2)
+            await wait_until(lambda: len(conn.open) == 2)
             await asyncio.sleep(HELD_UP_MS / 1000.0)
             came = b""
             with contextlib.suppress(ConnectionError, TimeoutError):
@@ -197,13 +209,16 @@
 def test_a_request_with_very_little_time_is_answered_once_and_never_sent_with_more(
     wait_ms: str, dials: bool
 ) -> None:
-    @trial
+    @async_test
     async def scene() -> None:
-        cache = Cache(mute)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
+        cache = ScriptedCache(never_respond)
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (
+            node,
+            client,
+        ):
             if not dials:
                 client.ask(9, d="300")
-                await until(lambda: cache.seen)
+                await wait_until(lambda: cache.received)
             raw = Raw(node)
             await connected(node, raw)
             loop = asyncio.get_running_loop()
@@ -213,9 +228,11 @@
             took_s = loop.time() - waited_for_core_s() - began
             assert took_s <= float(wait_ms) / 1000.0 + LATEST_S
             assert frame[4] == Type.ANSWER and frame[9] in (AnswerCode.REFUSED, AnswerCode.FAILED)
-            await until(lambda: not any(e.ask.id == f"{1:016x}" for e in node.director.live.values()))
+            await wait_until(lambda: not any(e.ask.id == f"{1:016x}" for e in node.director.live.values()))
             assert all(
-                stated_ms(command) <= float(wait_ms) for command in cache.seen if command[0] == f"{1:016x}"
+                stated_ms(command) <= float(wait_ms)
+                for command in cache.received
+                if command[0] == f"{1:016x}"
             )
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(loop.sock_recv(raw.sock, 65_536), 0.05)
@@ -224,9 +241,9 @@
     scene()
 
 
-@trial
+@async_test
 async def test_the_system_tells_how_long_ago_bytes_came() -> None:
-    async with running(config({"r0": REFUSED_ADDRESS})) as (node, _):
+    async with running_director(config({"r0": REFUSED_ADDRESS})) as (node, _):
         raw = Raw(node)
         conn = await connected(node, raw)
         conn.writer.transport.pause_reading()  # type: ignore[attr-defined]
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from harness import Cache, config, hit, running, trial, until
+from harness import ScriptedCache, async_test, config, hit, running_director, wait_until
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -68,11 +68,11 @@
     monkeypatch.setattr(dialer, "Connect", Counted)
     monkeypatch.setattr(health_check, "Connect", Counted)
 
-    @trial
+    @async_test
     async def scene() -> None:
-        caches = [Cache(hit) for _ in range(8)]
+        caches = [ScriptedCache(hit) for _ in range(8)]
         listed = {f"c{n}": await cache.start() for n, cache in enumerate(caches)}
-        async with running(config(listed)) as (node, client):
+        async with running_director(config(listed)) as (node, client):
             node.upstream.cap = cap
             for number in range(1, 41):
                 client.ask(number, o=f"{number * 7919:016x}", m="1")
@@ -121,7 +121,7 @@
     # at 128 all of them failed with EMFILE, and the director ended with 1 at SIGTERM: its last step opens a file
 
     async def scene() -> None:
-        board, caches = ReturningBoard(), [Cache(hit) for _ in range(CACHES + 1)]
+        board, caches = ReturningBoard(), [ScriptedCache(hit) for _ in range(CACHES + 1)]
         addresses = [await cache.start() for cache in caches]
         listed = {f"c{n}": address for n, address in enumerate(addresses[:-1])}
         raw = json.loads(config({**listed, "r0": "127.0.0.1:1"}, board=f"127.0.0.1:{board.port}"))
@@ -134,8 +134,10 @@
             tasks = [asyncio.create_task(crowd(director.port, b"")) for _ in range(CROWD)]
             tasks += [asyncio.create_task(crowd(director.ops[0], b"GET /he")) for _ in range(CALLERS)]
             # every cache has been dialled, all callers have come, and more clients than there is room for
-            await until(lambda: sum(bool(cache.conns) for cache in caches) >= 16, wait=20.0)
-            await until(lambda: "clients wait for room" in director.log() or load.served > 300, wait=20.0)
+            await wait_until(lambda: sum(bool(cache.connections) for cache in caches) >= 16, wait=20.0)
+            await wait_until(
+                lambda: "clients wait for room" in director.log() or load.served > 300, wait=20.0
+            )
             for _ in range(5):
                 assert (await director.call("GET", "/healthcheck"))[0] == 200
 
@@ -144,7 +146,9 @@
                 {"pool": {"generation": 2, "reset": False, "instances": instances({"c99": addresses[-1]})}}
             )
             await board.come()
-            await until(lambda: caches[-1].seen, wait=20.0)  # the list is followed, and its cache dialled
+            await wait_until(
+                lambda: caches[-1].received, wait=20.0
+            )  # the list is followed, and its cache dialled
             assert (await director.call("GET", "/healthcheck"))[0] == 200
             await load.stop()
             # a request of the load may be cut off by its own stop, and a kept one cross a close
--- a/tests/net/test_final_answers.py
+++ b/tests/net/test_final_answers.py
@@ -12,7 +12,7 @@
 
 import pytest
 import uvloop
-from harness import Cache, Client, Command, config, hit, running, until
+from harness import Client, Command, ScriptedCache, config, hit, running_director, wait_until
 from machine import waited_for_core_s
 from raw_cache import Peer
 from raw_client import Raw, request
@@ -49,7 +49,7 @@
 async def asks(node: Server, number: int, answered: list[tuple[str, float]]) -> None:
     """An honest client: some requests of both classes at once, and nothing comes twice."""
     loop = asyncio.get_running_loop()
-    client = await Client.to(node.port)
+    client = await Client.connect(node.port)
     began = loop.time() - waited_for_core_s()
     for stream in range(1, REQUESTS + 1):
         id_ = f"{number * 100 + stream:016x}"
@@ -59,7 +59,7 @@
         type_, stream, *_ = await client.next(LATEST_S + 5.0)
         assert type_ == Type.ANSWER
         answered.append((f"{number} {stream}", loop.time() - waited_for_core_s() - began))
-    assert await client.silent(0.3)
+    assert await client.receives_nothing(0.3)
     client.writer.close()
 
 
@@ -69,7 +69,7 @@
     assert set(Counter(name for name, _ in answered).values()) == {1}
     assert len(answered) == HONEST * REQUESTS
     assert max(after for _, after in answered) <= LATEST_S
-    await until(lambda: not node.director.live)
+    await wait_until(lambda: not node.director.live)
 
 
 @pytest.mark.parametrize("runner", [asyncio.run, uvloop.run])
@@ -78,8 +78,8 @@
     kind: str, runner: Callable[[Any], None]
 ) -> None:
     async def scene() -> None:
-        servers = {name: await Cache(trouble(kind)).start() for name in ("c0", "c1", "p0", "r0")}
-        async with running(config(servers)) as (node, _):
+        servers = {name: await ScriptedCache(trouble(kind)).start() for name in ("c0", "c1", "p0", "r0")}
+        async with running_director(config(servers)) as (node, _):
             await each_is_answered_once_in_time(node)
 
     runner(scene())
@@ -107,7 +107,10 @@
     async def scene() -> None:
         peers = {name: Peer(takes=4096) for name in ("c0", "c1", "p0", "r0")}
         tasks = [asyncio.create_task(breaks(peer)) for peer in peers.values()]
-        async with running(config({name: peer.address for name, peer in peers.items()})) as (node, _):
+        async with running_director(config({name: peer.address for name, peer in peers.items()})) as (
+            node,
+            _,
+        ):
             await each_is_answered_once_in_time(node)
         for task in tasks:
             task.cancel()
@@ -129,8 +132,8 @@
             await asyncio.sleep(0.01)
 
     async def scene() -> None:
-        servers = {"c0": await Cache(lambda _: None).start(), "c1": await Cache(hit).start()}
-        async with running(config({**servers, "r0": await Cache(hit).start()})) as (node, _):
+        servers = {"c0": await ScriptedCache(lambda _: None).start(), "c1": await ScriptedCache(hit).start()}
+        async with running_director(config({**servers, "r0": await ScriptedCache(hit).start()})) as (node, _):
             over = asyncio.Event()
             tasks = [asyncio.create_task(floods(node, over)) for _ in range(3)]
             await asyncio.sleep(0.05)
--- a/tests/net/test_leaves.py
+++ b/tests/net/test_leaves.py
@@ -15,7 +15,16 @@
 
 import pytest
 import uvloop
-from harness import Cache, Command, config, hit, mute, running, trial, until
+from harness import (
+    Command,
+    ScriptedCache,
+    async_test,
+    config,
+    hit,
+    never_respond,
+    running_director,
+    wait_until,
+)
 from raw_cache import OK, Peer, ask, asked, heard, only
 from raw_client import GONE, Raw, connected, request, waits_for_a_dial
 
@@ -78,19 +87,22 @@
     return came, "end of file"
 
 
-async def none_begins(node: Server, caches: list[Cache], begun: int) -> None:
+async def none_begins(node: Server, caches: list[ScriptedCache], begun: int) -> None:
     """The request ends without a further attempt and without an answer."""
-    await until(lambda: not node.director.live)
-    assert [node.director.metrics.withdrawn, sum(len(cache.seen) for cache in caches)] == [1, begun]
+    await wait_until(lambda: not node.director.live)
+    assert [node.director.metrics.withdrawn, sum(len(cache.received) for cache in caches)] == [1, begun]
 
 
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("how", WAYS)
 def test_a_dial_that_comes_up_before_a_leave_is_read_carries_no_attempt(how: str, cancel: bool) -> None:
-    @trial
+    @async_test
     async def scene() -> None:
-        cache = Cache(mute)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED}, cancel=cancel)) as (node, _):
+        cache = ScriptedCache(never_respond)
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED}, cancel=cancel)) as (
+            node,
+            _,
+        ):
             raw = Raw(node)
             conn = await connected(node, raw)
 
@@ -100,7 +112,7 @@
 
             waits_for_a_dial(node, leaves)
             raw.send(request(1))
-            await until(lambda: cache.conns)
+            await wait_until(lambda: cache.connections)
             await none_begins(node, [cache], 0)
             raw.sock.close()
 
@@ -110,19 +122,19 @@
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("how", WAYS)
 def test_a_late_answer_that_is_read_before_a_leave_begins_no_further_attempt(how: str, cancel: bool) -> None:
-    @trial
+    @async_test
     async def scene() -> None:
-        caches = [Cache(mute) for _ in range(2)]
+        caches = [ScriptedCache(never_respond) for _ in range(2)]
         listed = {f"c{n}": await cache.start() for n, cache in enumerate(caches)}
-        async with running(config({**listed, "r0": REFUSED}, cancel=cancel)) as (node, _):
+        async with running_director(config({**listed, "r0": REFUSED}, cancel=cancel)) as (node, _):
             raw = Raw(node)
             conn = await connected(node, raw)
             raw.send(request(1))
-            await until(lambda: any(cache.seen for cache in caches))
+            await wait_until(lambda: any(cache.received for cache in caches))
             unread(conn)
             leave(raw, how)
-            (asked,) = (cache for cache in caches if cache.seen)
-            asked.conns[0].write(OVERLOAD % 1)
+            (asked,) = (cache for cache in caches if cache.received)
+            asked.connections[0].write(OVERLOAD % 1)
             await none_begins(node, caches, 1)
             raw.sock.close()
 
@@ -135,14 +147,14 @@
 
 @pytest.mark.parametrize("how", WAYS)
 def test_a_retry_whose_timer_fires_before_a_leave_is_read_is_not_sent(how: str) -> None:
-    @trial
+    @async_test
     async def scene() -> None:
-        origin = Cache(refuses)
-        async with running(config({"c0": REFUSED, "r0": await origin.start()})) as (node, _):
+        origin = ScriptedCache(refuses)
+        async with running_director(config({"c0": REFUSED, "r0": await origin.start()})) as (node, _):
             raw = Raw(node)
             conn = await connected(node, raw)
             raw.send(request(1, c="sheet", k="aa"))
-            await until(lambda: origin.seen)
+            await wait_until(lambda: origin.received)
             unread(conn)
             leave(raw, how)
             await none_begins(node, [origin], 1)
@@ -153,37 +165,37 @@
 
 @pytest.mark.parametrize("cancel", [True, False])
 def test_a_second_copy_that_falls_due_before_a_leave_is_read_is_not_sent(cancel: bool) -> None:
-    @trial
+    @async_test
     async def scene() -> None:
-        caches = [Cache(mute) for _ in range(2)]
+        caches = [ScriptedCache(never_respond) for _ in range(2)]
         listed = {f"c{n}": await cache.start() for n, cache in enumerate(caches)}
-        async with running(config({**listed, "r0": REFUSED}, cancel=cancel)) as (node, _):
+        async with running_director(config({**listed, "r0": REFUSED}, cancel=cancel)) as (node, _):
             node.director.router.budgets.hedges = 5.0
             raw = Raw(node)
             conn = await connected(node, raw)
             raw.send(request(1))
-            await until(lambda: any(cache.seen for cache in caches))
+            await wait_until(lambda: any(cache.received for cache in caches))
             unread(conn)
             leave(raw, "type 18")
-            await until(lambda: node.director.metrics.withdrawn == 1)
-            await until(lambda: not node.director.live)
-            assert sum(len(cache.seen) for cache in caches) == 1
+            await wait_until(lambda: node.director.metrics.withdrawn == 1)
+            await wait_until(lambda: not node.director.live)
+            assert sum(len(cache.received) for cache in caches) == 1
             raw.sock.close()
 
     scene()
 
 
 def test_a_request_whose_cancel_comes_in_a_later_read_is_not_sent_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    @trial
+    @async_test
     async def scene() -> None:
-        cache = Cache(hit)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+        cache = ScriptedCache(hit)
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
             client.ask(3)
             assert (await client.next())[:3] == (17, 3, 0)  # from here on no request waits for a dial
             raw = Raw(node)
             raw.send(request(1) + request(2) + GONE)  # all of it lies there before it is accepted
-            await until(lambda: len(cache.seen) > 1 and not node.director.live)
-            assert [command[0] for command in cache.seen] == [f"{n:016x}" for n in (3, 2)]
+            await wait_until(lambda: len(cache.received) > 1 and not node.director.live)
+            assert [command[0] for command in cache.received] == [f"{n:016x}" for n in (3, 2)]
             raw.sock.close()
 
     monkeypatch.setattr(client_module, "READ_BYTES", len(request(1)) + 20)
@@ -212,15 +224,15 @@
     assert decoder.pending() == len(held)
 
 
-@trial
+@async_test
 async def test_a_request_behind_bytes_that_a_cache_does_not_take_waits_and_goes_elsewhere() -> None:
     # it lay in the system's buffer, where nothing could take it back
     peer = Peer(takes=4096)
-    async with running(config({"c0": peer.address, "r0": REFUSED})) as (node, client):
+    async with running_director(config({"c0": peer.address, "r0": REFUSED})) as (node, client):
         client.ask(1, body=b"x" * BODY)
         slow = await peer.accepted()
         conn = only(node, "c0")
-        await until(lambda: conn.sock is not None and unsent_bytes(conn.sock))
+        await wait_until(lambda: conn.sock is not None and unsent_bytes(conn.sock))
         client.ask(2)
         fresh = await peer.accepted()
         line = await heard(fresh, b"\r\n")
@@ -238,20 +250,23 @@
 def test_a_client_that_leaves_while_a_cache_takes_no_bytes_costs_it_no_attempt(
     how: str, cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    @trial
+    @async_test
     async def scene() -> None:
         peer = Peer(takes=4096)
-        async with running(config({"c0": peer.address, "r0": REFUSED}, cancel=cancel)) as (node, client):
+        async with running_director(config({"c0": peer.address, "r0": REFUSED}, cancel=cancel)) as (
+            node,
+            client,
+        ):
             client.ask(9, body=b"x" * BODY)
             slow = await peer.accepted()
             conn = only(node, "c0")
-            await until(lambda: conn.sock is not None and unsent_bytes(conn.sock))
+            await wait_until(lambda: conn.sock is not None and unsent_bytes(conn.sock))
             raw = Raw(node)
             raw.send(request(1))
-            await until(lambda: len(node.director.live) == 2)
+            await wait_until(lambda: len(node.director.live) == 2)
             assert len(conn.open) == 2
             leave(raw, how)
-            await until(lambda: len(node.director.live) == 1)
+            await wait_until(lambda: len(node.director.live) == 1)
             whole = await heard(slow, b"x\r\n")
             client.ask(3)  # nothing that was held back comes between
             assert (whole + await heard(slow, b"\r\n")).count(b"fetch") == 2
@@ -267,14 +282,17 @@
     cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # the connection was closed, and the system sent on what it held
-    @trial
+    @async_test
     async def scene() -> None:
         peer = Peer(takes=4096)
-        async with running(config({"c0": peer.address, "r0": REFUSED}, cancel=cancel)) as (node, client):
+        async with running_director(config({"c0": peer.address, "r0": REFUSED}, cancel=cancel)) as (
+            node,
+            client,
+        ):
             client.ask(9, body=b"x" * BODY, d="20000")  # nothing but the leave ends an attempt
             slow = await peer.accepted()
             conn = only(node, "c0")
-            await until(lambda: conn.sock is not None and unsent_bytes(conn.sock))
+            await wait_until(lambda: conn.sock is not None and unsent_bytes(conn.sock))
             raw, look = Raw(node), outgoing_module.unsent_bytes
 
             def looks(sock: socket.socket) -> int:
@@ -284,10 +302,10 @@
 
             monkeypatch.setattr(outgoing_module, "unsent_bytes", looks)
             raw.send(request(1, d="20000"))
-            await until(lambda: len(conn.open) == 2)
+            await wait_until(lambda: len(conn.open) == 2)
             assert all(attempt.written_ms for attempt in conn.open.values())
             leave(raw, "type 18")
-            await until(lambda: conn.finished)
+            await wait_until(lambda: conn.finished)
             came, ended = await rest(slow)
             assert ended == "reset"
             assert came.count(b"fetch") == 1
@@ -303,20 +321,20 @@
     how: str, cancel: bool
 ) -> None:
     # its line had left and its body had not: it became whole, and could begin, when the cache read on
-    @trial
+    @async_test
     async def scene() -> None:
         peer = Peer(takes=4096)
-        async with running(config({"c0": peer.address, "r0": REFUSED}, cancel=cancel)) as (node, _):
+        async with running_director(config({"c0": peer.address, "r0": REFUSED}, cancel=cancel)) as (node, _):
             raw = Raw(node)
             whole = request(1, d="20000") + b"x" * BODY
             raw.sock.setblocking(True)
             sending = asyncio.create_task(asyncio.to_thread(raw.sock.sendall, with_length(whole)))
             slow = await peer.accepted()
             conn = only(node, "c0")
-            await until(lambda: conn.sock is not None and unsent_bytes(conn.sock))
+            await wait_until(lambda: conn.sock is not None and unsent_bytes(conn.sock))
             await sending
             leave(raw, how)
-            await until(lambda: not node.director.live)
+            await wait_until(lambda: not node.director.live)
             await asyncio.sleep(0.2)  # the cache reads on later than a leave allows
             came, ended = await rest(slow)
             assert ended == "reset"
@@ -334,7 +352,7 @@
     # the look is worth nothing if the loop writes at the end of its turn only, which may take long
     async def scene() -> None:
         peer = Peer()
-        async with running(config({"c0": peer.address, "r0": REFUSED})) as (node, client):
+        async with running_director(config({"c0": peer.address, "r0": REFUSED})) as (node, client):
             sock = await asked(peer, client)
             for number in (2, 3):
                 node.director.admit(ask(number), lambda final: None)
@@ -342,37 +360,37 @@
             assert sock.recv(65_536).count(b"fetch") == 2
             for number in (1, 2, 3):
                 sock.send(OK % (b"%016x" % number, 2, b"ok"))
-            await until(lambda: not node.director.live)
+            await wait_until(lambda: not node.director.live)
             sock.close()
 
     runner(scene())
 
 
-@trial
+@async_test
 async def test_half_a_cancel_is_none() -> None:
-    origin = Cache(refuses)
-    async with running(config({"c0": REFUSED, "r0": await origin.start()})) as (node, _):
+    origin = ScriptedCache(refuses)
+    async with running_director(config({"c0": REFUSED, "r0": await origin.start()})) as (node, _):
         raw = Raw(node)
         conn = await connected(node, raw)
         raw.send(request(1, c="sheet", k="aa"))
-        await until(lambda: origin.seen)
+        await wait_until(lambda: origin.received)
         unread(conn)
         raw.send(GONE[:-1])
-        await until(lambda: len(origin.seen) > 1)  # it is tried again
+        await wait_until(lambda: len(origin.received) > 1)  # it is tried again
         raw.sock.close()
 
 
-@trial
+@async_test
 async def test_a_request_in_pieces_is_sent_on_once_it_is_whole_and_not_before() -> None:
-    cache = Cache(hit)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
+    cache = ScriptedCache(hit)
+    async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
         raw = Raw(node)
         conn = await connected(node, raw)
         whole = request(1)
         for at in range(0, len(whole) - 1, 7):
             raw.send(whole[at : min(at + 7, len(whole) - 1)])
-            await until(lambda: not conn.unread())
-        assert not node.director.live and not cache.seen
+            await wait_until(lambda: not conn.unread())
+        assert not node.director.live and not cache.received
         raw.send(whole[-1:])
-        await until(lambda: cache.seen)
+        await wait_until(lambda: cache.received)
         raw.sock.close()
--- a/tests/net/test_system_calls.py
+++ b/tests/net/test_system_calls.py
@@ -11,7 +11,7 @@
 from types import SimpleNamespace
 
 import pytest
-from harness import trial
+from harness import async_test
 
 from benchmarks.system_calls import FAULT_S, FRESH, SITES, Case, Moment, play_running
 from gladelane import sockets
@@ -165,7 +165,7 @@
     assert planned == [pool.sweep]
 
 
-@trial
+@async_test
 async def test_a_dial_that_a_signal_interrupts_goes_on() -> None:
     # it was given up as unreachable, and its address passed over
     with socket.create_server(("127.0.0.1", 0)) as server:
@@ -200,7 +200,7 @@
         return super().accept()
 
 
-@trial
+@async_test
 async def test_the_accept_before_the_close_outlasts_a_moment_without_descriptors() -> None:
     # the queue was reset with what clients had sent
     with LeavingFirst() as sock, socket.socket() as client:
@@ -216,7 +216,7 @@
         accepted[0].close()
 
 
-@trial
+@async_test
 async def test_a_newcomer_that_has_gone_holds_up_none_behind_it() -> None:
     # those behind it waited 5 ms, and at the stop, which accepts once more and closes, were reset
     with LeavingFirst() as sock, socket.socket() as one, socket.socket() as other:
--- a/tests/net/test_unanswered.py
+++ b/tests/net/test_unanswered.py
@@ -15,7 +15,16 @@
 
 import pytest
 import uvloop
-from harness import Cache, Command, config, hit, mute, running, trial, until
+from harness import (
+    Command,
+    ScriptedCache,
+    async_test,
+    config,
+    hit,
+    never_respond,
+    running_director,
+    wait_until,
+)
 from raw_client import GONE, Raw, connected, request, waits_for_a_dial
 
 import gladelane.net.cache_protocol as lines_module
@@ -48,47 +57,50 @@
 # --- a client that shuts its write side and waits for its answers
 
 
-@trial
+@async_test
 async def test_a_client_that_shuts_its_write_side_is_told_that_its_running_request_failed() -> None:
-    cache = Cache(mute)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
+    cache = ScriptedCache(never_respond)
+    async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
         raw = Raw(node)
         raw.send(request(1))
-        await until(lambda: cache.seen)
+        await wait_until(lambda: cache.received)
         shut_write_side(raw)
         frames, end = await raw.rest()
         assert (answers(frames), end) == ([(1, AnswerCode.FAILED)], "end of file")
-        assert len(cache.seen) == 1 and not node.director.live
+        assert len(cache.received) == 1 and not node.director.live
         raw.sock.close()
 
 
 @pytest.mark.parametrize("cancel", [True, False])
 def test_a_client_that_shuts_its_write_side_while_it_waits_for_a_dial_is_refused(cancel: bool) -> None:
-    @trial
+    @async_test
     async def scene() -> None:
-        cache = Cache(hit)
+        cache = ScriptedCache(hit)
         listed = {"c0": await cache.start(), "r0": REFUSED_ADDRESS}
-        async with running(config(listed, cancel=cancel)) as (node, _):
+        async with running_director(config(listed, cancel=cancel)) as (node, _):
             raw = Raw(node)
 
             async def shuts(attempt: Attempt) -> None:
                 shut_write_side(raw)
-                await until(lambda: attempt.exchange.done)
+                await wait_until(lambda: attempt.exchange.done)
 
             waits_for_a_dial(node, shuts)
             raw.send(request(1))
             frames, end = await raw.rest()
             assert (answers(frames), end) == ([(1, AnswerCode.REFUSED)], "end of file")
-            assert not cache.seen
+            assert not cache.received
             raw.sock.close()
 
     scene()
 
 
-@trial
+@async_test
 async def test_requests_that_are_read_together_with_the_shutdown_of_the_write_side_are_refused() -> None:
-    cache = Cache(hit)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (_, node_client):
+    cache = ScriptedCache(hit)
+    async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (
+        _,
+        node_client,
+    ):
         raw = Raw.__new__(Raw)
         raw.sock = socket.socket()
         port = node_client.writer.get_extra_info("peername")[1]
@@ -99,7 +111,7 @@
         frames, end = await raw.rest()
         # 1 was given up; a stream that is used again has no second answer
         assert (answers(frames), end) == ([(2, AnswerCode.REFUSED), (3, AnswerCode.REFUSED)], "end of file")
-        assert not cache.seen
+        assert not cache.received
         raw.sock.close()
 
 
@@ -110,7 +122,7 @@
 def test_a_connection_whose_socket_has_just_closed_fails_no_drain(runner: Callable[[Any], None]) -> None:
     # a look at its descriptor raised, and ended the process over what others were owed
     async def scene() -> None:
-        async with running(config({"r0": REFUSED_ADDRESS})) as (node, _):
+        async with running_director(config({"r0": REFUSED_ADDRESS})) as (node, _):
             raw = Raw(node)
             conn = await connected(node, raw)
             conn.sock = socket.socket()
@@ -123,15 +135,15 @@
 
 @pytest.mark.parametrize("lies", ["in the system", "in the reader", "behind half a frame"])
 def test_what_has_come_when_the_process_ends_is_refused_before_its_connection_is_shut(lies: str) -> None:
-    @trial
+    @async_test
     async def scene() -> None:
-        cache = Cache(hit)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
+        cache = ScriptedCache(hit)
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
             raw, whole = Raw(node), request(1)
             conn = await connected(node, raw)
             if lies == "behind half a frame":
                 raw.send(whole[:20])
-                await until(lambda: conn.partial_ms)
+                await wait_until(lambda: conn.partial_ms)
                 raw.send(whole[20:] + request(2))
             else:
                 raw.send(whole + request(2))
@@ -146,15 +158,15 @@
                 [(1, AnswerCode.REFUSED), (2, AnswerCode.REFUSED)],
                 "end of file",
             )
-            assert not cache.seen
+            assert not cache.received
 
     scene()
 
 
-@trial
+@async_test
 async def test_many_frames_that_were_read_in_one_go_are_answered_before_the_process_ends() -> None:
     # all behind the first 64 frames were dropped, since the close came between two batches
-    async with running(config({"r0": REFUSED_ADDRESS})) as (node, _):
+    async with running_director(config({"r0": REFUSED_ADDRESS})) as (node, _):
         raw, streams = Raw(node), range(1, 201)
         conn = await connected(node, raw)
         handle, closing = conn._handle_all, list[asyncio.Task[None]]()
@@ -172,13 +184,13 @@
         assert ([stream for stream, _ in answers(frames)], end) == (list(streams), "end of file")
 
 
-@trial
+@async_test
 async def test_a_newcomer_that_is_let_in_by_the_last_accept_is_answered() -> None:
-    cache = Cache(hit)
+    cache = ScriptedCache(hit)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(shutdown, "ACCEPT_PERIOD_S", 0.0)
         patch.setattr(shutdown, "ACCEPT_QUEUE_DELAY_S", 0.0)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
             node.front.cap = 1  # it waits in the system's queue
             raw = Raw(node)
             raw.send(request(1))
@@ -195,10 +207,10 @@
 
 @pytest.mark.parametrize("garbage", [struct.pack(">I", 3), struct.pack(">I", 2**31), b"\xff" * 5000])
 def test_requests_in_front_of_garbage_in_the_same_read_are_served(garbage: bytes) -> None:
-    @trial
+    @async_test
     async def scene() -> None:
-        cache = Cache(hit)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
+        cache = ScriptedCache(hit)
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
             raw = Raw(node)  # the first that comes on a new connection
             raw.send(request(1) + request(2) + garbage)
             frames, end = await raw.rest()
@@ -219,18 +231,21 @@
     return raw, conn
 
 
-@trial
+@async_test
 async def test_a_connection_that_is_being_closed_makes_no_room_while_its_answers_have_not_left() -> None:
-    cache = Cache(big)
+    cache = ScriptedCache(big)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(front_module, "SPARE_MS", -1.0)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (
+            node,
+            client,
+        ):
             raw, conn = await slow(node)
             raw.send(request(1) + struct.pack(">I", 3))
-            await until(lambda: conn.shut_ms and conn.unsent())
+            await wait_until(lambda: conn.shut_ms and conn.unsent())
             conn.shut_ms -= 60.0  # longer ago than a crossing takes
             node.front.cap, node.front.lingering = 0, 0
-            await until(lambda: not client.reader._buffer)  # type: ignore[attr-defined]
+            await wait_until(lambda: not client.reader._buffer)  # type: ignore[attr-defined]
             assert not node.front._spare_one()  # the resting client goes, and the cap is not met all the same
             node.front.cap, node.front.lingering = 100, 1
             frames, end = await raw.rest()
@@ -242,32 +257,32 @@
 # --- a client that is cut off
 
 
-@trial
+@async_test
 async def test_a_client_that_sends_on_while_it_takes_nothing_gets_what_it_had_open_if_it_reads_again() -> (
     None
 ):
     # it was reset, and with it went the answers that lay here and the requests that were open
-    cache = Cache(lambda command: big(command) if command[1]["nth"] == "7" else None)
+    cache = ScriptedCache(lambda command: big(command) if command[1]["nth"] == "7" else None)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(client_module, "UNSENT_BYTES", 50_000)
         patch.setattr(client_module, "OVER_MOST", 40)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
             raw, conn = await slow(node)
             raw.send(request(1, d="20000"))
-            await until(lambda: cache.seen)
+            await wait_until(lambda: cache.received)
             raw.send(request(2, chunk="7"))
-            await until(lambda: conn.unsent() > 50_000)
+            await wait_until(lambda: conn.unsent() > 50_000)
             for stream in range(3, 60):
                 raw.send(request(stream))
-            await until(lambda: conn.discards_input)
-            cache.conns[0].write(b"0000000000000001 served digest=aa,dated=1,remark=h 2\r\nok\r\n")
+            await wait_until(lambda: conn.discards_input)
+            cache.connections[0].write(b"0000000000000001 served digest=aa,dated=1,remark=h 2\r\nok\r\n")
             frames, end = await raw.rest()
             assert (
                 answers(frames)[:2] == [(1, AnswerCode.SERVED), (2, AnswerCode.SERVED)]
                 and end == "end of file"
             )
             assert len(answers(frames)) == len({stream for stream, _ in answers(frames)}) == 2 + 41
-            assert len(cache.seen) == 2
+            assert len(cache.received) == 2
             raw.sock.close()
 
 
--- a/tests/purges/test_clocks.py
+++ b/tests/purges/test_clocks.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 import pytest
-from harness import until
+from harness import wait_until
 from hypothesis import given
 from hypothesis import strategies as st
 from test_purge_log import RecordingSubscriber, ServedLog, running_server, send, tokens, unix_ms
@@ -604,7 +604,7 @@
             assert director.cut_off.link is not Link.CUT_OFF
             await send(purge_server.port, "group:3")
             live_purge_ms = unix_ms()
-            await until(lambda: len(director.active) == 2)
+            await wait_until(lambda: len(director.active) == 2)
             await director.close()
             restored = PurgeSubscription(options(tmp_path, purge_server.port), Index(), now_ms, disk)
             for subscription in (director, restored):
@@ -640,7 +640,7 @@
             purge_server.active.low_watermark.merge([Loss("z", 9, at_ms, at_ms)], unix_ms())
             purge_server.stream.wake()
             previous_ms = director.low_watermark_ms
-            await until(lambda: director.low_watermark_ms != previous_ms)
+            await wait_until(lambda: director.low_watermark_ms != previous_ms)
             assert director.max_copy_age_ms("film") < 2_000.0
             status = json.loads(
                 await fetch("127.0.0.1", purge_server.port, "GET", "/status", "a-token-of-the-operators")
@@ -663,9 +663,9 @@
         async with running_server(tmp_path) as purge_server:
             purge_server.stream._clock = lambda: 0.0
             recorder = RecordingSubscriber(purge_server.port)
-            await until(lambda: recorder.subscribers[0].caught_up.is_set())
+            await wait_until(lambda: recorder.subscribers[0].caught_up.is_set())
             await send(purge_server.port, "group:3")
-            await until(lambda: len(recorder.active) == 1)
+            await wait_until(lambda: len(recorder.active) == 1)
             assert recorder.subscribers[0].server_clock_ms == 0.0
             await recorder.close()
 
--- a/tests/purges/test_director.py
+++ b/tests/purges/test_director.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from harness import Cache, Client, Command, config, trial, until
+from harness import Client, Command, ScriptedCache, async_test, config, wait_until
 from test_net_rules import REFUSED, notice_flush, outcomes, told
 from test_purge_log import running_server, send, tokens
 
@@ -50,7 +50,7 @@
 @asynccontextmanager
 async def director(cache: str, op: Operator) -> AsyncIterator[tuple[Server, Client]]:
     node = Server(read_config(config({"c0": cache, "r0": REFUSED})), op)
-    client = await Client.to(await node.start())
+    client = await Client.connect(await node.start())
     try:
         yield node, client
     finally:
@@ -60,7 +60,7 @@
 
 def test_a_director_is_ready_once_caught_up_and_applies_new_purges_within_a_second(tmp_path: Path) -> None:
     async def scenario() -> None:
-        cache = Cache(serve_fresh_copy)
+        cache = ScriptedCache(serve_fresh_copy)
         address = await cache.start()
         async with running_server(tmp_path) as purge_server:
             await send(purge_server.port, "objects:7f* & class:film")
@@ -71,7 +71,7 @@
                 await client.next()
                 started = time.time()
                 await send(purge_server.port, "group:9 & parts:0-7")
-                await until(
+                await wait_until(
                     lambda: node.director.router.purges.newest_purge_ms("film", 9, 5, 3, node.clock.now())
                     > 0.0
                 )
@@ -80,7 +80,7 @@
                 await client.next()
                 client.ask(4, o="1111111111111111", tag="9", chunk="8")
                 await client.next()
-                ages = [int(request[1].get("accept", 0)) for request in cache.seen]
+                ages = [int(request[1].get("accept", 0)) for request in cache.received]
                 assert 0 < ages[0] < 60_000 and 0 < ages[2] < 2_000
                 assert ages[1] == ages[3] == 604_800_000  # nothing older than the retention is accepted
                 assert node.purges is not None and node.purges.cut_off.link is Link.FOLLOWS
@@ -88,16 +88,16 @@
     asyncio.run(scenario())
 
 
-@trial
+@async_test
 async def test_a_response_from_a_copy_older_than_a_known_purge_is_not_forwarded() -> None:
     copy_date_ms = [0.0]
 
     def serve_dated_copy(command: Command) -> tuple[str, bytes]:
         return f"served digest=aa,dated={int(copy_date_ms[0])},remark=h", b"\x00bytes"
 
-    cache = Cache(serve_dated_copy)
+    cache = ScriptedCache(serve_dated_copy)
     node = Server(read_config(config({"c0": await cache.start(), "r0": REFUSED})))
-    client = await Client.to(await node.start())
+    client = await Client.connect(await node.start())
     events = told(node.director)
     now = node.clock.now()
     node.director.apply_watch_event(
@@ -116,7 +116,7 @@
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
-        cache = Cache(serve_fresh_copy)
+        cache = ScriptedCache(serve_fresh_copy)
         address = await cache.start()
         op = operator(tmp_path, 1, cut_off_per_s=4)
         async with director(address, op) as (node, client):
@@ -129,13 +129,13 @@
             assert 1 <= codes.count(0) <= 3 and codes.count(0) + codes.count(1) == 8
             client.ask(10, o=f"{served:016x}")  # a part that was refetched costs no token
             assert (await client.next())[2] == 0
-            assert all(int(request[1]["accept"]) <= 2000 for request in cache.seen)
+            assert all(int(request[1]["accept"]) <= 2000 for request in cache.received)
             # a copy older than the delay, as from joining an older fill, is not forwarded
             cache.script = serve_old_copy
             await asyncio.sleep(0.6)
-            request_count = len(cache.seen)
+            request_count = len(cache.received)
             client.ask(9, o=f"{99:016x}", d="300")
-            assert (await client.next())[2] != 0 and len(cache.seen) > request_count
+            assert (await client.next())[2] != 0 and len(cache.received) > request_count
             cache.script = serve_fresh_copy
             client.ask(20, c="sheet", k="5c")  # not a strict class, so not limited
             await client.next()
@@ -182,7 +182,7 @@
             subscription.start()
             await subscription.ready()
             assert len(subscription.active) == 300
-            await until(lambda: subscription.store.records >= 300)  # stored
+            await wait_until(lambda: subscription.store.records >= 300)  # stored
             subscription._tasks[-1].cancel()  # a crash: nothing more is stored
             remaining_disk = disk.after_crash(Lost.ALL, False)
             restored = PurgeSubscription(
@@ -198,7 +198,7 @@
             await restored.ready()
             assert not received
             await send(purge_server.port, "group:1")
-            await until(lambda: received == [1])
+            await wait_until(lambda: received == [1])
             await subscription.close()
             await restored.close()
 
--- a/tests/purges/test_disk_faults.py
+++ b/tests/purges/test_disk_faults.py
@@ -10,7 +10,7 @@
 
 import pytest
 from disk_faults import FAULTS, disks_after_crash, fault, has_one_outage_logged
-from harness import until
+from harness import wait_until
 from test_clocks import options
 from test_purge_log import TOKEN, running_server, send, tokens, unix_ms
 
@@ -54,7 +54,9 @@
                 assert rejected.value.status == 507
             assert not await accepts_writes(purge_server.port) and scopes_of(purge_server) == {"group:1"}
             disk.fault = None
-            await until(lambda: purge_server.store.can_store, WAIT_S)  # without any request in the meantime
+            await wait_until(
+                lambda: purge_server.store.can_store, WAIT_S
+            )  # without any request in the meantime
             assert await accepts_writes(purge_server.port)
             assert (await send(purge_server.port, "group:2", "key-2"))["seq"] == 2
             for remaining_disk in disks_after_crash(disk):
@@ -138,13 +140,13 @@
             await send(a.port, "group:1")
             disk.fault = FAULTS["everything fails"]
             pending_request = asyncio.ensure_future(send(a.port, "group:2"))
-            await until(lambda: len(a.active) == 2, WAIT_S)
+            await wait_until(lambda: len(a.active) == 2, WAIT_S)
             previous_ms = peer.position_received_ms
             # wait for two more positions
-            await until(lambda: peer.position_received_ms > previous_ms + 1_500.0, WAIT_S)
+            await wait_until(lambda: peer.position_received_ms > previous_ms + 1_500.0, WAIT_S)
             assert scopes_of(b) == {"group:1"} and not b.active.positions.covers(a.active.positions.vector())
             disk.fault = None
-            await until(lambda: scopes_of(b) == {"group:1", "group:2"}, WAIT_S)
+            await wait_until(lambda: scopes_of(b) == {"group:1", "group:2"}, WAIT_S)
             assert b.active.positions.covers(a.active.positions.vector())
             assert (await send(a.port, "group:3"))["seq"] == 3
             for remaining_disk in disks_after_crash(disk):
@@ -168,13 +170,13 @@
             patch.setattr("gladelane.purges.committer.MAX_WAITING", 5)
             async with running_server(tmp_path, "a") as a, running_server(tmp_path, "b", disk) as b:
                 peer = b.subscribe_to_peer("127.0.0.1", a.port)
-                await until(lambda: peer.caught_up.is_set(), WAIT_S)
+                await wait_until(lambda: peer.caught_up.is_set(), WAIT_S)
                 disk.fault = FAULTS["sync fails"]
                 for group in range(20):
                     await send(a.port, f"group:{group}")
-                await until(lambda: "too many" in peer.state, WAIT_S)
+                await wait_until(lambda: "too many" in peer.state, WAIT_S)
                 disk.fault = None
-                await until(lambda: len(b.active) == 20, WAIT_S)
+                await wait_until(lambda: len(b.active) == 20, WAIT_S)
                 assert b.active.positions.covers(a.active.positions.vector())
 
     asyncio.run(scenario())
@@ -188,7 +190,7 @@
         async with running_server(tmp_path, disk=disk, is_first_start=False) as purge_server:
             assert purge_server.store.has_unsaved_start() and not await accepts_writes(purge_server.port)
             disk.fault = None
-            await until(lambda: purge_server.store.can_store, WAIT_S)
+            await wait_until(lambda: purge_server.store.can_store, WAIT_S)
             for remaining_disk in disks_after_crash(disk):
                 restarted = PurgeLog("a", remaining_disk, tokens(tmp_path), clock=unix_ms)
                 assert [loss.epoch for loss in restarted.active.low_watermark.open_losses()] == [
@@ -214,7 +216,7 @@
                 for group in range(3):
                     await send(purge_server.port, f"group:{group}")
             assert checkpoint.read() == Checkpoint("a", purge_server.epoch, 0)
-            await until(lambda: checkpoint.read() == Checkpoint("a", purge_server.epoch, 3), WAIT_S)
+            await wait_until(lambda: checkpoint.read() == Checkpoint("a", purge_server.epoch, 3), WAIT_S)
 
     asyncio.run(scenario())
     assert has_one_outage_logged(caplog, "feed: mark")
@@ -237,7 +239,7 @@
                 disk.fault = None
                 for group in range(8, 11):
                     await send(purge_server.port, f"group:{group}")
-                await until(lambda: any(name.endswith(".snap") for name in disk.names()), WAIT_S)
+                await wait_until(lambda: any(name.endswith(".snap") for name in disk.names()), WAIT_S)
                 for remaining_disk in disks_after_crash(disk):
                     assert len(PurgeLog("a", remaining_disk, tokens(tmp_path), clock=unix_ms).active) == 11
 
@@ -260,7 +262,7 @@
     async def wait_for_next(self) -> None:
         """Waits for a save that started after this call; the next one to end may have started before it."""
         previous_count = self.finished
-        await until(lambda: self.finished >= previous_count + 2, WAIT_S)
+        await wait_until(lambda: self.finished >= previous_count + 2, WAIT_S)
 
 
 @pytest.mark.parametrize("kind", FAULTS)
@@ -275,13 +277,13 @@
             subscription.start()
             await subscription.ready()
             await send(purge_server.port, "group:1")
-            await until(lambda: len(subscription.active) == 1, WAIT_S)
+            await wait_until(lambda: len(subscription.active) == 1, WAIT_S)
             await saves.wait_for_next()
             assert subscription.store.pending.is_empty()
             disk.fault = FAULTS[kind]
             for group in (2, 3):
                 await send(purge_server.port, f"group:{group}")
-                await until(lambda group=group: len(subscription.active) == group, WAIT_S)  # type: ignore[misc]
+                await wait_until(lambda group=group: len(subscription.active) == group, WAIT_S)  # type: ignore[misc]
                 await saves.wait_for_next()
                 assert len(subscription.store.pending.purges) == group - 1  # the saves have failed
             # a purge applies although it is not stored
--- a/tests/purges/test_hard_cases.py
+++ b/tests/purges/test_hard_cases.py
@@ -15,7 +15,7 @@
 from cryptography.hazmat.primitives import hashes, serialization
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import NameOID
-from harness import Client, config, running, trial, until
+from harness import Client, async_test, config, running_director, wait_until
 from test_net_rules import notice_flush, outcomes, told
 from test_purge_log import TOKEN, ServedLog, tokens, unix_ms
 
@@ -38,7 +38,7 @@
 from gladelane.routing.events import Status
 
 
-@trial
+@async_test
 async def test_no_later_request_gets_the_old_copy_of_a_fill_that_was_in_progress_during_a_purge() -> None:
     """A fill reads the old copy before a purge. A cache may let a request after the purge join that fill, so the director
     has to reject the old copy."""
@@ -51,12 +51,12 @@
     stores = {"c0": cache, "p0": hub, "r0": origin}
     fake_servers = {name: FakeServer(name, store.answer) for name, store in stores.items()}
     addresses = {name: await fake_server.listen(Family.V4) for name, fake_server in fake_servers.items()}
-    async with running(config(addresses)) as (node, client):
+    async with running_director(config(addresses)) as (node, client):
         hub.copies[object_id, 3] = now_ms() - 5000.0  # the old copy
         events = told(node.director)
-        other_client = await Client.to(node.port)
+        other_client = await Client.connect(node.port)
         client.ask(1, d="3000")
-        await until(lambda: cache.filling)  # the fill has read the old copy, and is in progress
+        await wait_until(lambda: cache.filling)  # the fill has read the old copy, and is in progress
         purged_ms = now_ms()
         node.director.apply_watch_event(WatchEvent(2, flush=notice_flush(asset=object_id, ms=purged_ms)))
         await asyncio.sleep(0.05)
@@ -93,7 +93,7 @@
         self.held += sockets
 
 
-@trial
+@async_test
 async def test_lost_orders_are_retried_and_a_restarted_cache_receives_all_orders_again() -> None:
     """A restarted cache server may have old copies again, so it must not count as purged by its earlier process's
     acknowledgements."""
@@ -106,18 +106,18 @@
     orders.set_servers({"c0": 1.0})
     orders.add([Purge("a", 1, n, 1000.0 + n, f"group:{n}") for n in range(1, 4)])
     task = asyncio.ensure_future(OrderSender(orders, endpoints, budget, 200.0).run())
-    await until(lambda: orders.is_purged("c0"))
+    await wait_until(lambda: orders.is_purged("c0"))
     assert dropped == ["1001.000 group:1", "1002.000 group:2", "1003.000 group:3"]
     await fake_server.set(address, Fault.REFUSED)
     orders.add([Purge("a", 1, 4, 1004.0, "all")])
     await asyncio.sleep(0.3)
     assert not orders.is_purged("c0") and len(dropped) == 3
     await fake_server.set(address, Fault.NONE)
-    await until(lambda: orders.is_purged("c0"))
+    await wait_until(lambda: orders.is_purged("c0"))
     assert dropped[3:] == ["1004.000 all"]
     orders.set_servers({"c0": 2.0})  # the endpoint list shows that the server was restarted
     assert not orders.is_purged("c0")
-    await until(lambda: orders.is_purged("c0"))
+    await wait_until(lambda: orders.is_purged("c0"))
     assert len(dropped) == 8 and budget.held == 0
     task.cancel()
     await fake_server.close()
--- a/tests/purges/test_low_watermark.py
+++ b/tests/purges/test_low_watermark.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from harness import until
+from harness import wait_until
 from hypothesis import given
 from hypothesis import strategies as st
 from test_purge_log import TOKEN, run, running_server, send, unix_ms
@@ -235,14 +235,14 @@
             async with running_server(tmp_path, "a", is_first_start=False, copies=2) as restarted:
                 assert restarted.active.low_watermark.open_losses("a")
                 restarted.subscribe_to_peer("127.0.0.1", b.port)
-                await until(lambda: not restarted.active.low_watermark.open_losses())
+                await wait_until(lambda: not restarted.active.low_watermark.open_losses())
                 assert (
                     len(restarted.active) == 2 and "peers b" in restarted.active.low_watermark.losses()[0].by
                 )
-                await until(lambda: len(b.active.low_watermark) == 1 or not len(b.active.low_watermark))
+                await wait_until(lambda: len(b.active.low_watermark) == 1 or not len(b.active.low_watermark))
             async with running_server(tmp_path, "a", is_first_start=False, copies=1) as alone:
                 alone.subscribe_to_peer("127.0.0.1", b.port)
-                await until(lambda: len(alone.active) == 2)
+                await wait_until(lambda: len(alone.active) == 2)
                 await asyncio.sleep(0.1)
                 # with one copy, it may have acknowledged a purge that no peer received
                 assert alone.active.low_watermark.open_losses("a")
@@ -266,7 +266,7 @@
             assert not restarted.active.low_watermark.open_losses()
             restarted.receive([known[1]])
             assert restarted.active.low_watermark.open_losses("a")
-            await until(lambda: len(restarted.active) == 2)
+            await wait_until(lambda: len(restarted.active) == 2)
 
     run(scenario())
 
@@ -280,7 +280,7 @@
             with pytest.raises(HttpStatusError, match="not stored"):
                 await send(a.port, "group:1")
             disk.capacity_bytes = 100_000
-            await until(lambda: not a.store.has_unsaved_start())
+            await wait_until(lambda: not a.store.has_unsaved_start())
         restored = PurgeLog("a", disk, a.tokens, clock=unix_ms)
         assert restored.active.low_watermark.open_losses("a") and restored.active.start[0] == "a"
 
