--- a/tests/purges/test_purge_log.py
+++ b/tests/purges/test_purge_log.py
@@ -18,7 +18,7 @@
 
 import msgspec
 import pytest
-from harness import until
+from harness import wait_until
 
 from gladelane.control_plane import event_stream, server
 from gladelane.control_plane.http import HttpStatusError, fetch
@@ -131,12 +131,12 @@
             patch.setattr(subscriber, "HEARTBEAT_TIMEOUT_S", NEVER_S)
             async with running_server(tmp_path) as purge_server:
                 recorder = RecordingSubscriber(purge_server.port)
-                await until(lambda: recorder.subscribers[0].caught_up.is_set(), WAIT_S)
+                await wait_until(lambda: recorder.subscribers[0].caught_up.is_set(), WAIT_S)
                 delays_s: list[float] = []
                 for group in range(1, 6):
                     await send(purge_server.port, f"group:{group}")
                     started = time.monotonic()
-                    await until(lambda group=group: len(recorder.active) == group, WAIT_S)  # type: ignore[misc]
+                    await wait_until(lambda group=group: len(recorder.active) == group, WAIT_S)  # type: ignore[misc]
                     delays_s.append(time.monotonic() - started)
                 await recorder.close()
         assert min(delays_s) < MAX_DELAY_S, delays_s
@@ -148,13 +148,13 @@
     async def scenario() -> None:
         async with running_server(tmp_path) as purge_server:
             recorder = RecordingSubscriber(purge_server.port)
-            await until(lambda: recorder.subscribers[0].caught_up.is_set(), WAIT_S)
+            await wait_until(lambda: recorder.subscribers[0].caught_up.is_set(), WAIT_S)
             first = await send(
                 purge_server.port, "tag:signs & class:page", "k1", signs="objects:7f* | group:3"
             )
             assert (first["seq"], first["again"]) == (1, False)
             assert set(first["scope"].split(" | ")) == {"class:page & group:3", "class:page & objects:7f*"}
-            await until(lambda: len(recorder.active) == 1, WAIT_S)
+            await wait_until(lambda: len(recorder.active) == 1, WAIT_S)
             repeated = await send(purge_server.port, "class:page & objects:7f* | class:page & group:3", "k1")
             assert repeated["again"] and repeated["seq"] == 1 and len(purge_server.active) == 1
             responses = await asyncio.gather(*(send(purge_server.port, "group:9", "k2") for _ in range(8)))
@@ -243,9 +243,9 @@
         disk = SimDisk()
         async with running_server(tmp_path, disk=disk) as purge_server:
             recorder = RecordingSubscriber(purge_server.port)
-            await until(lambda: recorder.subscribers[0].caught_up.is_set(), WAIT_S)
+            await wait_until(lambda: recorder.subscribers[0].caught_up.is_set(), WAIT_S)
             await send(purge_server.port, "group:1")
-            await until(lambda: len(recorder.active) == 1, WAIT_S)
+            await wait_until(lambda: len(recorder.active) == 1, WAIT_S)
             await recorder.close()
             await send(purge_server.port, "group:2", "key")
             epoch, vector = purge_server.epoch, recorder.active.positions.vector()
@@ -255,7 +255,7 @@
             await send(restarted.port, "group:3")
             late_recorder = RecordingSubscriber(restarted.port)
             late_recorder.active.positions.advance_to(vector)
-            await until(lambda: late_recorder.subscribers[0].caught_up.is_set(), WAIT_S)
+            await wait_until(lambda: late_recorder.subscribers[0].caught_up.is_set(), WAIT_S)
             assert sorted(p.scope for p in late_recorder.active.purges_after({})) == ["group:2", "group:3"]
             await late_recorder.close()
 
@@ -276,19 +276,19 @@
                 b.subscribe_to_peer("127.0.0.1", a.port)
                 a.subscribe_to_peer("127.0.0.1", b.port)
                 await asyncio.gather(send(a.port, "group:2"), send(b.port, "group:3"))
-                await until(lambda: len(a.active) == len(b.active) == 3, WAIT_S)
+                await wait_until(lambda: len(a.active) == len(b.active) == 3, WAIT_S)
             await send(b.port, "group:4")  # while a is down
             async with running_server(tmp_path, "a", restored) as restarted:
                 assert sorted(p.scope for p in restarted.active.purges_after({})) == ["group:1"]
                 restarted.subscribe_to_peer("127.0.0.1", b.port)
                 await send(restarted.port, "group:5")
                 b.subscribe_to_peer("127.0.0.1", restarted.port)
-                await until(lambda: len(restarted.active) == len(b.active) == 5, WAIT_S)
+                await wait_until(lambda: len(restarted.active) == len(b.active) == 5, WAIT_S)
                 assert restarted.active.positions.vector() == b.active.positions.vector()
                 assert not restarted.active.positions.gaps() and not b.active.positions.gaps()
                 # two servers, but each purge only once
                 recorder = RecordingSubscriber(b.port, restarted.port)
-                await until(lambda: all(one.caught_up.is_set() for one in recorder.subscribers), WAIT_S)
+                await wait_until(lambda: all(one.caught_up.is_set() for one in recorder.subscribers), WAIT_S)
                 assert len(recorder.active) == 5
                 await recorder.close()
 
@@ -313,12 +313,14 @@
                 writer.write(
                     f"GET /follow?from= HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {TOKEN}\r\n\r\n".encode()
                 )
-                await until(lambda: purge_server.stream.subscribers == 1, WAIT_S)  # and does not read for now
+                await wait_until(
+                    lambda: purge_server.stream.subscribers == 1, WAIT_S
+                )  # and does not read for now
                 recorder = RecordingSubscriber(purge_server.port)
-                await until(lambda: len(recorder.active) == 50_000, 60.0)
+                await wait_until(lambda: len(recorder.active) == 50_000, 60.0)
                 for n in range(120):
                     await send(purge_server.port, f"group:{n}")
-                await until(lambda: len(recorder.active) == 50_120, WAIT_S)
+                await wait_until(lambda: len(recorder.active) == 50_120, WAIT_S)
                 received_ids: set[tuple[str, int, int]] = set()
                 while len(received_ids) < 50_120:
                     event = await asyncio.wait_for(read_event(reader), 10.0)
@@ -384,7 +386,9 @@
                         acknowledged[key] = (await send(port, f"group:{n}", key))["seq"]
 
             senders = [asyncio.ensure_future(send_purges(n)) for n in range(8)]
-            await until(lambda turn=turn: sum(key.startswith(f"{turn}-") for key in acknowledged) > 5, WAIT_S)  # type: ignore[misc]
+            await wait_until(
+                lambda turn=turn: sum(key.startswith(f"{turn}-") for key in acknowledged) > 5, WAIT_S
+            )  # type: ignore[misc]
             await asyncio.sleep(0.01 * turn)
             process.send_signal(signal.SIGKILL)
             await asyncio.gather(*senders)
@@ -411,7 +415,7 @@
                     Purge("x", 1, 2, 1e12, "group:1"),
                 ]
             )
-            await until(lambda: purge_server.active.positions.contains("x", 1, 2), WAIT_S)
+            await wait_until(lambda: purge_server.active.positions.contains("x", 1, 2), WAIT_S)
         records = recover(disk)[1].records
         assert [
             msgspec.msgpack.decode(r, type=Purge).seq
--- a/tests/test_failure.py
+++ b/tests/test_failure.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from conftest import Driver, members, only, some
+from conftest import Driver, actions_of, members, only_action
 
 from gladelane.routing.cache_admission import MAX_OBJECTS, MAX_SENT_OBJECTS
 from gladelane.routing.concurrency_limit import LIMIT_LEAST
@@ -27,17 +27,19 @@
 def late(d: Driver, fetch: Fetch, note: Note = Note.HIT, wait: float = 0.0) -> None:
     """The attempt is answered after its aim."""
     d.now += 3000.0
-    d.tell(Outcome(fetch.id, d.numbers[fetch.id], fetch.store, Status.OK, 3000.0, note, wait, over=True))
+    d.handle(
+        Outcome(fetch.id, d.attempt_numbers[fetch.id], fetch.store, Status.OK, 3000.0, note, wait, over=True)
+    )
 
 
 def open_fetches(d: Driver, count: int, **request: object) -> list[Fetch]:
-    return [f for n in range(count) for f in some(d.ask(object=1000 + n, **request), Fetch)]  # type: ignore[arg-type]
+    return [f for n in range(count) for f in actions_of(d.ask(object=1000 + n, **request), Fetch)]  # type: ignore[arg-type]
 
 
 def test_a_first_attempt_runs_to_the_deadline() -> None:
     # time-outs at the aim threw half-sent answers away and fed the jam with repeats
     d = Driver()
-    assert only(d.ask(), Fetch).timeout_ms == 5000.0
+    assert only_action(d.ask(), Fetch).timeout_ms == 5000.0
 
 
 def test_late_hits_shrink_what_a_cache_is_given_and_the_rest_is_refused_at_once() -> None:
@@ -47,8 +49,8 @@
     limit = d.router.caches[0].concurrency.limit
     assert limit < 12
     actions = [d.ask(object=2000 + n) for n in range(20)]
-    assert len([a for a in actions if some(a, Fetch)]) <= limit + 1
-    refused = [r for a in actions for r in some(a, Refuse)]
+    assert len([a for a in actions if actions_of(a, Fetch)]) <= limit + 1
+    refused = [r for a in actions for r in actions_of(a, Refuse)]
     assert refused and all(r.come_back_ms > 0 for r in refused)
 
 
@@ -64,7 +66,7 @@
     held_only = [f for f in asked if f.source == f.store]
     assert held_only and len(asked) == 12
     # a miss is given one more try for room, then its answer at once
-    assert only(d.answer(held_only[0], Status.MISS, Note.NOT_REPORTED, after=1.0), Refuse)
+    assert only_action(d.answer(held_only[0], Status.MISS, Note.NOT_REPORTED, after=1.0), Refuse)
 
 
 def test_timely_answers_open_the_limit_again() -> None:
@@ -118,10 +120,10 @@
     late(d, fetches.pop(0))
     assert d.router.caches[0].concurrency.limit > 14  # one late answer is no crowd
     fetch = fetches.pop(0)
-    d.tell(Outcome(fetch.id, 0, fetch.store, Status.OK, 3000.0, Note.HIT, over=True))
+    d.handle(Outcome(fetch.id, 0, fetch.store, Status.OK, 3000.0, Note.HIT, over=True))
     before = d.router.caches[0].concurrency.limit
     for fetch in fetches[1:]:
-        d.tell(Outcome(fetch.id, 0, fetch.store, Status.OK, 3000.0, Note.HIT, over=True))
+        d.handle(Outcome(fetch.id, 0, fetch.store, Status.OK, 3000.0, Note.HIT, over=True))
     assert before < 14 and d.router.caches[0].concurrency.limit == before
 
 
@@ -129,11 +131,11 @@
     # h541844: one slow parent closed filling at every cache
     d = Driver(second_copies=False)
     for _ in range(3):
-        slow = only(d.ask(object=5), Fetch)
+        slow = only_action(d.ask(object=5), Fetch)
         late(d, slow, Note.PARENT_HELD, 2900.0)
     source = d.router.stores[slow.source]
     assert source.concurrency.limit <= LIMIT_LEAST and d.router.stores[slow.store].fills.limit > 12
-    others = {f.source for n in range(8) for f in some(d.ask(object=5, part=n), Fetch)}
+    others = {f.source for n in range(8) for f in actions_of(d.ask(object=5, part=n), Fetch)}
     assert len(others) == 2
 
 
@@ -141,7 +143,7 @@
     # h18f72c: the origin was slow and fills that parents could have served were refused
     d = Driver(second_copies=False)
     for n in range(6):
-        late(d, only(d.ask(object=n), Fetch), Note.FROM_ORIGIN, 2900.0)
+        late(d, only_action(d.ask(object=n), Fetch), Note.FROM_ORIGIN, 2900.0)
     asked = open_fetches(d, 12)
     assert len(asked) == 12 and any(f.source_holds_only and f.source != "root" for f in asked)
 
@@ -151,26 +153,26 @@
     for notes, rests in (("all", False), ("none", True)):
         d = Driver(members(parents=1), notes=notes, second_copies=False)
         for n in range(2):
-            fetch = only(d.ask(object=n), Fetch)
+            fetch = only_action(d.ask(object=n), Fetch)
             d.answer(fetch, Status.TIMEOUT, Note.NOT_REPORTED, after=100.0)
         assert any(p.down_until > 0 for p in d.router.parents) is rests
 
 
 def test_a_told_failure_of_the_source_asks_the_same_cache_with_another_source() -> None:
     d = Driver()
-    fetch = only(d.ask(object=5), Fetch)
-    again = only(d.answer(fetch, Status.ERROR, Note.SOURCE_BROKEN), Fetch)
+    fetch = only_action(d.ask(object=5), Fetch)
+    again = only_action(d.answer(fetch, Status.ERROR, Note.SOURCE_BROKEN), Fetch)
     assert again.store == fetch.store and again.source != fetch.source
 
 
 def test_a_cache_that_cannot_be_reached_rests_then_gets_one_trial() -> None:
     d = Driver(members(caches=2))
-    home = only(d.ask(object=5), Fetch)
-    other = only(d.answer(home, Status.CONNECT_FAILED, Note.NOT_REPORTED), Fetch)
+    home = only_action(d.ask(object=5), Fetch)
+    other = only_action(d.answer(home, Status.CONNECT_FAILED, Note.NOT_REPORTED), Fetch)
     assert other.store != home.store
     assert {d.serve(object=n).store for n in range(6)} == {other.store}
     d.now += 500.0
-    trials = [f for n in range(40) for f in some(d.ask(object=n), Fetch) if f.store == home.store]
+    trials = [f for n in range(40) for f in actions_of(d.ask(object=n), Fetch) if f.store == home.store]
     assert len(trials) == 1
 
 
@@ -178,11 +180,11 @@
     # a store that swallows attempts is only seen by time-outs that come when the request has ended
     d = Driver(members(caches=2), second_copies=False)
     while not any(c.down_until for c in d.router.caches):
-        fetch = only(d.ask(object=5), Fetch)
+        fetch = only_action(d.ask(object=5), Fetch)
         d.now += 5000.0
-        d.tell(Timer(f"d:{fetch.id}"))
+        d.handle(Timer(f"d:{fetch.id}"))
         d.answer(fetch, Status.TIMEOUT, Note.NOT_REPORTED, after=0.0)
-        assert d.ids < 10
+        assert d.last_id < 10
     assert all(c.concurrency.out == 0 for c in d.router.caches)
 
 
@@ -190,9 +192,9 @@
     # valle: busy caches sent everything straight to the parents, which only moved the jam
     d = Driver(members(caches=1), straight=True, second_copies=False)
     d.router.caches[0].concurrency.limit = 0.0
-    only(d.ask(object=5), Refuse)
+    only_action(d.ask(object=5), Refuse)
     d.router.caches[0].trip(d.now)
-    fetch = only(d.ask(object=5), Fetch)
+    fetch = only_action(d.ask(object=5), Fetch)
     assert fetch.store == fetch.source and fetch.store.startswith("p") and fetch.rank == 0
 
 
@@ -202,17 +204,17 @@
     d.ask(cls="film", size_kb=4000.0)
     cache = d.router.caches[0]
     cache.concurrency.limit, cache.concurrency.out = 10.0, 8
-    only(d.ask(cls="film", size_kb=4000.0), Refuse)
-    only(d.ask(cls="page", size_kb=40.0), Fetch)
+    only_action(d.ask(cls="film", size_kb=4000.0), Refuse)
+    only_action(d.ask(cls="page", size_kb=40.0), Fetch)
 
 
 def test_a_keyed_request_is_tried_again_after_a_refusing_origin_and_never_twice_at_once() -> None:
     d = Driver(straight=True, second_copies=False)
-    actions = d.answer(only(d.ask(cls="sale"), Lookup), Status.FULL, Note.NOT_REPORTED)
-    timer = only(actions, SetTimer)
-    assert not some(actions, (Lookup, Refuse))
+    actions = d.answer(only_action(d.ask(cls="sale"), Lookup), Status.FULL, Note.NOT_REPORTED)
+    timer = only_action(actions, SetTimer)
+    assert not actions_of(actions, (Lookup, Refuse))
     d.now = timer.due_ms
-    only(d.tell(Timer(timer.token)), Lookup)
+    only_action(d.handle(Timer(timer.token)), Lookup)
 
 
 def test_tables_stay_bounded_over_a_long_run() -> None:
@@ -220,10 +222,10 @@
     for n in range(3 * MAX_OBJECTS):
         d.now += 1.0
         d.ask(object=n, part=n % 9)
-        d.tell(Purge(n, n % 7, 10.0))
+        d.handle(Purge(n, n % 7, 10.0))
         if n % 250 == 0:
-            d.tell(Timer("sweep"))
-        d.tell(Timer(f"d:{d.ids}"))
+            d.handle(Timer("sweep"))
+        d.handle(Timer(f"d:{d.last_id}"))
     r = d.router
     assert len(r.objects) <= MAX_OBJECTS and len(r.lingering) <= MAX_LINGERING and not r.pending
     assert all(len(c.sent) <= MAX_SENT_OBJECTS for c in r.caches)
@@ -239,11 +241,11 @@
     # branch-content, quiet: large objects read as late answers and a quiet zone was refused a tenth
     d = Driver(members(caches=1), second_copies=False, flow_kb_per_s=0.0)
     for _ in range(12):
-        fetch = only(d.ask(object=5, size_kb=0.0), Fetch)
+        fetch = only_action(d.ask(object=5, size_kb=0.0), Fetch)
         d.answer(fetch, after=1500.0)
     assert d.router.objects[5].work == 1500.0
     before = d.router.caches[0].concurrency.lateness
-    d.answer(only(d.ask(object=5, size_kb=0.0), Fetch), after=1600.0)
+    d.answer(only_action(d.ask(object=5, size_kb=0.0), Fetch), after=1600.0)
     assert d.router.caches[0].concurrency.lateness < before
 
 
@@ -255,7 +257,7 @@
         d.now += 3000.0
         for fetch in one_each.values():
             d.now += 700.0
-            d.tell(Outcome(fetch.id, 0, fetch.store, Status.OK, 3000.0, Note.PARENT_HELD, 40.0, over=True))
+            d.handle(Outcome(fetch.id, 0, fetch.store, Status.OK, 3000.0, Note.PARENT_HELD, 40.0, over=True))
         asked = open_fetches(d, 12)
         assert any(f.source == f.store for f in asked) is closed
 
@@ -263,22 +265,22 @@
 def test_a_single_reset_asks_the_same_cache_again_and_three_in_a_row_rest_it() -> None:
     # kscfb-media-later: a quarter of answers was reset, and one reset rested caches that mostly worked
     d = Driver(members(caches=2))
-    fetch = only(d.ask(object=5), Fetch)
-    again = only(d.answer(fetch, Status.RESET, Note.NOT_REPORTED), Fetch)
+    fetch = only_action(d.ask(object=5), Fetch)
+    again = only_action(d.answer(fetch, Status.RESET, Note.NOT_REPORTED), Fetch)
     assert again.store == fetch.store
-    again = only(d.answer(again, Status.RESET, Note.NOT_REPORTED), Fetch)
+    again = only_action(d.answer(again, Status.RESET, Note.NOT_REPORTED), Fetch)
     assert again.store == fetch.store
-    assert only(d.answer(again, Status.RESET, Note.NOT_REPORTED), Fetch).store != fetch.store
+    assert only_action(d.answer(again, Status.RESET, Note.NOT_REPORTED), Fetch).store != fetch.store
 
 
 def test_what_later_timely_answers_overtook_was_lost_and_cuts_no_limit() -> None:
     # valle-branches-later: lost answers ran to the deadline and read as a crowd
     for overtaken in (True, False):
         d = Driver(members(caches=1), second_copies=False)
-        lost = [only(d.ask(object=n), Fetch) for n in range(6)]
+        lost = [only_action(d.ask(object=n), Fetch) for n in range(6)]
         if overtaken:
             d.now += 10.0
-            d.answer(only(d.ask(object=50), Fetch), after=50.0)
+            d.answer(only_action(d.ask(object=50), Fetch), after=50.0)
         d.now += 5000.0
         before = d.router.caches[0].fills.limit
         for fetch in lost:
@@ -292,7 +294,7 @@
     d.router.ingress_limit.limit = d.router.ingress_limit.least
     first = []
     for n in range(200):
-        fetch = only(d.ask(object=n), Fetch)
+        fetch = only_action(d.ask(object=n), Fetch)
         first.append(fetch.source != fetch.store)
         d.router.ingress_limit.out = 0
     assert 5 < sum(first) < 40
@@ -322,11 +324,11 @@
 def test_a_proxy_that_starts_soon_knows_what_a_cold_store_can_bear() -> None:
     # reload: for 5 s after each restart a parent that had come up 10 s ago got nothing, the other all
     d = Driver(members(parents=1), second_copies=False)
-    d.members((Member("p9", "hub", "mid", came_up_ms=d.now - 10_000.0),), ListKind.CHANGES)
+    d.update_members((Member("p9", "hub", "mid", came_up_ms=d.now - 10_000.0),), ListKind.CHANGES)
     sources = set()
     for n in range(60):
         sources.add(d.serve(object=n).source)
-        d.tell(Timer("sweep"))
+        d.handle(Timer("sweep"))
     assert d.now < 100_000.0 + 4000.0 and sources == {"p0", "p9"}
 
 
@@ -335,7 +337,7 @@
     d = Driver(members(caches=1), notes="hit", second_copies=False)
     fetch = d.serve()
     asked = open_fetches(d, 8)
-    again = [only(d.answer(f, Status.RESET, Note.NOT_REPORTED, after=0.0), Fetch) for f in asked]
+    again = [only_action(d.answer(f, Status.RESET, Note.NOT_REPORTED, after=0.0), Fetch) for f in asked]
     assert [(f.store, f.source) for f in again] == [
         (f.store, f.source) for f in asked
     ]  # the source did nothing
@@ -351,12 +353,14 @@
     for n in range(30):
         d.serve(object=n)
     for n in range(6):
-        first = only(d.ask(object=900 + n), Fetch)
-        second = only(d.answer(first, Status.ERROR, Note.NOT_REPORTED, after=3.0), Fetch)
-        only(d.answer(second, Status.ERROR, Note.NOT_REPORTED, after=3.0), Refuse)
+        first = only_action(d.ask(object=900 + n), Fetch)
+        second = only_action(d.answer(first, Status.ERROR, Note.NOT_REPORTED, after=3.0), Fetch)
+        only_action(d.answer(second, Status.ERROR, Note.NOT_REPORTED, after=3.0), Refuse)
     assert not any(store.resting(d.now) for store in d.router.stores.values())
-    slow = only(d.answer(only(d.ask(object=990), Fetch), Status.ERROR, Note.NOT_REPORTED, after=100.0), Fetch)
-    only(
+    slow = only_action(
+        d.answer(only_action(d.ask(object=990), Fetch), Status.ERROR, Note.NOT_REPORTED, after=100.0), Fetch
+    )
+    only_action(
         d.answer(slow, Status.ERROR, Note.NOT_REPORTED, after=100.0), Fetch
     )  # a failed fill is no such error
 
@@ -376,13 +380,13 @@
     d = Driver(notes="hit", second_copies=False)
     bad, errors, refused = "p0", 0, 0
     for n in range(300):
-        fetch = only(d.ask(object=1000 + n), Fetch)
+        fetch = only_action(d.ask(object=1000 + n), Fetch)
         while fetch is not None:
             if fetch.source == bad and n % 5:
                 errors += n >= 60
                 actions = d.answer(fetch, Status.ERROR, Note.NOT_REPORTED, after=9.0)
-                refused += bool(some(actions, Refuse))
-                fetch = next(iter(some(actions, Fetch)), None)
+                refused += bool(actions_of(actions, Refuse))
+                fetch = next(iter(actions_of(actions, Fetch)), None)
             else:
                 d.answer(fetch, Status.OK, Note.PARENT_HELD, after=9.0)
                 fetch = None
@@ -390,5 +394,5 @@
     assert not any(d.router.stores[name].resting(d.now) for name in ("c0", "c1", "c2", "p1"))
     for n in range(400):  # it is mended, and found so
         d.now += 100.0
-        d.answer(only(d.ask(object=5000 + n), Fetch), Status.OK, Note.PARENT_HELD, after=9.0)
+        d.answer(only_action(d.ask(object=5000 + n), Fetch), Status.OK, Note.PARENT_HELD, after=9.0)
     assert not d.router.stores[bad].resting(d.now) and d.router.stores[bad].error_rate < 0.6
--- a/tests/test_interface.py
+++ b/tests/test_interface.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import PLAIN, settings
+from conftest import BASE_SETTINGS, settings
 
 from gladelane.routing.events import Settings
 
@@ -17,7 +17,7 @@
 )
 def test_a_missing_key_is_named(key: str) -> None:
     with pytest.raises(ValueError, match=key):
-        Settings.read({k: v for k, v in PLAIN.items() if k != key})
+        Settings.read({k: v for k, v in BASE_SETTINGS.items() if k != key})
 
 
 @pytest.mark.parametrize(
@@ -31,7 +31,7 @@
 
 
 def test_a_wrong_class_value_is_named() -> None:
-    bad = [dict(PLAIN["classes"][0], effect="maybe")]
+    bad = [dict(BASE_SETTINGS["classes"][0], effect="maybe")]
     with pytest.raises(ValueError, match=r"classes\[0\].effect"):
         settings(classes=bad)
 
--- a/tests/test_large_lists.py
+++ b/tests/test_large_fleets.py
@@ -1,5 +1,5 @@
-"""What a decision and a change of the list cost in a large fleet, counted in calls, and that the parts of the list
-that decisions use are the same however it came to be."""
+"""Routing in large fleets: the cost of decisions and of endpoint list changes, counted in function calls; the caches,
+parents and origin that a list yields; and the subset of caches that a director prefers."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 ZONES = ["hub", *(f"z{place}" for place in range(8))]
 FEW, MANY = 200, 3200
-GROWTH_MOST = 1.3
+MAX_GROWTH = 1.3
 
 
 def large_settings(**changes: object) -> Settings:
@@ -49,6 +49,7 @@
 
 
 def large_list(count: int) -> list[Member]:
+    """An endpoint list with `count` caches in eight zones, four parents and an origin."""
     rng = random.Random(count)
     members = [
         Member(f"c{place}", ZONES[1 + place % 8], "box", weight=rng.choice([4.0, 5.0]))
@@ -61,19 +62,20 @@
     ]
 
 
-def calls(act: Callable[[], object]) -> int:
+def count_calls(function: Callable[[], object]) -> int:
+    """The number of function calls that a call makes, as a measure of cost without timing."""
     profile = cProfile.Profile()
-    profile.runcall(act)
+    profile.runcall(function)
     return int(pstats.Stats(profile).total_calls)  # type: ignore[attr-defined]
 
 
-def router_of(count: int, **changes: object) -> Router:
+def make_router(count: int, **changes: object) -> Router:
     router = Router(large_settings(**changes), 1)
     router.handle(1000.0, Members(ListKind.COMPLETE, tuple(large_list(count))))
     return router
 
 
-def serve(router: Router, requests: int, status: Status = Status.OK) -> None:
+def serve_requests(router: Router, requests: int, status: Status = Status.OK) -> None:
     now, rng = 2000.0, random.Random(3)
     for number in range(1, requests + 1):
         now += 20.0
@@ -87,41 +89,45 @@
 
 
 @pytest.mark.parametrize("notes", ["hit", "all", "none"])
-def test_decisions_cost_nearly_the_same_before_sixteen_times_the_caches(notes: str) -> None:
+def test_decision_cost_hardly_grows_with_sixteen_times_the_caches(notes: str) -> None:
     few, many = (
-        calls(lambda count=count: serve(router_of(count, notes=notes), 300)) for count in (FEW, MANY)
+        count_calls(lambda count=count: serve_requests(make_router(count, notes=notes), 300))
+        for count in (FEW, MANY)
     )
-    whole_list = calls(lambda: router_of(MANY, notes=notes)) - calls(lambda: router_of(FEW, notes=notes))
-    assert many - whole_list < GROWTH_MOST * few
+    list_cost = count_calls(lambda: make_router(MANY, notes=notes)) - count_calls(
+        lambda: make_router(FEW, notes=notes)
+    )
+    assert many - list_cost < MAX_GROWTH * few
 
 
-def test_a_change_of_the_list_costs_by_its_size() -> None:
+def test_cost_of_a_list_change_does_not_depend_on_the_length_of_the_list() -> None:
     changes = [
-        lambda m: replace(m, state=State.DRAINING),
-        lambda m: replace(m, state=State.GONE),
-        lambda m: replace(m, state=State.READY, came_up_ms=1500.0),
+        lambda member: replace(member, state=State.DRAINING),
+        lambda member: replace(member, state=State.GONE),
+        lambda member: replace(member, state=State.READY, came_up_ms=1500.0),
     ]
     costs = {}
     for count in (FEW, MANY):
-        router, member = router_of(count), large_list(count)[8]
+        router, member = make_router(count), large_list(count)[8]
         events: list[Event] = [Members(ListKind.CHANGES, (change(member),)) for change in changes]
-        costs[count] = calls(
+        costs[count] = count_calls(
             lambda router=router, events=events: [router.handle(1500.0, event) for event in events]
         )
-    assert costs[MANY] < GROWTH_MOST * costs[FEW]
+    assert costs[MANY] < MAX_GROWTH * costs[FEW]
 
 
-def test_a_member_of_another_zone_holds_no_state_of_attempts() -> None:
-    router = router_of(MANY)
-    serve(router, 200)
-    elsewhere = [
+def test_members_of_other_zones_have_no_attempt_state() -> None:
+    router = make_router(MANY)
+    serve_requests(router, 200)
+    other_zones = [
         store for store in router.stores.values() if store.member.kind == "box" and store.member.zone != "z0"
     ]
-    assert len(elsewhere) == MANY * 7 // 8
-    assert not any({"concurrency", "fills", "tokens", "sent"} & set(vars(store)) for store in elsewhere)
+    assert len(other_zones) == MANY * 7 // 8
+    assert not any({"concurrency", "fills", "tokens", "sent"} & set(vars(store)) for store in other_zones)
 
 
-def parts(router: Router) -> tuple[list[str], list[str], str | None]:
+def routing_targets(router: Router) -> tuple[list[str], list[str], str | None]:
+    """The caches, parents and origin that the router uses."""
     return (
         [store.member.store for store in router.caches],
         [store.member.store for store in router.parents],
@@ -129,24 +135,29 @@
     )
 
 
-def expected(router: Router) -> tuple[list[str], list[str], str | None]:
-    named = router.settings
+def expected_targets(router: Router) -> tuple[list[str], list[str], str | None]:
+    """The caches, parents and origin, computed from all members."""
+    settings_in_use = router.settings
     members = sorted((store.member for store in router.stores.values()), key=lambda member: member.store)
-    behind = (named.parent_kind, named.origin_kind)
-    origins = [member.store for member in members if member.kind == named.origin_kind]
+    source_kinds = (settings_in_use.parent_kind, settings_in_use.origin_kind)
+    origins = [member.store for member in members if member.kind == settings_in_use.origin_kind]
     return (
-        [member.store for member in members if member.kind not in behind and member.zone == named.zone],
-        [member.store for member in members if member.kind == named.parent_kind],
+        [
+            member.store
+            for member in members
+            if member.kind not in source_kinds and member.zone == settings_in_use.zone
+        ],
+        [member.store for member in members if member.kind == settings_in_use.parent_kind],
         origins[0] if origins else None,
     )
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_the_parts_of_the_list_are_the_same_by_changes_and_from_all_of_it(seed: int) -> None:
+def test_list_changes_give_the_same_caches_parents_and_origin_as_the_complete_list(seed: int) -> None:
     rng, router = random.Random(seed), Router(large_settings(), 1)
     now = 1000.0
     for step in range(120):
-        told = [
+        changed_members = [
             Member(f"s{rng.randrange(25)}", rng.choice(["hub", "z0", "z1"]), rng.choice(["box", "box", "mid", "root"]), 0,
                    rng.choice([State.READY, State.READY, State.DRAINING, State.GONE]), rng.choice([1.0, 5.0]), rng.choice([0.0, now]))
             for _ in range(rng.randint(1, 6))
@@ -155,31 +166,35 @@
         if step == 60:
             router.retune(replace(router.settings, parent_kind="box", zone="z1"))
         router.handle(
-            now, Members(rng.choice([ListKind.CHANGES, ListKind.CHANGES, ListKind.COMPLETE]), tuple(told))
+            now,
+            Members(
+                rng.choice([ListKind.CHANGES, ListKind.CHANGES, ListKind.COMPLETE]), tuple(changed_members)
+            ),
         )
-        assert parts(router) == expected(router)
+        assert routing_targets(router) == expected_targets(router)
         ready = {store.member.store for store in router.caches if store.member.state is State.READY}
         assert {
             store.member.store for store in router.store_list.caches_for(rng.randrange(99), False, now)
         } == ready
 
 
-# --- which caches a director uses in a fleet larger than any usual one
+# --- which caches a director uses in a fleet of more than MAX_CACHES_USED_ALIKE caches
 
 
-def few_keys_again(requests: int) -> list[int]:
+def keys_with_few_repeated(requests: int) -> list[int]:
+    """Half of the requests are for one of 39 keys, the others for random keys."""
     rng = random.Random(5)
     return [rng.choice([rng.randrange(1, 40), rng.randrange(1, 10**6)]) for _ in range(requests)]
 
 
-def many_keys_again(requests: int) -> list[int]:
-    """As popular as their rank: each of some hundreds comes again at some time."""
+def keys_by_popularity(requests: int) -> list[int]:
+    """Keys with a popularity of 1 / rank, of which some hundreds are repeated at some time."""
     rng = random.Random(5)
     return rng.choices(range(1, 4001), [1.0 / rank for rank in range(1, 4001)], k=requests)
 
 
-def used(router: Router, keys: list[int]) -> set[str]:
-    """Caches that are sent to."""
+def used_caches(router: Router, keys: list[int]) -> set[str]:
+    """Requests the keys, and returns the caches to which fetches were sent."""
     now, stores = 2000.0, set()
     for number, key in enumerate(keys, 1):
         now += 40.0
@@ -190,39 +205,41 @@
     return stores
 
 
-def test_up_to_the_usual_size_all_caches_of_the_zone_are_used_alike() -> None:
-    router = router_of(MAX_CACHES_USED_ALIKE)
-    assert len(used(router, few_keys_again(2000))) == MAX_CACHES_USED_ALIKE // 8
+def test_in_a_fleet_of_usual_size_all_caches_of_the_zone_are_used() -> None:
+    router = make_router(MAX_CACHES_USED_ALIKE)
+    assert len(used_caches(router, keys_with_few_repeated(2000))) == MAX_CACHES_USED_ALIKE // 8
     assert router.store_list._own_order is None and not router.store_list._recent_keys
 
 
-def test_in_a_larger_fleet_a_director_keeps_to_a_few_caches_of_its_zone() -> None:
+def test_in_a_larger_fleet_a_director_uses_few_caches_of_its_zone() -> None:
     zone = MANY // 8
     own, shared = OWN_LEAST + int(zone * OWN_SHARE), SHARED_LEAST + int(zone * SHARED_SHARE)
-    assert own < len(used(router_of(MANY), few_keys_again(2000))) <= own + shared < 100
+    assert own < len(used_caches(make_router(MANY), keys_with_few_repeated(2000))) <= own + shared < 100
 
 
-def test_keys_that_come_again_seldom_wear_through_few_caches_on_a_day() -> None:
+def test_rarely_repeated_keys_use_few_caches() -> None:
     assert (
-        len(used(router_of(MANY), many_keys_again(1500))) < 90
-    )  # of 400: 40 ms between requests, one minute
+        len(used_caches(make_router(MANY), keys_by_popularity(1500))) < 90
+    )  # of 400 caches, with a request each 40 ms for one minute
 
 
-def test_keys_that_come_again_go_to_the_cache_that_all_directors_of_the_zone_ask() -> None:
-    chosen = []
+def test_repeated_keys_go_to_the_same_cache_from_all_directors_of_the_zone() -> None:
+    chosen_caches = []
     for me in range(4):
-        router = router_of(MANY, me=me)
+        router = make_router(MANY, me=me)
         fetches = []
         for number, now in ((1, 2000.0), (2, 2100.0)):
             actions = router.handle(now, Request(number, "page", 77, now + 900.0, 300.0))
             fetches += [action for action in actions if isinstance(action, Fetch)]
             router.handle(now + 5.0, Outcome(number, 0, fetches[-1].store, Status.OK, 5.0, over=True))
-        chosen.append((fetches[0].store, fetches[1].store))
-    assert len({second for _, second in chosen}) == 1 and len({first for first, _ in chosen}) > 1
+        chosen_caches.append((fetches[0].store, fetches[1].store))
+    assert (
+        len({second for _, second in chosen_caches}) == 1 and len({first for first, _ in chosen_caches}) > 1
+    )
 
 
-def test_a_retry_does_not_make_a_key_one_that_comes_again() -> None:
-    router = router_of(MANY)
+def test_a_retry_does_not_make_its_key_a_repeated_one() -> None:
+    router = make_router(MANY)
     first = next(
         a for a in router.handle(2000.0, Request(1, "page", 77, 2900.0, 300.0)) if isinstance(a, Fetch)
     )
@@ -232,8 +249,8 @@
     assert {first.store, retry.store} <= own
 
 
-def test_when_none_of_the_preferred_can_take_a_request_any_other_does() -> None:
-    router = router_of(MANY)
+def test_requests_go_to_other_caches_if_no_preferred_one_is_available() -> None:
+    router = make_router(MANY)
     own = router.store_list._own_part(router.caches)
     for store in own:
         store.trip(2000.0)
@@ -245,30 +262,33 @@
 
 @pytest.mark.parametrize("step", [1, 8])
 def test_directors_prefer_each_cache_about_equally_often(step: int) -> None:
-    """However a fleet numbers the directors of one zone: in a row, or every eighth."""
-    routers = [router_of(MANY, me=me) for me in range(0, 25 * step, step)]
+    """The numbers of a zone's directors may be consecutive or, with eight zones, every eighth number."""
+    routers = [make_router(MANY, me=me) for me in range(0, 25 * step, step)]
     counts: dict[str, int] = {store.member.store: 0 for store in routers[0].caches}
     for router in routers:
         for store in router.store_list._own_part(router.caches):
             counts[store.member.store] += 1
     mean = sum(counts.values()) / len(counts)
-    assert max(counts.values()) <= mean + 2.5  # drawn at random: mean + 4.5, and a fifth of them unused
+    assert max(counts.values()) <= mean + 2.5  # random subsets: mean + 4.5, and a fifth of the caches unused
     assert sum(count == 0 for count in counts.values()) < len(counts) / 10
 
 
-def test_a_cache_that_comes_or_goes_changes_one_of_the_preferred_at_most() -> None:
-    router, rng = router_of(MANY), random.Random(2)
+def test_adding_or_removing_a_cache_changes_at_most_one_preferred_cache() -> None:
+    router, rng = make_router(MANY), random.Random(2)
     before = {store.member.store for store in router.store_list._own_part(router.caches)}
     for member in rng.sample(large_list(MANY)[:MANY], 60):
-        gone = replace(member, state=State.GONE)
-        for event in (gone, member):
-            router.handle(1500.0, Members(ListKind.CHANGES, (event,)))
+        removed = replace(member, state=State.GONE)
+        for change in (removed, member):
+            router.handle(1500.0, Members(ListKind.CHANGES, (change,)))
             after = {store.member.store for store in router.store_list._own_part(router.caches)}
             assert len(before - after) <= 1 and len(after - before) <= 1
             before = after
 
 
-def test_without_the_preference_decisions_are_those_from_before_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_decisions_without_preferred_caches_match_the_recorded_digest(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Without preferred caches, decisions are the ones that were recorded before directors preferred any."""
     monkeypatch.setattr(store_list, "MAX_CACHES_USED_ALIKE", 10**9)
     digest = decisions.run_scene("larger_list").text()
     assert digest == "be9ea9fc681d33d730fccbbbb62550ff655183b2fbb6e77ef3925daec3175693"
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,7 +1,7 @@
-"""The layers of the program: a module imports only what stands below its own package.
+"""The layers of the program: a module imports only from layers below that of its own package.
 
-Every import counts, also one inside a function or under TYPE_CHECKING: those hide a dependency from the
-interpreter, not from a reader. The message says which kind it is.
+Every import counts, including those inside functions or under TYPE_CHECKING, because they are dependencies for the
+reader as well. A failure says which kind of import it is.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 ROOT = Path(__file__).parents[1] / "gladelane"
 PACKAGE = "gladelane"
 
-#: From the bottom up. A package may import those of lower lines only, never its neighbours.
+#: The layers from the bottom up. A package may import packages of lower layers only, none of its own layer.
 LAYERS: tuple[tuple[str, ...], ...] = (
     ("deployment", "clock"),
     ("structures", "sse", "logs", "process", "sockets"),
     ("storage", "endpoints"),
-    ("control_plane",),  # the control server, which knows none of its parts
+    ("control_plane",),  # the control server, which does not depend on its parts
     ("purges",),
     ("routing", "leases", "discovery", "timer_wheel"),
     ("admin",),
-    ("gladelane", "net"),  # `gladelane`: what the package itself gives out
+    ("gladelane", "net"),  # `gladelane`: the names that the package itself exports
     ("hot_restart",),
     ("recovery",),
     ("audit",),
@@ -39,12 +39,12 @@
     ("cli",),
 )
 
-#: Imports that still go upward, as they are printed. May only shrink.
-KNOWN: frozenset[str] = frozenset()
+#: Permitted upward imports, in the form of `str(Import)`. None may be added.
+KNOWN_UPWARD_IMPORTS: frozenset[str] = frozenset()
 
 
-class Kind(Enum):
-    """When an import is carried out."""
+class ImportKind(Enum):
+    """When an import statement is executed."""
 
     LOADED = "when loaded"
     CALLED = "inside a function"
@@ -52,48 +52,51 @@
 
 
 class Import(NamedTuple):
-    """Modules are named without the package: `purges.index`; the package itself is `gladelane`."""
+    """An import of one module by another. Module names lack the package, as in `purges.index`; the package itself is
+    called `gladelane`."""
 
     importer: str
     imported: str
-    kind: Kind
+    kind: ImportKind
 
     def __str__(self) -> str:
         return f"{self.importer} -> {self.imported} ({self.kind.value})"
 
 
 def module_names(root: Path) -> dict[str, Path]:
-    """Each module below a package's folder, by its dotted name within the package."""
-    found = {}
+    """The paths of all modules in a package's folder, by their dotted names within the package."""
+    modules = {}
     for path in sorted(root.rglob("*.py")):
         parts = path.relative_to(root).with_suffix("").parts
         name = ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
-        found[name or PACKAGE] = path
-    return found
+        modules[name or PACKAGE] = path
+    return modules
 
 
-def _nodes(tree: ast.AST, kind: Kind) -> Iterator[tuple[ast.Import | ast.ImportFrom, Kind]]:
-    """All import statements of a module, with the kind that the code around them gives."""
+def _import_statements(
+    tree: ast.AST, kind: ImportKind
+) -> Iterator[tuple[ast.Import | ast.ImportFrom, ImportKind]]:
+    """Yields all import statements of a module, with the kind that follows from the code around them."""
     for node in ast.iter_child_nodes(tree):
         if isinstance(node, ast.Import | ast.ImportFrom):
             yield node, kind
         elif isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
-            yield from _nodes(node, Kind.CALLED)
+            yield from _import_statements(node, ImportKind.CALLED)
         elif isinstance(node, ast.If) and "TYPE_CHECKING" in ast.unparse(node.test):
-            yield from _nodes(node, Kind.TYPES)
+            yield from _import_statements(node, ImportKind.TYPES)
         else:
-            yield from _nodes(node, kind)
+            yield from _import_statements(node, kind)
 
 
-def _targets(node: ast.Import | ast.ImportFrom, importer: str, is_package: bool) -> Iterator[str]:
-    """Absolute names of what a statement may import, modules and their members alike."""
+def _imported_names(node: ast.Import | ast.ImportFrom, importer: str, is_package: bool) -> Iterator[str]:
+    """Yields the absolute names that a statement may import, whether modules or members of modules."""
     if isinstance(node, ast.Import):
         yield from (alias.name for alias in node.names)
         return
     base = node.module or ""
     if node.level:
-        whole = [PACKAGE] if importer == PACKAGE else [PACKAGE, *importer.split(".")]
-        parents = whole[: len(whole) - node.level + (1 if is_package else 0)]
+        importer_path = [PACKAGE] if importer == PACKAGE else [PACKAGE, *importer.split(".")]
+        parents = importer_path[: len(importer_path) - node.level + (1 if is_package else 0)]
         base = ".".join([*parents, *([node.module] if node.module else [])])
     yield from (f"{base}.{alias.name}" for alias in node.names)
 
@@ -104,8 +107,8 @@
     found = set()
     for importer, path in modules.items():
         is_package = path.name == "__init__.py"
-        for node, kind in _nodes(ast.parse(path.read_text()), Kind.LOADED):
-            for target in _targets(node, importer, is_package):
+        for node, kind in _import_statements(ast.parse(path.read_text()), ImportKind.LOADED):
+            for target in _imported_names(node, importer, is_package):
                 if not f"{target}.".startswith(f"{PACKAGE}."):
                     continue
                 name = target[len(PACKAGE) + 1 :]
@@ -116,26 +119,26 @@
 
 
 def unit_of(module: str) -> str:
-    """The package, or the single module, that a layer names."""
+    """The package or top-level module by which `LAYERS` places a module."""
     return module.partition(".")[0]
 
 
-def upward(imports: list[Import]) -> list[Import]:
-    """Imports of what stands higher than the importer's package, or beside it."""
-    rank = {unit: n for n, units in enumerate(LAYERS) for unit in units}
+def upward_imports(imports: list[Import]) -> list[Import]:
+    """The imports from a higher layer than the importer's, or from another package of the same layer."""
+    rank = {unit: layer for layer, units in enumerate(LAYERS) for unit in units}
     return [
-        one
-        for one in imports
-        if (importer := unit_of(one.importer)) != (imported := unit_of(one.imported))
+        import_
+        for import_ in imports
+        if (importer := unit_of(import_.importer)) != (imported := unit_of(import_.imported))
         and rank[imported] >= rank[importer]
     ]
 
 
-def cycle(imports: list[Import]) -> list[str]:
-    """Packages that import one another in a circle; empty: there is none."""
+def find_cycle(imports: list[Import]) -> list[str]:
+    """The packages of an import cycle; empty if there is none."""
     graph: dict[str, set[str]] = {}
-    for one in imports:
-        importer, imported = unit_of(one.importer), unit_of(one.imported)
+    for import_ in imports:
+        importer, imported = unit_of(import_.importer), unit_of(import_.imported)
         if importer != imported:
             graph.setdefault(importer, set()).add(imported)
     try:
@@ -145,47 +148,50 @@
     return []
 
 
-def test_every_package_has_its_layer() -> None:
-    placed = [unit for units in LAYERS for unit in units]
-    assert len(placed) == len(set(placed))
-    assert {unit_of(name) for name in module_names(ROOT)} <= set(placed)
+def test_every_package_belongs_to_one_layer() -> None:
+    placed_units = [unit for units in LAYERS for unit in units]
+    assert len(placed_units) == len(set(placed_units))
+    assert {unit_of(name) for name in module_names(ROOT)} <= set(placed_units)
 
 
 def test_no_module_imports_upward() -> None:
-    assert {str(one) for one in upward(imports_of(ROOT))} == KNOWN
+    assert {str(import_) for import_ in upward_imports(imports_of(ROOT))} == KNOWN_UPWARD_IMPORTS
 
 
-def test_no_packages_import_one_another_in_a_circle() -> None:
-    assert cycle([one for one in imports_of(ROOT) if str(one) not in KNOWN]) == []
+def test_there_are_no_import_cycles_between_packages() -> None:
+    assert (
+        find_cycle([import_ for import_ in imports_of(ROOT) if str(import_) not in KNOWN_UPWARD_IMPORTS])
+        == []
+    )
 
 
-def reached(start: str, imports: list[Import]) -> set[str]:
-    """All modules that a module loads, itself and through others."""
-    found, waiting = set(), [start]
-    while waiting:
-        module = waiting.pop()
-        if module not in found:
-            found.add(module)
-            waiting += [one.imported for one in imports if one.importer == module]
-    return found
+def loaded_by(start: str, imports: list[Import]) -> set[str]:
+    """All modules that a module imports directly or indirectly, including itself."""
+    loaded, pending = set(), [start]
+    while pending:
+        module = pending.pop()
+        if module not in loaded:
+            loaded.add(module)
+            pending += [import_.imported for import_ in imports if import_.importer == module]
+    return loaded
 
 
-#: The parts of the control server, and the packages of the others.
-PARTS = {
+#: The parts of the control server, each with the packages of the other parts.
+CONTROL_SERVER_PARTS = {
     "purges.control_part": {"audit", "leases"},
     "audit.server": {"purges", "leases"},
     "leases.server": {"purges", "audit"},
 }
 
 
-@pytest.mark.parametrize("part", PARTS)
-def test_no_part_of_the_control_server_needs_another(part: str) -> None:
-    modules = reached(part, imports_of(ROOT))
+@pytest.mark.parametrize("part", CONTROL_SERVER_PARTS)
+def test_parts_of_the_control_server_do_not_import_one_another(part: str) -> None:
+    modules = loaded_by(part, imports_of(ROOT))
     assert "control_plane.part" in modules
-    assert not {unit_of(module) for module in modules} & PARTS[part]
+    assert not {unit_of(module) for module in modules} & CONTROL_SERVER_PARTS[part]
 
 
-PLANTED = {
+PLANTED_IMPORTS = {
     "from ..net.director import Director": "purges.planted -> net.director (when loaded)",
     "from .. import routing": "purges.planted -> routing (when loaded)",
     "import gladelane.net.director": "purges.planted -> net.director (when loaded)",
@@ -200,8 +206,8 @@
 }  # fmt: skip
 
 
-@pytest.mark.parametrize(("code", "caught"), PLANTED.items())
-def test_a_planted_upward_import_is_caught(tmp_path: Path, code: str, caught: str) -> None:
+@pytest.mark.parametrize(("code", "detected"), PLANTED_IMPORTS.items())
+def test_upward_imports_are_detected(tmp_path: Path, code: str, detected: str) -> None:
     for name in (
         "__init__",
         "routing/__init__",
@@ -215,10 +221,12 @@
         path.parent.mkdir(exist_ok=True)
         path.write_text("")
     (tmp_path / "purges" / "planted.py").write_text(code)
-    assert [str(one) for one in upward(imports_of(tmp_path))] == ([caught] if caught else [])
+    assert [str(import_) for import_ in upward_imports(imports_of(tmp_path))] == (
+        [detected] if detected else []
+    )
 
 
-def test_a_planted_circle_is_caught(tmp_path: Path) -> None:
+def test_import_cycles_are_detected(tmp_path: Path) -> None:
     for name, code in {
         "leases": "from ..control_plane import a",
         "control_plane": "from ..leases import a",
@@ -226,4 +234,4 @@
         (tmp_path / name).mkdir()
         (tmp_path / name / "__init__.py").write_text("")
         (tmp_path / name / "a.py").write_text(code)
-    assert set(cycle(imports_of(tmp_path))) == {"leases", "control_plane"}
+    assert set(find_cycle(imports_of(tmp_path))) == {"leases", "control_plane"}
--- a/tests/test_small_links.py
+++ b/tests/test_limit_division.py
@@ -1,5 +1,6 @@
-"""What a zone serves as its caches become sixteen times as many and each of them as much smaller: the capacity of
-all caches together and the traffic of each director stay the same."""
+"""Concurrency limits in zones with many small caches, where directors divide the limit of a cache among them.
+
+The fleets have the same total capacity and traffic, with few large caches or with sixteen times as many small ones."""
 
 from __future__ import annotations
 
@@ -23,19 +24,17 @@
 from gladelane.routing.store_list import MAX_CACHES_USED_ALIKE, StoreList
 
 ZONES = ["hub", *(f"z{place}" for place in range(8))]
-FEW, MANY = 25, 400  # caches of the one zone that is played; the other seven are listed
-ZONE_TRANSFERS = 1600.0  # at full pace, over the links of all its caches
+FEW, MANY = 25, 400  # caches of the zone that is simulated; those of seven other zones are only listed
+ZONE_TRANSFERS = 1600.0  # transfers at full speed that the links of all caches of the zone carry together
 DIRECTORS, SEATS = 24, 25
-RATE, SPAN_MS = 1200.0, 8000.0
+REQUESTS_PER_S, DURATION_MS = 1200.0, 8000.0
 ZIPF = 1.1
-SERVED_LEAST = 0.85  # of the share that the few caches serve
-USED_MOST = (
-    60.0  # stores that a director sends to in the mean: 24 caches of its own part, and few shared ones
-)
+MIN_SERVED_RATIO = 0.85  # the share that many caches serve, relative to that of few
+MAX_MEAN_STORES_USED = 60.0  # per director: 24 caches of its own subset, and few shared ones
 
 
 class NumberedDirector(Director):
-    """A director that has its own place among those of its zone, as each has in a real fleet."""
+    """A director with its own number in the zone, as each has in a real fleet; records the stores that it uses."""
 
     def __init__(self, fleet: Fleet, name: str, zone: str, seed: int) -> None:
         super().__init__(fleet, name, zone, seed)
@@ -52,8 +51,8 @@
     """The first director has the fewest clients, the last one 24 times as many."""
 
     def _try(self, zone: str, spec: ClassSpec, thing: tuple[int, int], size: float, left: int) -> None:
-        there = self._there[zone]
-        self.rng.choices(there, range(1, len(there) + 1))[0].ask(spec, thing, size, left)
+        directors = self._there[zone]
+        self.rng.choices(directors, range(1, len(directors) + 1))[0].ask(spec, thing, size, left)
 
 
 def zone_settings(**changes: Any) -> Any:
@@ -61,51 +60,54 @@
     return settings(zone="z0", zones=ZONES, hub_of=[0] * 9, proxies=200, **seats)
 
 
-def play(caches: int, weights: str, seed: int) -> Fleet:
+def run_fleet(caches: int, weights: str, seed: int) -> Fleet:
     link = ZONE_TRANSFERS / caches
     room_kb = 60_000.0 * FEW / caches
-    plan = Plan(zone_settings(weights=weights), caches=caches, locations=1, directors=DIRECTORS, rate=RATE, zipf=ZIPF,
+    plan = Plan(zone_settings(weights=weights), caches=caches, locations=1, directors=DIRECTORS, rate=REQUESTS_PER_S, zipf=ZIPF,
                 link=link, cache_storage_kb=room_kb)  # fmt: skip
     fleet = UnevenFleet(plan, seed)
-    elsewhere = tuple(
+    caches_of_other_zones = tuple(
         Member(f"{zone}c{number}", zone, "box", weight=link) for zone in ZONES[2:] for number in range(caches)
     )
     for director in fleet.directors:
-        director.tell(Members(ListKind.CHANGES, elsewhere))
-    fleet.run(SPAN_MS)
+        director.tell(Members(ListKind.CHANGES, caches_of_other_zones))
+    fleet.run(DURATION_MS)
     assert fleet.broken == []
     return fleet
 
 
 @pytest.mark.parametrize(("weights", "seed"), [("nominal", 1), ("none", 1), ("none", 2)])
-def test_many_small_caches_serve_nearly_what_few_large_ones_do(
+def test_many_small_caches_serve_nearly_as_much_as_few_large_ones(
     weights: str, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(virtual, "Director", NumberedDirector)
-    few, many = (play(caches, weights, seed) for caches in (FEW, MANY))
+    few, many = (run_fleet(caches, weights, seed) for caches in (FEW, MANY))
     assert few.served_weight > 0.95 * few.requested_weight
     assert (
-        many.served_weight / many.requested_weight > SERVED_LEAST * few.served_weight / few.requested_weight
+        many.served_weight / many.requested_weight
+        > MIN_SERVED_RATIO * few.served_weight / few.requested_weight
     )
-    used = [len(director.sent_to) for director in many.directors if isinstance(director, NumberedDirector)]
-    assert sum(used) / len(used) <= USED_MOST
+    stores_used = [
+        len(director.sent_to) for director in many.directors if isinstance(director, NumberedDirector)
+    ]
+    assert sum(stores_used) / len(stores_used) <= MAX_MEAN_STORES_USED
 
 
-# --- the limit of a cache, divided among the directors of its zone
+# --- the limit of a cache, which is divided among the directors of its zone
 
 
-def zone_list(caches: int, link: float, division: LimitDivision) -> StoreList:
-    made = StoreList(zone_settings(), division)
+def make_zone_list(caches: int, link: float, division: LimitDivision) -> StoreList:
+    store_list = StoreList(zone_settings(), division)
     for number in range(caches):
-        made.add(Store(Member(f"c{number}", "z0", "box", weight=link), weighted=True))
-    return made
+        store_list.add(Store(Member(f"c{number}", "z0", "box", weight=link), weighted=True))
+    return store_list
 
 
 @pytest.mark.parametrize(
     ("caches", "link", "directors", "start", "least"),
     [
         (MAX_CACHES_USED_ALIKE, 4.0, 25, START_BY_LINK * 4.0, LIMIT_LEAST),
-        (MAX_CACHES_USED_ALIKE, 0.5, 25, LIMIT_MOST, LIMIT_LEAST),  # so small a weight tells no size there
+        (MAX_CACHES_USED_ALIKE, 0.5, 25, LIMIT_MOST, LIMIT_LEAST),  # so small a weight is not used there
         (MAX_CACHES_USED_ALIKE + 1, 4.0, 1, START_BY_LINK * 4.0, LIMIT_LEAST),
         (MAX_CACHES_USED_ALIKE + 1, 4.0, 25, DIVIDED_START_LEAST, LIMIT_LEAST / 25),
         (MAX_CACHES_USED_ALIKE + 1, 0.5, 25, DIVIDED_START_LEAST, LIMIT_LEAST / 25),
@@ -114,69 +116,70 @@
         (MAX_CACHES_USED_ALIKE + 1, 400.0, 2, 400.0, LIMIT_LEAST / 2),
     ],
 )
-def test_in_a_large_fleet_each_director_starts_at_its_part_of_a_cache(
+def test_in_a_large_fleet_each_director_starts_with_its_share_of_a_cache_limit(
     caches: int, link: float, directors: int, start: float, least: float
 ) -> None:
     division = LimitDivision(directors, random.Random(1).random)
-    for cache in zone_list(caches, link, division).caches:
+    for cache in make_zone_list(caches, link, division).caches:
         assert cache.concurrency.limit == pytest.approx(start) and cache.concurrency.least == least
 
 
-def test_the_fills_at_a_cache_and_the_limits_of_sources_are_not_divided() -> None:
-    made = zone_list(MAX_CACHES_USED_ALIKE + 1, 4.0, LimitDivision(25, random.Random(1).random))
-    parent = made.add(Store(Member("p0", "hub", "mid", weight=20.0), weighted=True))
+def test_limits_of_fills_and_of_sources_are_not_divided() -> None:
+    store_list = make_zone_list(MAX_CACHES_USED_ALIKE + 1, 4.0, LimitDivision(25, random.Random(1).random))
+    parent = store_list.add(Store(Member("p0", "hub", "mid", weight=20.0), weighted=True))
     assert parent.concurrency.limit == START_BY_LINK * 20.0 and parent.concurrency.least == LIMIT_LEAST
-    assert made.caches[0].fills.limit == LIMIT_MOST and made.caches[0].fills.least == LIMIT_LEAST
+    assert store_list.caches[0].fills.limit == LIMIT_MOST and store_list.caches[0].fills.least == LIMIT_LEAST
 
 
-def test_a_limit_in_use_keeps_what_it_learned_as_a_fleet_becomes_large_and_usual_again() -> None:
-    made = zone_list(MAX_CACHES_USED_ALIKE, 4.0, LimitDivision(25, random.Random(1).random))
-    learned, lowest = made.caches[0].concurrency, made.caches[1].concurrency
+def test_a_learned_limit_is_kept_when_the_fleet_grows_and_shrinks_again() -> None:
+    store_list = make_zone_list(MAX_CACHES_USED_ALIKE, 4.0, LimitDivision(25, random.Random(1).random))
+    learned, lowest = store_list.caches[0].concurrency, store_list.caches[1].concurrency
     learned.limit = 7.0
-    made.add(Store(Member("another", "z0", "box", weight=4.0), weighted=True))
+    store_list.add(Store(Member("another", "z0", "box", weight=4.0), weighted=True))
     assert (learned.limit, learned.least) == (7.0, LIMIT_LEAST / 25)
     for step in range(100):
         lowest.learn(1000.0 * step, 1000.0 * step - 1.0, True)
     assert lowest.limit == LIMIT_LEAST / 25
-    made.remove("another")
+    store_list.remove("another")
     assert (learned.limit, learned.least) == (7.0, LIMIT_LEAST)
     assert lowest.limit == LIMIT_LEAST
 
 
-def test_a_cache_that_moves_to_another_zone_and_back_has_the_limit_of_its_place() -> None:
-    made = zone_list(MAX_CACHES_USED_ALIKE + 1, 4.0, LimitDivision(25, random.Random(1).random))
-    store = made.caches[0]
+def test_a_cache_that_changes_its_zone_gets_the_minimum_limit_of_that_zone() -> None:
+    store_list = make_zone_list(MAX_CACHES_USED_ALIKE + 1, 4.0, LimitDivision(25, random.Random(1).random))
+    store = store_list.caches[0]
     for zone, least in (("z0", LIMIT_LEAST / 25), ("z1", LIMIT_LEAST), ("z0", LIMIT_LEAST / 25)):
-        made.update(store, replace(store.member, zone=zone), HeardStart(1000.0))
+        store_list.update(store, replace(store.member, zone=zone), HeardStart(1000.0))
         assert store.concurrency.least == least
 
 
-def test_directors_whose_limit_is_below_one_let_a_part_of_their_requests_through() -> None:
-    made = zone_list(MAX_CACHES_USED_ALIKE + 1, 4.0, LimitDivision(25, random.Random(1).random))
-    limit = made.caches[0].concurrency
+def test_a_limit_below_one_admits_a_fraction_of_the_requests() -> None:
+    store_list = make_zone_list(MAX_CACHES_USED_ALIKE + 1, 4.0, LimitDivision(25, random.Random(1).random))
+    limit = store_list.caches[0].concurrency
     limit.limit = limit.least
     assert 40 < sum(limit.has_capacity() for _ in range(1000)) < 120  # 80 on average
 
 
-def test_what_a_shared_cache_has_no_room_for_goes_to_the_director_s_own_part() -> None:
+def test_requests_beyond_a_shared_cache_s_capacity_go_to_the_director_s_own_subset() -> None:
+    """The next shared caches would get connections from all directors at once for the most popular keys."""
     router = Router(zone_settings(weights="nominal", me=3), 1)
     listed = [
         Member(f"c{number}", f"z{number % 8}", "box", weight=4.0)
         for number in range(2 * MAX_CACHES_USED_ALIKE)
     ]
     router.handle(1000.0, Members(ListKind.COMPLETE, tuple(listed)))
-    known = router.store_list
-    own = known._own_part(router.caches)
+    store_list = router.store_list
+    own = store_list._own_part(router.caches)
     for key in range(1, 200):
-        shared, *rest = known.caches_for(key, True, 1000.0 + key)
+        shared, *rest = store_list.caches_for(key, True, 1000.0 + key)
         if shared in own:
             continue
         assert set(rest[: len(own)]) == set(own)
         assert set(rest[len(own) :]) == set(router.caches)
-        assert rest[0] is next(known.caches_for(key, False, 1000.0 + key))
+        assert rest[0] is next(store_list.caches_for(key, False, 1000.0 + key))
 
 
-# --- where the limits of parents and the origin start, if the list tells no sizes
+# --- the initial limits of parents and the origin if the endpoint list contains no sizes
 
 SOURCES = (Member("p0", "hub", "mid"), Member("p1", "hub", "mid"), Member("root", "hub", "root"))
 
@@ -187,8 +190,8 @@
 
 def router_with(*lists: tuple[Member, ...], **changes: Any) -> Router:
     router = Router(zone_settings(**{"weights": "none", **changes}), 1)
-    for place, listed in enumerate(lists):
-        router.handle(1000.0, Members(ListKind.CHANGES if place else ListKind.COMPLETE, listed))
+    for position, listed in enumerate(lists):
+        router.handle(1000.0, Members(ListKind.CHANGES if position else ListKind.COMPLETE, listed))
     return router
 
 
@@ -196,40 +199,40 @@
     return [router.stores[name].concurrency.limit for name in ("p0", "p1", "root")]
 
 
-def start_of(share: float) -> float:
+def initial_limit(share: float) -> float:
     return min(share + share**0.5 + 1.0, LIMIT_MOST)
 
 
 @pytest.mark.parametrize(
-    ("caches", "seats", "start_among"),
+    ("caches", "seats", "dividing_directors"),
     [
         (MAX_CACHES_USED_ALIKE, 25, None),
         (MAX_CACHES_USED_ALIKE + 1, 25, 25),
         (MAX_CACHES_USED_ALIKE + 1, 3, 3),
-        (MAX_CACHES_USED_ALIKE + 1, 2, None),  # so few directors are no crowd
+        (MAX_CACHES_USED_ALIKE + 1, 2, None),  # too few directors to divide the limit
     ],
 )
-@pytest.mark.parametrize("split", [False, True])
-def test_in_a_large_fleet_each_director_starts_at_its_part_of_a_source_of_unknown_size(
-    caches: int, seats: int, start_among: int | None, split: bool
+@pytest.mark.parametrize("in_two_steps", [False, True])
+def test_in_a_large_fleet_each_director_starts_with_its_share_of_a_source_of_unknown_size(
+    caches: int, seats: int, dividing_directors: int | None, in_two_steps: bool
 ) -> None:
-    lists = [(*SOURCES, *listed_caches(0, 100)), listed_caches(100, caches)] if split else [(*SOURCES, *listed_caches(0, caches))]  # fmt: skip
+    lists = [(*SOURCES, *listed_caches(0, 100)), listed_caches(100, caches)] if in_two_steps else [(*SOURCES, *listed_caches(0, caches))]  # fmt: skip
     limits = source_limits(router_with(*lists, seats_by_zone=[0] + [seats] * 8))
-    share = LIMIT_MOST / start_among if start_among else LIMIT_MOST
-    assert limits == pytest.approx([start_of(share), start_of(share), start_of(2 * share)])
+    share = LIMIT_MOST / dividing_directors if dividing_directors else LIMIT_MOST
+    assert limits == pytest.approx([initial_limit(share), initial_limit(share), initial_limit(2 * share)])
 
 
-def test_a_source_in_use_keeps_its_limit_as_a_fleet_becomes_large() -> None:
+def test_a_source_in_use_keeps_its_limit_when_the_fleet_grows() -> None:
     router = router_with((*SOURCES, *listed_caches(0, MAX_CACHES_USED_ALIKE)))
     in_use, learned = router.stores["p0"], router.stores["root"]
     assert in_use.concurrency.has_capacity()
     learned.concurrency.limit = 20.0
     router.handle(2000.0, Members(ListKind.CHANGES, listed_caches(MAX_CACHES_USED_ALIKE, 3200)))
-    assert source_limits(router) == pytest.approx([LIMIT_MOST, start_of(LIMIT_MOST / SEATS), 20.0])
+    assert source_limits(router) == pytest.approx([LIMIT_MOST, initial_limit(LIMIT_MOST / SEATS), 20.0])
     assert in_use.concurrency.least == LIMIT_LEAST
 
 
-def test_a_source_whose_size_is_listed_starts_by_its_size_in_any_fleet() -> None:
+def test_a_source_with_a_listed_size_starts_by_that_size_in_any_fleet() -> None:
     sized = (replace(SOURCES[0], weight=100.0), replace(SOURCES[1], weight=40.0), SOURCES[2])
     few, many = (
         router_with((*sized, *listed_caches(0, caches)), weights="nominal")
@@ -239,23 +242,25 @@
     assert few.stores["root"].concurrency.most == many.stores["root"].concurrency.most == 100.0
 
 
-def order_before(self: StoreList, key: int, again: bool, now: float) -> Iterator[Store]:
-    """As it was before keys that come again spilled to a director's own part."""
+def caches_for_without_spill(self: StoreList, key: int, is_repeated: bool, now: float) -> Iterator[Store]:
+    """`StoreList.caches_for` without the rule that repeated keys spill over to the director's own subset."""
     if self._cache_order is None:
-        next(own_first(self, key, False, now), None)
+        next(original_caches_for(self, key, False, now), None)
     assert self._cache_order is not None
     first = next(self._cache_order.ranked(key), None)
-    if again and self._own_order is not None and first and self._may_share(first, now):
+    if is_repeated and self._own_order is not None and first and self._may_share(first, now):
         return self._cache_order.ranked(key)
-    return own_first(self, key, False, now)
+    return original_caches_for(self, key, False, now)
 
 
-own_first = StoreList.caches_for
+original_caches_for = StoreList.caches_for
 
 
-def test_without_the_three_decisions_are_those_from_before_them(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_decisions_without_the_three_rules_match_the_recorded_digest(monkeypatch: pytest.MonkeyPatch) -> None:
+    """With divided cache limits, divided source limits and spilling switched off, decisions are the ones that were
+    recorded before these rules existed."""
     monkeypatch.setattr(StoreList, "_divide_limit", lambda *_: None)
-    monkeypatch.setattr(StoreList, "caches_for", order_before)
+    monkeypatch.setattr(StoreList, "caches_for", caches_for_without_spill)
     monkeypatch.setattr(EndpointUpdates, "_divide_starts", lambda _: None)
     digest = decisions.run_scene("larger_list").text()
     assert digest == "6323edd87e26d3f806f99c892515cb06f5dcbd33a23d12147dbe5b7692867ee5"
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,7 +1,7 @@
 """The ordinary path: hash, gate, weights, thirds, source."""
 
 import pytest
-from conftest import PLAIN, Driver, members, only
+from conftest import BASE_SETTINGS, Driver, members, only_action
 
 from gladelane.routing.events import Fetch, Lookup, Member, Note, SetTimer, State, Status, Timer
 
@@ -35,15 +35,15 @@
         for n in range(1, 10):
             d.serve(object=n, cls="page")
         d.now += 1000.0
-        d.tell(Timer("sweep"))
+        d.handle(Timer("sweep"))
         assert {d.serve(object=n, cls="page").rank for n in (8, 9)} <= ranks
 
 
 def test_an_admitted_object_is_kept_at_once_when_its_cache_came_back_empty() -> None:
     d = Driver()
     home = [d.serve(object=5) for _ in range(3)][-1].store
-    d.members((Member(home, "edge", "box", came_up_ms=d.now - 60_000.0),))
-    fetch = only(d.ask(object=5), Fetch)
+    d.update_members((Member(home, "edge", "box", came_up_ms=d.now - 60_000.0),))
+    fetch = only_action(d.ask(object=5), Fetch)
     d.answer(fetch, Status.OK, Note.FROM_ORIGIN)
     assert fetch.rank > 0
 
@@ -60,7 +60,7 @@
     assert first in ("p0", "p1")
     assert {d.serve(object=n).source for n in range(50)} == {"p0", "p1"}
     gone = tuple(m for m in members() if m.store != first)
-    d.members((*gone, Member(first, "hub", "mid", state=State.DRAINING)))
+    d.update_members((*gone, Member(first, "hub", "mid", state=State.DRAINING)))
     assert d.serve(object=5).source == ({"p0", "p1"} - {first}).pop()
 
 
@@ -72,7 +72,7 @@
     gained = {}
     for note in (Note.HIT, Note.PARENT_HELD, Note.FROM_ORIGIN, Note.NOT_REPORTED):
         d = Driver()
-        d.answer(only(d.ask(object=5), Fetch), note=note)
+        d.answer(only_action(d.ask(object=5), Fetch), note=note)
         gained[note] = d.router.objects[5].utility
     base = gained[Note.NOT_REPORTED]
     assert gained == {
@@ -106,15 +106,15 @@
 
 def test_uncacheable_goes_through_unkept() -> None:
     d = Driver()
-    fetch = only(d.ask(cls="pair"), Fetch)
+    fetch = only_action(d.ask(cls="pair"), Fetch)
     assert (fetch.rank, fetch.source) == (0, "root")
 
 
 @pytest.mark.parametrize("deadline", [600.0, 3000.0])
 def test_the_waits_of_a_write_for_a_refusing_origin_follow_its_deadline(deadline: float) -> None:
     # 100 ms a try and 300 ms left, as they were, let a class with 600 ms try again once
-    sale = next(spec for spec in PLAIN["classes"] if spec["name"] == "sale")
-    others = [spec for spec in PLAIN["classes"] if spec is not sale]
+    sale = next(spec for spec in BASE_SETTINGS["classes"] if spec["name"] == "sale")
+    others = [spec for spec in BASE_SETTINGS["classes"] if spec is not sale]
     driver = Driver(straight=True, classes=[*others, {**sale, "deadline_ms": deadline}])
     tries, actions = 1, driver.ask("sale", part=0)
     while lookups := [a for a in actions if isinstance(a, Lookup)]:
@@ -127,5 +127,5 @@
             break
         assert waits[0].due_ms - driver.now == pytest.approx(deadline / 30 * tries)
         driver.now = waits[0].due_ms
-        tries, actions = tries + 1, driver.tell(Timer(waits[0].token))
+        tries, actions = tries + 1, driver.handle(Timer(waits[0].token))
     assert tries == 5
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's embedding example runs as it stands and prints what it says."""
+"""Tests that the README's embedding example runs unchanged and prints the documented output."""
 
 import re
 from pathlib import Path
@@ -8,8 +8,8 @@
 README = (Path(__file__).parent.parent / "README.md").read_text()
 
 
-def test_the_embedding_example(capsys: pytest.CaptureFixture[str]) -> None:
-    code = re.findall(r"```python\n(.*?)```", README, re.S)
-    assert len(code) == 1
-    exec(compile(code[0], "README.md", "exec"), {})
+def test_embedding_example_prints_the_documented_output(capsys: pytest.CaptureFixture[str]) -> None:
+    code_blocks = re.findall(r"```python\n(.*?)```", README, re.S)
+    assert len(code_blocks) == 1
+    exec(compile(code_blocks[0], "README.md", "exec"), {})
     assert capsys.readouterr().out == "cache-1 depot-1 0\n"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from conftest import PLAIN, Driver, members, only, some
+from conftest import BASE_SETTINGS, Driver, actions_of, members, only_action
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -37,23 +37,25 @@
 def test_unsafe_is_not_repeated_nor_refused_once_it_may_have_run() -> None:
     for status in (Status.TIMEOUT, Status.RESET, Status.ERROR):
         d = Driver()
-        actions = d.answer(only(d.ask(cls="pair"), Fetch), status, Note.NOT_REPORTED)
-        assert not some(actions, (Fetch, Lookup, Refuse))
-        only(actions, Fail)
+        actions = d.answer(only_action(d.ask(cls="pair"), Fetch), status, Note.NOT_REPORTED)
+        assert not actions_of(actions, (Fetch, Lookup, Refuse))
+        only_action(actions, Fail)
 
 
 def test_unsafe_goes_on_after_an_outcome_that_proves_it_never_ran() -> None:
     d = Driver()
-    only(d.answer(only(d.ask(cls="pair"), Fetch), Status.CONNECT_FAILED, Note.NOT_REPORTED), Fetch)
+    only_action(
+        d.answer(only_action(d.ask(cls="pair"), Fetch), Status.CONNECT_FAILED, Note.NOT_REPORTED), Fetch
+    )
 
 
 def test_keyed_is_repeated_only_within_its_window() -> None:
     d = Driver(straight=True)
-    only(d.answer(only(d.ask(cls="sale"), Lookup), Status.RESET, Note.NOT_REPORTED), Lookup)
-    classes = [dict(c, window_ms=100.0) for c in __import__("conftest").PLAIN["classes"]]
+    only_action(d.answer(only_action(d.ask(cls="sale"), Lookup), Status.RESET, Note.NOT_REPORTED), Lookup)
+    classes = [dict(c, window_ms=100.0) for c in __import__("conftest").BASE_SETTINGS["classes"]]
     d = Driver(straight=True, classes=classes)
-    assert not some(
-        d.answer(only(d.ask(cls="sale"), Lookup), Status.RESET, Note.NOT_REPORTED, after=150.0), Lookup
+    assert not actions_of(
+        d.answer(only_action(d.ask(cls="sale"), Lookup), Status.RESET, Note.NOT_REPORTED, after=150.0), Lookup
     )
 
 
@@ -61,7 +63,7 @@
     d = Driver()
     bad = {"c0", "p0"}
     told = [Member(m.store, m.zone, m.kind, state=State.DRAINING) for m in members() if m.store in bad]
-    d.members(tuple(told), ListKind.CHANGES)
+    d.update_members(tuple(told), ListKind.CHANGES)
     for n in range(60):
         fetch = d.serve(object=n)
         assert not {fetch.store, fetch.source} & bad
@@ -70,35 +72,35 @@
 def test_a_purge_bounds_the_age_on_every_attempt_and_is_not_joined() -> None:
     d = Driver()
     d.serve(object=5)
-    d.tell(Purge(5, 0, 80.0))
+    d.handle(Purge(5, 0, 80.0))
     d.now += 700.0
-    fetch = only(d.ask(object=5), Fetch)
+    fetch = only_action(d.ask(object=5), Fetch)
     assert 0 < fetch.max_age_ms <= 780.0 and not fetch.join
-    again = only(d.answer(fetch, Status.CONNECT_FAILED, Note.NOT_REPORTED, after=100.0), Fetch)
+    again = only_action(d.answer(fetch, Status.CONNECT_FAILED, Note.NOT_REPORTED, after=100.0), Fetch)
     assert 0 < again.max_age_ms <= 880.0 and not again.join
 
 
 def test_a_purge_of_a_group_binds_its_objects_and_no_others() -> None:
     d = Driver()
-    d.tell(Purge(0, 4, 80.0))
+    d.handle(Purge(0, 4, 80.0))
     d.now += 700.0
-    assert 0 < only(d.ask(object=5, group=4), Fetch).max_age_ms <= 780.0
-    assert only(d.ask(object=6, group=3), Fetch).max_age_ms == 0.0
+    assert 0 < only_action(d.ask(object=5, group=4), Fetch).max_age_ms <= 780.0
+    assert only_action(d.ask(object=6, group=3), Fetch).max_age_ms == 0.0
 
 
 def test_a_purge_stops_binding_when_caches_have_dropped_old_copies() -> None:
     d = Driver()
-    d.tell(Purge(5, 0, 0.0))
+    d.handle(Purge(5, 0, 0.0))
     d.now += 20_000.0
-    assert only(d.ask(object=5), Fetch).max_age_ms == 0.0
+    assert only_action(d.ask(object=5), Fetch).max_age_ms == 0.0
 
 
 def test_an_aged_bound_never_exceeds_the_fresh_time() -> None:
-    classes = [dict(c, fresh_ms=300.0) for c in __import__("conftest").PLAIN["classes"]]
+    classes = [dict(c, fresh_ms=300.0) for c in __import__("conftest").BASE_SETTINGS["classes"]]
     d = Driver(classes=classes)
-    d.tell(Purge(5, 0, 0.0))
+    d.handle(Purge(5, 0, 0.0))
     d.now += 2000.0
-    assert only(d.ask(cls="page", object=5), Fetch).max_age_ms <= 300.0
+    assert only_action(d.ask(cls="page", object=5), Fetch).max_age_ms <= 300.0
 
 
 def test_a_cold_cache_gets_no_more_than_its_budget_in_any_window() -> None:
@@ -107,9 +109,9 @@
     for n in range(4000):
         d.now += 10.0
         if n == 1500:
-            d.members((Member("c0", "edge", "box", came_up_ms=d.now),), ListKind.CHANGES)
+            d.update_members((Member("c0", "edge", "box", came_up_ms=d.now),), ListKind.CHANGES)
         if n % 25 == 0:
-            d.tell(Timer("sweep"))
+            d.handle(Timer("sweep"))
         fetch = d.serve(object=n)
         if n >= 1500 and fetch.store == "c0":
             at.append(d.now)
@@ -129,26 +131,26 @@
     d = Driver()
     for n in range(served_before):
         d.serve(object=1000 + n)
-    d.members((Member("p0", "hub", "mid", came_up_ms=d.now),), ListKind.CHANGES)
+    d.update_members((Member("p0", "hub", "mid", came_up_ms=d.now),), ListKind.CHANGES)
     sources = [d.serve(object=n).source for n in range(30)]
     assert sources.count("p0") <= 2 and sources.count("p0") + sources.count("p1") == 30
 
 
 def test_never_two_out_where_second_copies_are_not_allowed() -> None:
     d = Driver(second_copies=False)
-    fetch = only(d.ask(object=5), Fetch)
+    fetch = only_action(d.ask(object=5), Fetch)
     for step in range(30):
         d.now += 100.0
         for token in (f"h:{fetch.id}", f"r:{fetch.id}", "sweep"):
-            assert not some(d.tell(Timer(token)), (Fetch, Lookup)), step
+            assert not actions_of(d.handle(Timer(token)), (Fetch, Lookup)), step
 
 
 def test_the_answer_comes_by_the_deadline_of_the_try_without_any_outcome() -> None:
     d = Driver()
     actions = d.ask(object=5)
-    due = [a for a in actions if isinstance(a, SetTimer) and a.token == f"d:{d.ids}"]
+    due = [a for a in actions if isinstance(a, SetTimer) and a.token == f"d:{d.last_id}"]
     d.now = due[0].due_ms
-    assert some(d.tell(Timer(due[0].token)), (Refuse, Fail))
+    assert actions_of(d.handle(Timer(due[0].token)), (Refuse, Fail))
     assert not d.router.pending
 
 
@@ -180,8 +182,8 @@
         self.purges: dict[tuple[int, int], tuple[float, float]] = {}
         self.timers: list[tuple[float, str]] = []
 
-    def tell(self, event: Any) -> None:
-        for action in self.d.tell(event):
+    def handle(self, event: Any) -> None:
+        for action in self.d.handle(event):
             self.check(action)
 
     def check(self, a: Any) -> None:
@@ -233,7 +235,7 @@
             self.timers.remove(due[0])
             self.d.now = max(self.d.now, due[0][0])
             self.overdue()
-            self.tell(Timer(due[0][1]))
+            self.handle(Timer(due[0][1]))
         self.d.now = until
 
     def overdue(self) -> None:
@@ -246,11 +248,13 @@
         name = names[n % len(names)]
         member = self.listed[name]
         if what == "ask":
-            d.ids += 1
+            d.last_id += 1
             cls = ("film", "page", "sale", "pair")[n % 4]
-            request = Request(d.ids, cls, n % 3 + 1, d.now + 400.0 * (n + 1), 300.0, group=n % 2, part=n % 5)
-            self.open[d.ids] = request
-            self.tell(request)
+            request = Request(
+                d.last_id, cls, n % 3 + 1, d.now + 400.0 * (n + 1), 300.0, group=n % 2, part=n % 5
+            )
+            self.open[d.last_id] = request
+            self.handle(request)
         elif what == "end" and self.out:
             key = sorted(self.out)[n % len(self.out)]
             store, sent = self.out.pop(key)
@@ -260,11 +264,11 @@
             if over and key[0] in self.open:
                 del self.open[key[0]]
                 self.ended.add(key[0])
-            self.tell(Outcome(key[0], key[1], store, status, d.now - sent, note, over=over))
+            self.handle(Outcome(key[0], key[1], store, status, d.now - sent, note, over=over))
         elif what in ("purge", "group"):
             key = (n % 3 + 1, 0) if what == "purge" else (0, n % 2)
             self.purges[key] = (d.now - 50.0, d.now)
-            self.tell(Purge(key[0], n % 2, 50.0))
+            self.handle(Purge(key[0], n % 2, 50.0))
         elif what in ("drain", "vanish", "restart"):
             state = {"drain": State.DRAINING, "vanish": State.GONE, "restart": State.READY}[what]
             if state is State.READY:
@@ -274,17 +278,17 @@
             changed = Member(
                 name, member.zone, member.kind, state=state, came_up_ms=d.now if what == "restart" else 0
             )
-            self.tell(Members(ListKind.CHANGES, (changed,)))
+            self.handle(Members(ListKind.CHANGES, (changed,)))
         elif what == "lost":
-            self.tell(Members(ListKind.FAILED))
+            self.handle(Members(ListKind.FAILED))
         elif what == "gone" and self.open:
             number = sorted(self.open)[n % len(self.open)]
             del self.open[number]
             self.ended.add(number)
-            self.tell(ClientGone(number))
+            self.handle(ClientGone(number))
         elif what == "odd":
-            self.tell(Outcome(10_000 + n, 0, "nowhere", status, 1.0, note))
-            self.tell(ClientGone(10_000 + n))
+            self.handle(Outcome(10_000 + n, 0, "nowhere", status, 1.0, note))
+            self.handle(ClientGone(10_000 + n))
         else:
             self.run_timers(d.now + wait)
 
@@ -306,8 +310,8 @@
     for _ in range(2):
         w = Watched(3, 2, {})
         said: list[Any] = []
-        told = w.d.tell
-        w.d.tell = lambda e, told=told, said=said: (said.append(a := told(e)), a)[1]  # type: ignore[method-assign]
+        told = w.d.handle
+        w.d.handle = lambda e, told=told, said=said: (said.append(a := told(e)), a)[1]  # type: ignore[method-assign]
         for step in steps:
             w.step(*step)
         runs.append(said)
@@ -316,12 +320,12 @@
 
 def test_an_empty_list_is_refused_at_once() -> None:
     d = Driver(())
-    only(d.ask(object=5), Refuse)
+    only_action(d.ask(object=5), Refuse)
     assert isinstance(d.router, Router)
 
 
 def _classes(**changes: Any) -> list[dict[str, Any]]:
-    return [{**c, **changes} for c in PLAIN["classes"]]
+    return [{**c, **changes} for c in BASE_SETTINGS["classes"]]
 
 
 UNLIKE: dict[str, tuple[int, int, dict[str, Any]]] = {
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 import pytest
-from conftest import Driver, members, only, settings
-from harness import Cache, Command, config, hit, running, trial
+from conftest import Driver, members, only_action, settings
+from harness import Command, ScriptedCache, async_test, config, hit, running_director
 from hypothesis import given
 from hypothesis import strategies as st
 from test_net_rules import during_the_dial, notice
@@ -121,7 +121,7 @@
     listed += [Member(f"far{n}", "hub", "box", weight=8.0, state=state) for n, state in enumerate(others)]
     driver = Driver((*listed, Member("root", "hub", "root")), **SECOND_DEPLOYMENT)
     ready = {member.store for member in listed if member.state is State.READY} | {"root"}
-    fetch = only(driver.ask(object=object_), Fetch)
+    fetch = only_action(driver.ask(object=object_), Fetch)
     assert fetch.store in ready and fetch.source in ready
     assert fetch.source == fetch.store or fetch.source.startswith("p") or fetch.source == "root"
     assert not fetch.store.startswith("far")
@@ -133,14 +133,14 @@
         for m in members(4, 2)
     )
     driver = Driver(members_with_cold_parents, **SECOND_DEPLOYMENT)
-    sources = [only(driver.ask(object=n, size_kb=1600.0), Fetch).source for n in range(1, 12)]
+    sources = [only_action(driver.ask(object=n, size_kb=1600.0), Fetch).source for n in range(1, 12)]
     assert "root" in sources
 
 
 @pytest.mark.parametrize("retry_after", [True, False])
 def test_a_refusal_has_a_retry_delay_only_if_the_settings_allow_it(retry_after: bool) -> None:
     driver = Driver((), **{**SECOND_DEPLOYMENT, "retry_after": retry_after})
-    delays_ms = [only(driver.ask(object=n), Refuse).come_back_ms for n in range(1, 30)]
+    delays_ms = [only_action(driver.ask(object=n), Refuse).come_back_ms for n in range(1, 30)]
     assert all(0.0 < delay_ms <= 2000.0 if retry_after else delay_ms == 0.0 for delay_ms in delays_ms)
 
 
@@ -149,8 +149,8 @@
     status: Status, note: Note
 ) -> None:
     driver = Driver(**SECOND_DEPLOYMENT)
-    first = only(driver.ask(cls="pair"), Lookup)
-    actions = driver.tell(Outcome(first.id, 0, first.store, status, 50.0, note))
+    first = only_action(driver.ask(cls="pair"), Lookup)
+    actions = driver.handle(Outcome(first.id, 0, first.store, status, 50.0, note))
     did_not_run = status in (Status.FULL, Status.CONNECT_FAILED, Status.MOOT, Status.MISS)
     assert did_not_run or not any(isinstance(action, (Fetch, Lookup, Refuse)) for action in actions)
 
@@ -158,12 +158,12 @@
 def test_purges_of_most_groups_at_once_apply_to_their_objects_and_no_others() -> None:
     driver = Driver(**SECOND_DEPLOYMENT)
     for group in range(174):  # 68 % of 256
-        driver.tell(Purge(0, group, 70.0))
+        driver.handle(Purge(0, group, 70.0))
     driver.now += 5.0
     for group in (0, 90, 173):
-        purged = only(driver.ask(object=1000 + group, group=group), Fetch)
+        purged = only_action(driver.ask(object=1000 + group, group=group), Fetch)
         assert 0 < purged.max_age_ms <= 75.0 and not purged.join
-    not_purged = only(driver.ask(object=5000, group=200), Fetch)
+    not_purged = only_action(driver.ask(object=5000, group=200), Fetch)
     assert not_purged.max_age_ms == 0.0 and not_purged.join
 
 
@@ -177,37 +177,41 @@
 
 @pytest.mark.parametrize("ending", ["reset", "crashed"])
 def test_an_unsafe_write_that_may_have_run_fails_and_is_not_sent_again(ending: str) -> None:
-    origin = Cache(lambda command: None)
+    origin = ScriptedCache(lambda command: None)
 
     def end_attempt(command: Command) -> tuple[str, bytes] | None:
         if ending == "crashed":
             return "crashed remark=x,first=3", b""
-        for conn in origin.conns:
+        for conn in origin.connections:
             conn.transport.abort()
         return None
 
     origin.script = end_attempt
 
-    @trial
+    @async_test
     async def send_write() -> None:
-        async with running(second_deployment_config({"c0": REFUSED, "r0": await origin.start()})) as (
+        async with running_director(
+            second_deployment_config({"c0": REFUSED, "r0": await origin.start()})
+        ) as (
             _,
             client,
         ):
             client.ask(1, body=b"alarm", c="sheet")
             assert (await client.next())[:3] == (17, 1, 2)
-            assert len(origin.seen) == 1
-            assert "replay" not in origin.seen[0][1] and origin.seen[0][2] == b"alarm"
+            assert len(origin.received) == 1
+            assert "replay" not in origin.received[0][1] and origin.received[0][2] == b"alarm"
 
     send_write()
 
 
-@trial
+@async_test
 async def test_answers_are_passed_on_also_if_their_notes_waits_and_reports_are_malformed() -> None:
     heads = ["remark=f,first=12,report=util:0.61;x1:2", "remark=?,first=soon,report=util:;x1,dated=never"]
-    cache = Cache(lambda command: (f"served digest=aa,dated=1,{heads[len(cache.seen) % 2]}", hit(command)[1]))  # type: ignore[index]
+    cache = ScriptedCache(
+        lambda command: (f"served digest=aa,dated=1,{heads[len(cache.received) % 2]}", hit(command)[1])
+    )  # type: ignore[index]
     reported: list[tuple[Note, object]] = []
-    async with running(second_deployment_config({"c0": await cache.start(), "r0": REFUSED})) as (
+    async with running_director(second_deployment_config({"c0": await cache.start(), "r0": REFUSED})) as (
         node,
         client,
     ):
@@ -222,7 +226,7 @@
         for stream in range(1, 7):
             client.ask(stream)
             assert (await client.next())[:3] == (17, stream, 0)
-        assert cache.closed == 0 and len(cache.conns) == 1
+        assert cache.closed_count == 0 and len(cache.connections) == 1
     assert {note for note, _ in reported} == {Note.PARENT_HELD, Note.NOT_REPORTED}
     assert [report for note, report in reported if note is Note.PARENT_HELD] == [
         {"util": 0.61, "x1": 2.0}
@@ -230,11 +234,11 @@
     assert [report for note, report in reported if note is Note.NOT_REPORTED] == [None] * 3
 
 
-@trial
+@async_test
 async def test_a_parent_that_starts_to_drain_while_the_cache_is_dialled_is_no_longer_the_source() -> None:
-    cache = Cache(hit)
+    cache = ScriptedCache(hit)
     addresses = {"c0": await cache.start(), "p0": "127.0.0.1:9", "r0": REFUSED}
-    async with running(second_deployment_config(addresses)) as (node, client):
+    async with running_director(second_deployment_config(addresses)) as (node, client):
         draining = notice(2, {"instanceId": "p0", "hostPort": addresses["p0"], "zone": "hub", "machineType": "mid",
                               "lifecycle": "terminating"})  # fmt: skip
         during_the_dial(node, lambda: node.director.apply_watch_event(draining))
@@ -242,4 +246,4 @@
         assert (await client.next())[:2] == (17, 1)
         client.ask(2)
         assert (await client.next())[:3] == (17, 2, 0)
-        assert [command[1].get("parent", "") for command in cache.seen].count("p0") == 0
+        assert [command[1].get("parent", "") for command in cache.received].count("p0") == 0
--- a/tests/test_settings_files.py
+++ b/tests/test_settings_files.py
@@ -279,7 +279,7 @@
             while "reload failed" not in line:
                 line = await asyncio.to_thread(process.stderr.readline)
             assert "the old configuration stays" in line and f"{path} is " in line and "config.json" in line
-            client = await Client.to(port)
+            client = await Client.connect(port)
             client.send(32, 5, encode_fields({}))
             assert (await client.next())[:3] == (33, 5, 0)
             client.writer.close()
