--- a/gladelane/operator_parts.py
+++ b/gladelane/operator_parts.py
@@ -86,7 +86,7 @@
     director: Director,
     purges: PurgeSubscription,
     clock: Clock,
-    front: ClientListener,
+    client_listener: ClientListener,
     reconnect_discovery: Callable[[], None],
 ) -> AuditService:
     """Opens the audit: reports, activity log and view lease. Raises OSError if the folder cannot be used."""
@@ -98,8 +98,8 @@
         director,
         purges,
         clock.now,
-        front.drain,
-        front.send_goaway_to_all,
+        client_listener.drain,
+        client_listener.send_goaway_to_all,
         reconnect_discovery,
     )
 
--- a/gladelane/server.py
+++ b/gladelane/server.py
@@ -76,7 +76,7 @@
         )
         self.director.sender, self.upstream.owner = self.upstream, self.director
         buffer_bytes = memory_bytes * BUFFER_MEMORY_SHARE
-        self.front = ClientListener(
+        self.client_listener = ClientListener(
             self.director, self.clock.now, self.timers, self.shares.clients, buffer_bytes, descriptors
         )
         self.admin_handler = self._make_admin_handler()
@@ -101,9 +101,9 @@
     def _make_admin_handler(self) -> AdminHandler:
         return AdminHandler(
             self.director,
-            self.front.drain,
+            self.client_listener.drain,
             self.clock.now,
-            self.front.send_goaway_to_all,
+            self.client_listener.send_goaway_to_all,
             self._share_admin_request,
         )
 
@@ -126,7 +126,7 @@
                 self.director,
                 self.purges,
                 self.clock,
-                self.front,
+                self.client_listener,
                 self.follow_discovery,
             )
             self.purges.on_change = self.audit.refresh_view
@@ -158,7 +158,7 @@
             await self.audit.start()
         host, port = self.config.listen
         is_shared = self.config.ops is not None
-        self.port = await self.front.listen(host, port, listening_socket, shared=is_shared)
+        self.port = await self.client_listener.listen(host, port, listening_socket, shared=is_shared)
         if self.restart_coordinator is not None:
             self.restart_coordinator.listen()
         self.admin_handler.takes_clients = True
@@ -178,7 +178,7 @@
             self.clock,
             self.director,
             self.upstream,
-            self.front,
+            self.client_listener,
             self.admin_handler,
         )
         return self.restart_coordinator.connect()
@@ -279,7 +279,7 @@
         """Shuts down gracefully: lets clients leave and answers pending requests; see `shutdown.drain`."""
         self.admin_handler.takes_clients = False
         has_peer = self.restart_coordinator is not None and self.restart_coordinator.has_peers
-        await shutdown.drain(self.director, self.front, has_peer)
+        await shutdown.drain(self.director, self.client_listener, has_peer)
 
     async def close(self) -> None:
         """Closes all parts, whether or not `drain` was called."""
@@ -287,7 +287,7 @@
             self.admin_endpoint.close()
         if self.restart_coordinator is not None:
             self.restart_coordinator.close()
-        await self.front.close()
+        await self.client_listener.close()
         self.upstream.close()
         for part in (self.audit, self.recovery, self.lease_client, self.purges):
             if part is not None:
--- a/gladelane/shutdown.py
+++ b/gladelane/shutdown.py
@@ -21,44 +21,44 @@
 POLL_INTERVAL_S = 0.02
 
 
-async def drain(director: Director, front: ClientListener, has_peer: bool) -> None:
+async def drain(director: Director, client_listener: ClientListener, has_peer: bool) -> None:
     """Stops accepting clients and answers pending requests; requests that are still pending at the end fail.
 
     With `has_peer`, another process of this director accepts new clients, including those in the accept queue
     of the listening socket."""
     started_s = asyncio.get_running_loop().time()
-    front.drain.shut_down()
-    front.send_goaway_to_all()
+    client_listener.drain.shut_down()
+    client_listener.send_goaway_to_all()
     if has_peer:
-        front.stop_listening(queued=False)
+        client_listener.stop_listening(queued=False)
     else:
-        await _accept_last_clients(front)
+        await _accept_last_clients(client_listener)
     longest_ms = max(spec.deadline_ms for spec in director.settings.classes.values())
     end_s = started_s + min(longest_ms / 1000.0 + DEADLINE_MARGIN_S, MAX_DRAIN_S)
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout_at(end_s):
-            while not _is_drained(director, front, has_peer):  # noqa: ASYNC110  no single event reports it
+            while not _is_drained(director, client_listener, has_peer):  # noqa: ASYNC110  no single event reports it
                 await asyncio.sleep(POLL_INTERVAL_S)
-    front.is_closing = True
+    client_listener.is_closing = True
     director.end_all()
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(FLUSH_TIMEOUT_S):
-            while not front.quiet():  # noqa: ASYNC110  as above
+            while not client_listener.quiet():  # noqa: ASYNC110  as above
                 await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def _accept_last_clients(front: ClientListener) -> None:
+async def _accept_last_clients(client_listener: ClientListener) -> None:
     """Accepts clients for ACCEPT_PERIOD_S longer, then those in the accept queue, and stops listening."""
     await asyncio.sleep(ACCEPT_PERIOD_S)
     with contextlib.suppress(OSError):  # it imports a module, which needs a free descriptor
-        front.steer_away()
+        client_listener.steer_away()
     await asyncio.sleep(ACCEPT_QUEUE_DELAY_S)
-    front.stop_listening()
+    client_listener.stop_listening()
 
 
-def _is_drained(director: Director, front: ClientListener, has_peer: bool) -> bool:
+def _is_drained(director: Director, client_listener: ClientListener, has_peer: bool) -> bool:
     """Whether nothing is pending or unsent. With a peer process all clients must have left as well: there is
     enough time for them to leave by themselves, or to be closed once they are idle."""
-    if director.has_pending() or not front.quiet():
+    if director.has_pending() or not client_listener.quiet():
         return False
-    return not (has_peer and front.connections)
+    return not (has_peer and client_listener.connections)
--- a/tests/admin/test_endpoint_actions.py
+++ b/tests/admin/test_endpoint_actions.py
@@ -134,8 +134,10 @@
         ] != 0  # its time is up: an answer all the same
         with pytest.raises(EOFError):
             await busy.next(2.0)
-        await wait_until(lambda: not node.front.connections)  # `busy` has not closed its own side yet
-        assert node.front.listener is not None
+        await wait_until(
+            lambda: not node.client_listener.connections
+        )  # `busy` has not closed its own side yet
+        assert node.client_listener.listener is not None
         assert order(node, AdminAction.OK).is_success
         again = await Client.connect(node.port)
         again.send(32, 0, b"\x00")
@@ -151,7 +153,7 @@
         client.ask(1, o="0000000000000001", m="1")
         await client.next()
         order(node, AdminAction.FAIL)
-        conn = next(iter(node.front.connections))
+        conn = next(iter(node.client_listener.connections))
         conn.goaway_ms -= 2000.0  # told two seconds ago
         client.ask(2, o="0000000000000002", m="1")
         frames = [await client.next(), await client.next()]
@@ -217,7 +219,7 @@
         assert told["withdrawn"] == 1 and not any(
             told[f"calls.film.{word}"] for word in ("success", "busy", "failure")
         )
-        node.front.rejects_requests = lambda: True
+        node.client_listener.rejects_requests = lambda: True
         client.ask(3)
         assert (await client.next())[1:3] == (3, 1) and figures(node)["calls.film.busy"] == 1
         client.writer.write(raw_frame(3, 16, 1))
@@ -243,13 +245,13 @@
         slow = Client(*await asyncio.open_connection(sock=plain))
         for stream in range(1, asked + 1):
             slow.ask(stream, o=f"{stream:016x}", m="1")
-        await wait_until(lambda: any(conn.unsent() > 500_000 for conn in node.front.connections))
+        await wait_until(lambda: any(conn.unsent() > 500_000 for conn in node.client_listener.connections))
         taken = 0
         for stream in range(1, 9):  # it takes little meanwhile
             client.ask(stream, o=f"{stream:016x}", m="1")
             assert (await client.next(1.0))[2] == 0
             taken += len((await slow.next())[4])
-        assert node.front.buffered_bytes < node.front.max_buffered_bytes
+        assert node.client_listener.buffered_bytes < node.client_listener.max_buffered_bytes
         order(node, AdminAction.FAIL)
         while taken < asked * len(part):  # nor is it cut off by the drain: what it is owed is written first
             frame = await slow.next()
--- a/tests/net/raw_client.py
+++ b/tests/net/raw_client.py
@@ -64,7 +64,7 @@
     found: list[ClientConnection] = []
 
     def there() -> bool:
-        found[:] = [c for c in node.front.connections if c.sock.getpeername() == name]
+        found[:] = [c for c in node.client_listener.connections if c.sock.getpeername() == name]
         return bool(found)
 
     await wait_until(there)
--- a/tests/net/test_beyond_crossing.py
+++ b/tests/net/test_beyond_crossing.py
@@ -43,15 +43,15 @@
         case Ending.NEVER_ASKED:
             conn.sweep(conn.born_ms + 2_100.0)
         case Ending.DRAIN:
-            node.front.drain.fail(now)
+            node.client_listener.drain.fail(now)
             conn.goaway_ms = now - 400.0
             conn.sweep(now)
         case Ending.CAP:
             conn.active_ms = now - 1_000.0
-            node.front.cap = 1
-            node.front._spare_one()
+            node.client_listener.cap = 1
+            node.client_listener._spare_one()
         case Ending.SHUTDOWN:
-            node.front.stop_listening()
+            node.client_listener.stop_listening()
             conn.is_settled()  # the last look before the close, as `ClientListener.close` takes it
             conn.stop_taking()
         case Ending.ERROR:
--- a/tests/net/test_beyond_quiet.py
+++ b/tests/net/test_beyond_quiet.py
@@ -42,7 +42,7 @@
         await stay_quiet(clock)
 
         # nothing is left open at either side, the watch is the one that began, and budgets are as they were
-        assert not node.front.connections and not any(node.upstream._pool.values())
+        assert not node.client_listener.connections and not any(node.upstream._pool.values())
         assert len(discovery.calls_s) == 1
         assert (node.director.router.budgets.retries, node.director.router.budgets.hedges) == (
             retries,
--- a/tests/net/test_client_crossings.py
+++ b/tests/net/test_client_crossings.py
@@ -71,8 +71,8 @@
         raw.send(request(2))  # nor does one that comes after the end of file
         assert raw.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
         raw.sock.close()
-        await wait_until(lambda: conn not in node.front.connections)
-        assert not cache.received and not node.front.lingering
+        await wait_until(lambda: conn not in node.client_listener.connections)
+        assert not cache.received and not node.client_listener.lingering
 
 
 @async_test
@@ -87,7 +87,7 @@
             conn = await connected(node, raw)
             await wait_until(lambda: cache.received and not node.director.live and not conn.unsent())
             raw.send(request(2))  # not read by the director yet: it is refused before the close
-            closing = asyncio.create_task(node.front.close())
+            closing = asyncio.create_task(node.client_listener.close())
             await asyncio.sleep(0)
             frames, end = await raw.rest()
             raw.sock.close()
@@ -116,15 +116,15 @@
                 else:
                     conn.writer.transport.pause_reading()  # type: ignore[attr-defined]
                     raw.send(whole)
-                assert not node.front.quiet()
+                assert not node.client_listener.quiet()
                 draining = asyncio.create_task(node.drain())
-                await wait_until(lambda: node.front.listener is None)
+                await wait_until(lambda: node.client_listener.listener is None)
                 if half:
                     raw.send(whole[20:])
                 else:
                     conn.writer.transport.resume_reading()  # type: ignore[attr-defined]
                 await draining
-                closing = asyncio.create_task(node.front.close())
+                closing = asyncio.create_task(node.client_listener.close())
                 frames, end = await raw.rest()
                 raw.sock.close()
                 await closing
@@ -147,7 +147,7 @@
 async def test_what_comes_once_a_restart_has_answered_all_is_refused_and_not_sent_on() -> None:
     cache = ScriptedCache(hit)
     async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
-        node.front.is_closing = True  # as drain() leaves it
+        node.client_listener.is_closing = True  # as drain() leaves it
         client.ask(1)
         assert (await client.next())[:3] == (17, 1, 1) and not cache.received
 
@@ -221,15 +221,15 @@
         async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
             client.ask(1)
             await wait_until(lambda: cache.received)
-            node.front.cap = 1
+            node.client_listener.cap = 1
             served: list[ClientConnection] = []
-            serve = node.front._serve
+            serve = node.client_listener._serve
 
             async def counted(conn: ClientConnection) -> None:
                 await serve(conn)
                 served.append(conn)
 
-            node.front._serve = counted  # type: ignore[method-assign]
+            node.client_listener._serve = counted  # type: ignore[method-assign]
             raw = Raw(node)
             raw.send(request(1, i=f"{77:016x}"))
             if how == "close":
@@ -237,8 +237,8 @@
             else:
                 raw.send(GONE)
             client.send(18, 1)  # there is room now
-            node.front.cap = 2
-            await wait_until(lambda: len(node.front.connections) + len(served) == 2)
+            node.client_listener.cap = 2
+            await wait_until(lambda: len(node.client_listener.connections) + len(served) == 2)
             if how == "close":
                 await wait_until(lambda: served)
             client.ask(2, chunk="7")
@@ -289,7 +289,7 @@
             await wait_until(lambda: conn.unsent() > 50_000)
             for stream in range(2, 60):
                 raw.send(request(stream))
-            await wait_until(lambda: conn not in node.front.connections)
+            await wait_until(lambda: conn not in node.client_listener.connections)
             assert len(cache.received) == 1
             client.ask(1)
             assert (await client.next())[:3] == (17, 1, 0)
@@ -311,7 +311,7 @@
         conn._handle = counted  # type: ignore[method-assign]
         raw.send(struct.pack(">IBI", 5, 99, 7) * 7000)
         raw.sock.close()
-        while conn in node.front.connections:
+        while conn in node.client_listener.connections:
             await asyncio.sleep(0)
             counts.append(0)
         assert max(counts) == client_module.FRAMES_AT_ONCE
@@ -341,7 +341,7 @@
         async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
             client.ask(1)
             await client.next()
-            ours = [c.sock for c in node.front.connections]
+            ours = [c.sock for c in node.client_listener.connections]
             ours += [c.sock for c in node.upstream._pool["c0"] if c.sock is not None]
             assert len(ours) == 2
             assert all(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for sock in ours)
@@ -360,7 +360,7 @@
             raw.send(request(1))
             await wait_until(lambda: conn.unsent() > 50_000)
             raw.send(struct.pack(">IBI", 5, 32, 0) * (client_module.OVER_MOST + 1))
-            await wait_until(lambda: conn not in node.front.connections)
+            await wait_until(lambda: conn not in node.client_listener.connections)
             client.ask(1)
             assert (await client.next())[:3] == (17, 1, 0)
             raw.sock.close()
@@ -373,7 +373,7 @@
         node,
         client,
     ):
-        (conn,) = node.front.connections
+        (conn,) = node.client_listener.connections
         node.timers.lag = lambda: 2 * front_module.SHED_MS  # type: ignore[method-assign]
         client.ask(1)
         assert (await client.next())[:3] == (17, 1, 1)
@@ -389,7 +389,7 @@
         node,
         client,
     ):
-        (conn,) = node.front.connections
+        (conn,) = node.client_listener.connections
         client.ask(1, drop="c")
         assert (await client.next())[:3] == (17, 1, 2)
         conn.sweep(conn.born_ms + client_module.FIRST_MS + 1.0)
--- a/tests/net/test_control_server_clock_steps.py
+++ b/tests/net/test_control_server_clock_steps.py
@@ -179,7 +179,7 @@
             for node, asker in zip(self.directors, askers, strict=True):
                 answers = []
                 for _ in range(READS_AFTER):  # within less than the tick for which a held-up loop refuses
-                    await wait_until(lambda node=node: not node.front.rejects_requests(), START_S)
+                    await wait_until(lambda node=node: not node.client_listener.rejects_requests(), START_S)
                     answers.append(await asker.ask(READS, o=thing, chunk="3"))
                 served = [answer for answer in answers if answer.code == SERVED]
                 assert all(dated(answer) >= purged_ms - 1.0 for answer in served), f"{when}: stale"
--- a/tests/net/test_deadlines.py
+++ b/tests/net/test_deadlines.py
@@ -60,12 +60,12 @@
         ):
             client.ask(1)
             await wait_until(lambda: cache.received)
-            node.front.cap = 1
+            node.client_listener.cap = 1
             raw = Raw(node)
             raw.send(request(2, d=str(WAIT_MS)))
             await asyncio.sleep(HELD_UP_MS / 1000.0)
             client.send(Type.GONE, 1)
-            node.front.cap = 9
+            node.client_listener.cap = 9
             await wait_until(lambda: len(cache.received) == 2)
             assert is_honest(cache.received[1])
             late = Raw(node)  # nobody waits any more: nothing is taken off
--- a/tests/net/test_unanswered.py
+++ b/tests/net/test_unanswered.py
@@ -127,7 +127,7 @@
             conn = await connected(node, raw)
             conn.sock = socket.socket()
             conn.sock.close()
-            assert not conn.unread() and node.front.quiet()
+            assert not conn.unread() and node.client_listener.quiet()
             raw.sock.close()
 
     runner(scene())
@@ -147,7 +147,7 @@
                 raw.send(whole[20:] + request(2))
             else:
                 raw.send(whole + request(2))
-            closing = asyncio.create_task(node.front.close())
+            closing = asyncio.create_task(node.client_listener.close())
             if lies == "in the reader":  # it is read once the close has begun
                 time.sleep(0.01)  # loopback delivers at once
                 conn.reader.feed_data(conn.sock.recv(65_536))
@@ -173,7 +173,7 @@
 
         def handled(frames: list[Any]) -> None:
             if not closing:
-                closing.append(asyncio.create_task(node.front.close()))
+                closing.append(asyncio.create_task(node.client_listener.close()))
             handle(frames)
 
         conn._handle_all = handled  # type: ignore[method-assign]
@@ -191,11 +191,11 @@
         patch.setattr(shutdown, "ACCEPT_PERIOD_S", 0.0)
         patch.setattr(shutdown, "ACCEPT_QUEUE_DELAY_S", 0.0)
         async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
-            node.front.cap = 1  # it waits in the system's queue
+            node.client_listener.cap = 1  # it waits in the system's queue
             raw = Raw(node)
             raw.send(request(1))
             await node.drain()
-            closing = asyncio.create_task(node.front.close())
+            closing = asyncio.create_task(node.client_listener.close())
             frames, end = await raw.rest()
             raw.sock.close()
             await closing
@@ -244,10 +244,12 @@
             raw.send(request(1) + struct.pack(">I", 3))
             await wait_until(lambda: conn.shut_ms and conn.unsent())
             conn.shut_ms -= 60.0  # longer ago than a crossing takes
-            node.front.cap, node.front.lingering = 0, 0
+            node.client_listener.cap, node.client_listener.lingering = 0, 0
             await wait_until(lambda: not client.reader._buffer)  # type: ignore[attr-defined]
-            assert not node.front._spare_one()  # the resting client goes, and the cap is not met all the same
-            node.front.cap, node.front.lingering = 100, 1
+            assert (
+                not node.client_listener._spare_one()
+            )  # the resting client goes, and the cap is not met all the same
+            node.client_listener.cap, node.client_listener.lingering = 100, 1
             frames, end = await raw.rest()
             assert (answers(frames), end) == ([(1, AnswerCode.SERVED)], "end of file")
             assert [len(payload) for _, stream, payload in frames if stream] == [BIG + 2]
--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -473,8 +473,8 @@
     async with running_director(config({"r0": REFUSED})) as (node, client):
         client.send(32, 5, encode_fields({}))
         assert (await client.next())[:3] == (33, 5, 0)
-        node.front.drain.fail(1.0)
-        node.front.send_goaway_to_all()
+        node.client_listener.drain.fail(1.0)
+        node.client_listener.send_goaway_to_all()
         assert (await client.next())[:2] == (48, 0)
         client.send(32, 6, encode_fields({}))
         assert (await client.next())[:3] == (33, 6, 1)
@@ -486,7 +486,7 @@
     async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
         client.ask(1, body=b"x" * 40_000)
         await wait_until(lambda: cache.received)
-        node.front.max_buffered_bytes = 30_000
+        node.client_listener.max_buffered_bytes = 30_000
         client.ask(2)
         assert (await client.next())[:3] == (17, 2, 1)
 
@@ -498,7 +498,7 @@
     async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
         client.ask(1)
         await wait_until(lambda: cache.received)
-        node.front.cap = 1
+        node.client_listener.cap = 1
         crowd = [await Client.connect(node.port) for _ in range(8)]
         for n, one in enumerate(crowd):
             one.ask(1, chunk="7", i=f"{n + 16:016x}")
@@ -513,7 +513,7 @@
     # churn: clients that had asked once held all there were, and who came next was turned away
     cache = ScriptedCache(hit)
     async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
-        node.front.cap = 4
+        node.client_listener.cap = 4
         client.ask(1)
         assert (await client.next())[:3] == (17, 1, 0)
         first, *others = [await Client.connect(node.port) for _ in range(3)]
@@ -542,9 +542,9 @@
         assert (await good.next())[:3] == (17, 1, 0)
         quiet, half = await Client.connect(node.port), await Client.connect(node.port)
         half.writer.write(raw_frame(50_000, 16, 1, b"x" * 30_000))
-        await wait_until(lambda: sum(c.buffered_bytes() for c in node.front.connections) > 30_000)
+        await wait_until(lambda: sum(c.buffered_bytes() for c in node.client_listener.connections) > 30_000)
         now = node.clock.now()
-        ends = {c: (c.proven, bool(c.partial_ms)) for c in node.front.connections}
+        ends = {c: (c.proven, bool(c.partial_ms)) for c in node.client_listener.connections}
         assert sorted(ends.values()) == [(False, False), (False, True), (True, False)]
         for after, closed in (
             (1500.0, []),
@@ -598,15 +598,15 @@
     async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
         for stream in range(1, 33):
             client.ask(stream, chunk=str(stream))
-        await wait_until(lambda: any(c.unsent() for c in node.front.connections))
-        (conn,) = node.front.connections
+        await wait_until(lambda: any(c.unsent() for c in node.client_listener.connections))
+        (conn,) = node.client_listener.connections
         await wait_until(lambda: len(cache.received) == 32 and not conn.open)
         now = node.clock.now()
         conn.sweep(now)
         conn.sweep(now + client_module.STALLED_MS / 2)
         assert not conn.writer.transport.is_closing()
         conn.sweep(now + client_module.STALLED_MS * 2)
-        await wait_until(lambda: not node.front.connections)
+        await wait_until(lambda: not node.client_listener.connections)
 
 
 @async_test
