--- a/gladelane/clock.py
+++ b/gladelane/clock.py
@@ -212,16 +212,18 @@
         self.offset_ms = max(self.offset_ms, min(float(dated) - now_ms, max_ms))
 
     def age_ms(self, dated: UnixMs, now_ms: float) -> float:
-        """The least age of a purge. Only dates of purges are used for it: they all come from one clock, while
-        each server dates its own start, and one server whose clock is ahead would make every purge look
-        old."""
+        """The minimum age of a purge. It is computed from dates of purges only: they all come from one clock,
+        while each server dates its own start, so a single server whose clock is ahead would make every purge
+        look old."""
         return max(now_ms + self._by_purges_ms - float(dated), 0.0)
 
     def latest(self, now_ms: float) -> UnixMs:
-        """An estimate of the platform's current date that errs towards the future, for anything that starts
-        now and must not seem to age faster than it does. If discovery's dates are far behind the wall clock
-        at the start, that clock is taken to be wrong and only the dates are used: otherwise anything that
-        starts now would seem new for as long as the clock is ahead."""
+        """An estimate of the platform's current date, for dating what starts now. It errs towards the future,
+        so that nothing seems to age faster than it does.
+
+        If discovery's dates are far behind the wall clock at the start, that clock is taken to be wrong and
+        only the dates are used: otherwise anything that starts now would seem new for as long as the clock is
+        ahead."""
         if self.offset_ms < -TRUSTED_CLOCK_LEAD_MS and self._by_discovery_ms > -math.inf:
             return UnixMs(now_ms + self.offset_ms)
         return UnixMs(now_ms + max(self._by_discovery_ms, 0.0))
--- a/gladelane/server.py
+++ b/gladelane/server.py
@@ -63,8 +63,7 @@
         self.config = config
         self.clock = Clock()
         self.timers = TimerWheel(self.clock.now)
-        # A separate random generator, so that routing decisions do not depend on which addresses were
-        # dialled.
+        # This generator is separate, so that routing decisions do not depend on which addresses were dialled.
         rng = random.Random(config.seed ^ ENDPOINTS_SEED)
         self.endpoints = Endpoints(rng, log_warning=endpoints_log.warning)
         memory_bytes = config.limits.memory_mb * BYTES_PER_MB
--- a/gladelane/shutdown.py
+++ b/gladelane/shutdown.py
@@ -37,7 +37,8 @@
     end_s = started_s + min(longest_ms / 1000.0 + DEADLINE_MARGIN_S, MAX_DRAIN_S)
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout_at(end_s):
-            while not _is_drained(director, client_listener, has_peer):  # noqa: ASYNC110  no single event reports it
+            # polled, because no single event reports that all is drained
+            while not _is_drained(director, client_listener, has_peer):  # noqa: ASYNC110
                 await asyncio.sleep(POLL_INTERVAL_S)
     client_listener.is_closing = True
     director.end_all()
