--- a/gladelane/cli/purge_serve.py
+++ b/gladelane/cli/purge_serve.py
@@ -74,7 +74,7 @@
         "--keeper", help="Grant leases together with the other feeds; numbers are stored in this folder."
     ),
 ]
-LongestLeaseMs = Annotated[
+MaxLeaseMs = Annotated[
     float, typer.Option(help="The longest lease, ms; none is granted for as long after a start.")
 ]
 RetentionS = Annotated[float, typer.Option(help="How long a purge is in force, s.")]
@@ -97,7 +97,7 @@
     behind_ms: LagLimitMs = 8000.0,
     share: QuarantineShare = 0.25,
     lease_folder: LeaseFolder = None,
-    lease_ms: LongestLeaseMs = 3000.0,
+    lease_ms: MaxLeaseMs = 3000.0,
     retention_s: RetentionS = 604_800.0,
     tls_cert: TlsCertificate = None,
     tls_key: TlsKey = None,
