--- a/gladelane/net/client_connection.py
+++ b/gladelane/net/client_connection.py
@@ -7,7 +7,7 @@
 import socket
 from typing import Protocol
 
-from ..sockets import has_ended, has_unread, last_data_ms, look_ahead, shut_write_side
+from ..sockets import has_ended, has_unread, ms_since_last_data, peek_unread, shut_write_side
 from .client_protocol import (
     Frame,
     FrameDecoder,
@@ -204,7 +204,7 @@
         from then. The bytes may have waited with their connection in the accept queue, or behind earlier
         frames of the client. The lag of the event loop is accounted for separately, by the timer wheel."""
         if self._queued_ms:
-            waited_ms = min(last_data_ms(self.sock), now - self._queued_ms)
+            waited_ms = min(ms_since_last_data(self.sock), now - self._queued_ms)
             self._queued_ms = 0.0
             return now - waited_ms
         return self._received_ms if self._has_backlog else now
@@ -241,7 +241,7 @@
     def is_client_gone(self, stream: int) -> bool:
         """Whether the received bytes, read or not, show that the client no longer waits for an answer on this
         stream. An event loop that lags may handle a timer, a dial or a reply before it reads these bytes."""
-        unread = look_ahead(self.sock)
+        unread = peek_unread(self.sock)
         if unread.ended or self.reader.exception() is not None:
             return True
         if self.discards_input or not (
--- a/gladelane/net/listener.py
+++ b/gladelane/net/listener.py
@@ -12,7 +12,7 @@
 from contextlib import suppress
 from enum import Enum, auto
 
-from ..sockets import close_socket, open_listening
+from ..sockets import close_socket, open_listening_socket
 
 log = logging.getLogger(__name__)
 
@@ -29,7 +29,7 @@
 def open_listener(host: str, port: int, shared: bool) -> socket.socket:
     """Opens a listening socket. `shared` lets another process listen at the same address, for a hot restart;
     without it an address that is in use is an error. Raises OSError."""
-    return open_listening(host, port, BACKLOG, reuse_port=shared)
+    return open_listening_socket(host, port, BACKLOG, reuse_port=shared)
 
 
 def redirect_new_connections(listener: socket.socket) -> None:
--- a/tests/admin/test_admin_actions.py
+++ b/tests/admin/test_admin_actions.py
@@ -10,7 +10,18 @@
 from typing import Any
 
 import pytest
-from harness import Cache, Client, Command, config, hit, mute, raw_frame, running, trial, until
+from harness import (
+    Client,
+    Command,
+    ScriptedCache,
+    async_test,
+    config,
+    hit,
+    never_respond,
+    raw_frame,
+    running_director,
+    wait_until,
+)
 
 from gladelane.admin.requests import AdminAction, AdminRequest, AdminResponse
 from gladelane.discovery.events import watch_event_decoder
@@ -47,22 +58,22 @@
     return (await client.next())[2]
 
 
-@trial
+@async_test
 async def test_cache_in_maintenance_gets_no_requests_until_it_is_put_back() -> None:
     """The endpoint list may remove and list the cache again meanwhile. After it is put back, it counts as
     cold."""
-    first, second = Cache(hit), Cache(hit)
+    first, second = ScriptedCache(hit), ScriptedCache(hit)
     addresses = {"c0": await first.start(), "c1": await second.start(), "p0": REFUSED, "r0": REFUSED}
-    async with running(config(addresses)) as (node, client):
+    async with running_director(config(addresses)) as (node, client):
         for stream in range(1, 21):
             assert await ask(client, stream) == 0
-        assert first.seen and second.seen
+        assert first.received and second.received
         assert run_action(node, AdminAction.MAINT, "nobody").status == 404
         assert (
             run_action(node, AdminAction.MAINT, "c0").is_success
             and run_action(node, AdminAction.MAINT, "c0").is_success
         )
-        before = len(first.seen)
+        before = len(first.received)
         list_changes = [
             list_change("c0", addresses["c0"], "terminated"),
             list_change("c0", addresses["c0"], rev=3),
@@ -73,7 +84,7 @@
                 node.director.apply_watch_event(change)
             for number in range(10):
                 assert await ask(client, stream * 100 + number) == 0
-        assert len(first.seen) == before and read_metrics(node)["hosts_down"] == 1
+        assert len(first.received) == before and read_metrics(node)["hosts_down"] == 1
         assert (
             run_action(node, AdminAction.READY, "c0").is_success
             and run_action(node, AdminAction.READY, "nobody").status == 404
@@ -84,37 +95,40 @@
         node.director.router.cold.caches.usual = 1e6
         for stream in range(4000, 4040):
             assert await ask(client, stream) == 0
-        assert len(first.seen) > before and read_metrics(node)["hosts_down"] == 0
+        assert len(first.received) > before and read_metrics(node)["hosts_down"] == 0
 
 
-@trial
+@async_test
 async def test_parent_in_maintenance_is_no_source_even_before_the_serving_loop_applies_it() -> None:
     """The action takes effect before the serving loop applies it to routing. A request that is routed in
     between must not name the parent when it is sent."""
-    cache = Cache(hit)
-    async with running(config({"c0": await cache.start(), "p0": REFUSED, "r0": REFUSED})) as (node, client):
-        assert await ask(client, 1) == 0 and cache.seen[-1][1]["parent"] == "p0"
+    cache = ScriptedCache(hit)
+    async with running_director(config({"c0": await cache.start(), "p0": REFUSED, "r0": REFUSED})) as (
+        node,
+        client,
+    ):
+        assert await ask(client, 1) == 0 and cache.received[-1][1]["parent"] == "p0"
         # accepted in the endpoint's thread, but not completed in this loop yet
         node.admin_handler.accept(AdminRequest(AdminAction.MAINT, "p0"))
         client.ask(2, o=f"{2:016x}", m="1")
         await client.next()
-        assert all(command[1].get("parent") != "p0" for command in cache.seen[1:])
+        assert all(command[1].get("parent") != "p0" for command in cache.received[1:])
         node.admin_handler.complete(AdminRequest(AdminAction.MAINT, "p0"))
-        assert await ask(client, 3) == 0 and cache.seen[-1][1].get("parent") == "r0"
+        assert await ask(client, 3) == 0 and cache.received[-1][1].get("parent") == "r0"
 
 
-@trial
+@async_test
 async def test_drain_closes_idle_connections_loses_no_request_and_can_be_cancelled() -> None:
     """New clients are told to leave after their first request, and pending requests get their answers before
     their connection closes."""
-    slow = Cache(lambda command: None if command[1]["thing"].endswith("f") else hit(command))
-    async with running(config({"c0": await slow.start(), "r0": REFUSED})) as (node, client):
-        idle, busy = await Client.to(node.port), await Client.to(node.port)
+    slow = ScriptedCache(lambda command: None if command[1]["thing"].endswith("f") else hit(command))
+    async with running_director(config({"c0": await slow.start(), "r0": REFUSED})) as (node, client):
+        idle, busy = await Client.connect(node.port), await Client.connect(node.port)
         assert await ask(client, 1) == await ask(idle, 1) == 0
         busy.ask(1, o="00000000000000ff", d="1200", m="1")
-        await until(lambda: slow.seen[-1][1]["thing"].endswith("f"))
+        await wait_until(lambda: slow.received[-1][1]["thing"].endswith("f"))
         assert run_action(node, AdminAction.FAIL).is_success and run_action(node, AdminAction.FAIL).is_success
-        late = await Client.to(node.port)  # new clients are still served for a while
+        late = await Client.connect(node.port)  # new clients are still served for a while
         late.send(32, 0, b"\x00")
         assert (await late.next())[2] == 1  # not ready
         assert await ask(late, 5) == 0 and (await late.next())[0] == 48
@@ -127,22 +141,27 @@
         assert (await busy.next())[0] == 48 and (await busy.next())[2] != 0
         with pytest.raises(EOFError):
             await busy.next(2.0)
-        await until(lambda: not node.front.connections)  # `busy` has not closed its own side yet
-        assert node.front.listener is not None
+        await wait_until(
+            lambda: not node.client_listener.connections
+        )  # `busy` has not closed its own side yet
+        assert node.client_listener.listener is not None
         assert run_action(node, AdminAction.OK).is_success
-        again = await Client.to(node.port)
+        again = await Client.connect(node.port)
         again.send(32, 0, b"\x00")
-        assert (await again.next())[2] == 0 and await ask(again, 1) == 0 and await again.silent()
+        assert (await again.next())[2] == 0 and await ask(again, 1) == 0 and await again.receives_nothing()
 
 
-@trial
+@async_test
 async def test_client_that_keeps_sending_requests_during_a_drain_is_rejected() -> None:
     """A client that ignores the notification must not keep the director busy for ever."""
-    async with running(config({"c0": await Cache(hit).start(), "r0": REFUSED})) as (node, client):
+    async with running_director(config({"c0": await ScriptedCache(hit).start(), "r0": REFUSED})) as (
+        node,
+        client,
+    ):
         client.ask(1, o="0000000000000001", m="1")
         await client.next()
         run_action(node, AdminAction.FAIL)
-        conn = next(iter(node.front.connections))
+        conn = next(iter(node.client_listener.connections))
         conn.goaway_ms -= 2000.0  # notified two seconds ago
         client.ask(2, o="0000000000000002", m="1")
         frames = [await client.next(), await client.next()]
@@ -155,7 +174,7 @@
 def test_metrics_equal_the_counts_of_clients_and_stores(seed: int) -> None:
     """Each request must be counted once, whichever way it ends."""
 
-    @trial
+    @async_test
     async def run() -> None:
         rng = random.Random(seed)
         responses = ["served digest=aa,dated=1,remark=h"] * 6 + ["overload -", "crashed -", "not_here -"]
@@ -163,11 +182,11 @@
         def script(command: Command) -> tuple[str, bytes] | None:
             return rng.choice(responses), b""
 
-        caches = [Cache(script), Cache(script)]
-        origin = Cache(script)
+        caches = [ScriptedCache(script), ScriptedCache(script)]
+        origin = ScriptedCache(script)
         addresses = {"c0": await caches[0].start(), "c1": await caches[1].start(), "r0": await origin.start()}
         counted: Counter[tuple[str, int]] = Counter()
-        async with running(config(addresses)) as (node, client):
+        async with running_director(config(addresses)) as (node, client):
             stream = 0
             for _ in range(150):
                 stream += 1
@@ -183,50 +202,53 @@
                 counted[cls, (await client.next())[2]] += 1
             client.send(16, stream + 1, b"\xff")  # no fields at all
             counted["none", (await client.next())[2]] += 1
-            await until(lambda: not node.director.live)
+            await wait_until(lambda: not node.director.live)
             await asyncio.sleep(0.25)  # until the connections have been swept once
             metrics = read_metrics(node)
         for cls in ("film", "sheet"):
             for code, result in enumerate(("success", "busy", "failure")):
                 assert metrics[f"calls.{cls}.{result}"] == counted[cls, code], (cls, result)
         assert metrics["unusable"] == counted["none", 2] > 0 and metrics["inflight"] == 0
-        assert metrics["backend_calls"] == sum(len(cache.seen) for cache in (*caches, origin))
+        assert metrics["backend_calls"] == sum(len(cache.received) for cache in (*caches, origin))
         assert metrics["hosts_listed"] == 3
 
     run()
 
 
-@trial
+@async_test
 async def test_metrics_count_pending_cancelled_and_rejected_requests() -> None:
-    cache = Cache(mute)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+    cache = ScriptedCache(never_respond)
+    async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
         client.ask(1)
         client.ask(2)
-        await until(lambda: len(cache.seen) == 2)
+        await wait_until(lambda: len(cache.received) == 2)
         assert read_metrics(node)["inflight"] == 2
         client.send(18, 1)
-        await until(lambda: read_metrics(node)["inflight"] == 1)
+        await wait_until(lambda: read_metrics(node)["inflight"] == 1)
         metrics = read_metrics(node)
         assert metrics["withdrawn"] == 1 and not any(
             metrics[f"calls.film.{result}"] for result in ("success", "busy", "failure")
         )
-        node.front.rejects_requests = lambda: True
+        node.client_listener.rejects_requests = lambda: True
         client.ask(3)
         assert (await client.next())[1:3] == (3, 1) and read_metrics(node)["calls.film.busy"] == 1
         client.writer.write(raw_frame(3, 16, 1))
         client.writer.close()
-        await until(lambda: read_metrics(node)["inflight"] == 0)
+        await wait_until(lambda: read_metrics(node)["inflight"] == 0)
         assert read_metrics(node)["withdrawn"] == 2
 
 
-@trial
+@async_test
 async def test_slow_reader_gets_all_its_answers_and_delays_no_other_client() -> None:
     """Its unsent answers are buffered up to a limit. A drain must not close its connection before they are
     written."""
     body, request_count = b"x" * 240_000, 30
-    async with running(
+    async with running_director(
         config(
-            {"c0": await Cache(lambda _: ("served digest=aa,dated=1,remark=h", body)).start(), "r0": REFUSED}
+            {
+                "c0": await ScriptedCache(lambda _: ("served digest=aa,dated=1,remark=h", body)).start(),
+                "r0": REFUSED,
+            }
         )
     ) as (node, client):
         node.director.router.stores["c0"].concurrency.limit = 64.0
@@ -235,13 +257,15 @@
         slow = Client(*await asyncio.open_connection(sock=sock))
         for stream in range(1, request_count + 1):
             slow.ask(stream, o=f"{stream:016x}", m="1")
-        await until(lambda: any(conn.unsent_bytes() > 500_000 for conn in node.front.connections))
+        await wait_until(
+            lambda: any(conn.unsent_bytes() > 500_000 for conn in node.client_listener.connections)
+        )
         received = 0
         for stream in range(1, 9):  # the slow client reads little meanwhile
             client.ask(stream, o=f"{stream:016x}", m="1")
             assert (await client.next(1.0))[2] == 0
             received += len((await slow.next())[4])
-        assert node.front.buffered_bytes < node.front.max_buffered_bytes
+        assert node.client_listener.buffered_bytes < node.client_listener.max_buffered_bytes
         run_action(node, AdminAction.FAIL)
         # the drain does not close this connection before its answers are written
         while received < request_count * len(body):
--- a/tests/admin/test_endpoint.py
+++ b/tests/admin/test_endpoint.py
@@ -11,7 +11,7 @@
 from contextlib import contextmanager, suppress
 
 import pytest
-from harness import trial
+from harness import async_test
 
 import gladelane.admin.endpoint as endpoint_module
 from gladelane.admin.endpoint import MAX_CONNECTIONS, AdminEndpoint
@@ -68,7 +68,7 @@
     return int((await asyncio.to_thread(send_request, port, request, timeout_s)).split()[1])
 
 
-@trial
+@async_test
 async def test_one_request_per_connection_is_completed_and_answered() -> None:
     handler = RecordingHandler()
     with open_endpoint(handler) as (_, port):
@@ -97,7 +97,7 @@
         assert await request_status(port, encode_request("GET", "/healthcheck")) == 200
 
 
-@trial
+@async_test
 async def test_response_waits_until_the_request_is_stored_but_only_for_a_limited_time() -> None:
     """A request that was answered with 200 must survive a kill of the process. If storing takes too long, the
     endpoint answers anyway, since the request is in effect."""
@@ -110,7 +110,7 @@
         assert await pending == 202, "the request is in effect, and answered in time"
 
 
-@trial
+@async_test
 async def test_request_is_accepted_and_answered_while_the_serving_loop_is_blocked() -> None:
     """Operators must be able to drain an overloaded director, so the endpoint's own thread puts a request
     into effect."""
@@ -128,7 +128,7 @@
         assert handler.completed == [AdminRequest(AdminAction.MAINT, "a")]  # once the loop runs again
 
 
-@trial
+@async_test
 async def test_oldest_connections_without_a_complete_request_are_replaced() -> None:
     """Clients that connect and send no complete request must not block the endpoint."""
     with open_endpoint(RecordingHandler()) as (endpoint, port):
@@ -144,7 +144,7 @@
             connection.close()
 
 
-@trial
+@async_test
 async def test_clients_that_reconnect_at_once_end_no_unread_request() -> None:
     """Each new connection once closed an open one at once, whose request might not have been read yet. Beside
     ten clients that reconnected all the time, 57 of 97 requests were closed without a response."""
--- a/tests/admin/test_idempotency_windows.py
+++ b/tests/admin/test_idempotency_windows.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 
 import pytest
-from conftest import Driver, some
-from harness import Cache, config, hit, mute, running, trial
+from conftest import Driver, actions_of
+from harness import ScriptedCache, async_test, config, hit, never_respond, running_director
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -78,16 +78,20 @@
 def test_retry_after_the_window_of_the_first_attempt_is_not_sent() -> None:
     driver = Driver()  # sale: a keyed class with a window of 6 s
     in_window = driver.ask("sale", ran_ms=driver.now - 3000.0, ran_at="root")
-    assert some(in_window, Fetch) and not some(in_window, Refuse)
+    assert actions_of(in_window, Fetch) and not actions_of(in_window, Refuse)
     past_window = driver.ask("sale", ran_ms=driver.now - 6000.0, ran_at="root")
-    assert not some(past_window, Fetch) and some(past_window, Refuse) and not some(past_window, Fail)
+    assert (
+        not actions_of(past_window, Fetch)
+        and actions_of(past_window, Refuse)
+        and not actions_of(past_window, Fail)
+    )
 
 
-@trial
+@async_test
 async def test_attempts_of_a_key_share_a_window_that_ends_when_none_has_run() -> None:
     scripts = {"0000000000000001": lambda _: ("overload -", b""), "0000000000000004": hit}
-    origin = Cache(lambda command: scripts.get(command[0], mute)(command))
-    async with running(config({"c0": REFUSED, "r0": await origin.start()})) as (node, client):
+    origin = ScriptedCache(lambda command: scripts.get(command[0], never_respond)(command))
+    async with running_director(config({"c0": REFUSED, "r0": await origin.start()})) as (node, client):
         client.ask(1, c="sheet", k="aa", d="200")
         assert (await client.next())[2] == 1 and node.director.keys.first_attempt("aa", node.clock.now()) == (
             0.0,
@@ -101,11 +105,11 @@
         started_ms, store = node.director.keys.first_attempt("aa", node.clock.now())
         # the time of the second attempt, not of the third
         assert store == "r0" and before <= started_ms < node.clock.now() - 100.0
-        sent = len(origin.seen)
+        sent = len(origin.received)
         # as received from the previous process
         node.director.keys.take_over({"aa": [(node.clock.now() - 2000.0, "r0")]})
         client.ask(4, c="sheet", k="aa")
-        assert (await client.next())[1:3] == (4, 1) and len(origin.seen) == sent
+        assert (await client.next())[1:3] == (4, 1) and len(origin.received) == sent
 
 
 @pytest.mark.parametrize(
--- a/tests/admin/test_live_settings.py
+++ b/tests/admin/test_live_settings.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from harness import Cache, config, hit, running, settings, trial, until
+from harness import ScriptedCache, async_test, config, hit, running_director, settings, wait_until
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -125,16 +125,16 @@
     return read_config(json.dumps(raw).encode())
 
 
-@trial
+@async_test
 async def test_classes_are_added_and_removed_while_pending_requests_keep_their_class() -> None:
     """During the transition both files hold. Afterwards a removed class is rejected, and each class has the
     effect that the new file gives it."""
     film, sheet = settings()["classes"]
-    cache = Cache(lambda command: None if command[1]["thing"].endswith("f") else hit(command))
+    cache = ScriptedCache(lambda command: None if command[1]["thing"].endswith("f") else hit(command))
     addresses = {"c0": await cache.start(), "r0": REFUSED}
-    async with running(config(addresses)) as (node, client):
+    async with running_director(config(addresses)) as (node, client):
         client.ask(1, o="00000000000000ff", d="900", m="1")
-        await until(lambda: len(cache.seen) == 1)
+        await wait_until(lambda: len(cache.received) == 1)
         new = {**film, "name": "new"}
         node.reload(make_config(addresses, [{**film, "effect": "fragile"}, new], max_attempts=2))
         assert node.director.metrics.classes.keys() == {"film", "sheet", "new"}
@@ -153,7 +153,7 @@
             and node.director.settings.classes["film"].effect is Effect.UNSAFE
         )
         assert (await client.next())[1] == 1  # the pending request ends by its own rules
-        await until(lambda: "sheet" not in node.director.settings.classes)
+        await wait_until(lambda: "sheet" not in node.director.settings.classes)
         client.ask(9, c="sheet", k="aa")
         assert (await client.next())[1:3] == (9, 2) and node.director.metrics.unusable == 1
         moved = make_config(addresses, [film])
@@ -164,35 +164,35 @@
             node.director.settings.classes["film"].effect is Effect.UNSAFE
             and "new" in node.director.settings.classes
         )
-        await until(lambda: node.director.settings.classes.keys() == {"film"})
+        await wait_until(lambda: node.director.settings.classes.keys() == {"film"})
         assert node.director.settings.classes["film"].effect is Effect.SAFE
         client.ask(10, o="0000000000000001", m="1")
         assert (await client.next())[1:3] == (10, 0)
 
 
-@trial
+@async_test
 async def test_pending_request_of_a_removed_class_is_retried_by_its_old_rules() -> None:
     """The new file has neither the class of the request nor a second attempt."""
     film, sheet = settings()["classes"]
     answers = iter(["overload -", "served digest=aa,dated=1,remark=h"])
-    origin = Cache(lambda command: (next(answers), b""))
+    origin = ScriptedCache(lambda command: (next(answers), b""))
     addresses = {"c0": REFUSED, "r0": await origin.start()}
-    async with running(config(addresses)) as (node, client):
+    async with running_director(config(addresses)) as (node, client):
         client.ask(1, c="sheet", k="aa")
-        await until(lambda: len(origin.seen) == 1)
+        await wait_until(lambda: len(origin.received) == 1)
         node.director.retune(make_config(addresses, [film], max_attempts=1).settings)
-        assert (await client.next())[1:3] == (1, 0) and len(origin.seen) == 2
+        assert (await client.next())[1:3] == (1, 0) and len(origin.received) == 2
 
 
-@trial
+@async_test
 async def test_class_that_becomes_keyed_requires_keys_only_after_the_transition() -> None:
     """Clients that still use the old file send no key, and must not fail."""
     film, _ = settings()["classes"]
-    addresses = {"c0": await Cache(hit).start(), "r0": REFUSED}
-    async with running(config(addresses)) as (node, client):
+    addresses = {"c0": await ScriptedCache(hit).start(), "r0": REFUSED}
+    async with running_director(config(addresses)) as (node, client):
         node.reload(make_config(addresses, [{**film, "effect": "dedup", "window_ms": 2000.0}]))
         client.ask(1)
         assert (await client.next())[2] == 0
-        await until(lambda: not node.director.settings.classes["film"].keyless)
+        await wait_until(lambda: not node.director.settings.classes["film"].keyless)
         client.ask(2)
         assert (await client.next())[2] == 2
--- a/tests/endpoints/test_dialing.py
+++ b/tests/endpoints/test_dialing.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 import pytest
-from harness import Client, config, running, trial, until
+from harness import Client, async_test, config, running_director, wait_until
 from test_net_rules import REFUSED, notice, outcomes, ready, told
 
 from gladelane.discovery.events import WatchEvent
@@ -63,7 +63,10 @@
     fake_server, listed = await start_fake_server("r0", families)
     addresses = listed[::-1] if host_port_is_last else listed
     try:
-        async with running(fleet_config({"r0": addresses, "c0": [REFUSED]}, **limits)) as (node, client):
+        async with running_director(fleet_config({"r0": addresses, "c0": [REFUSED]}, **limits)) as (
+            node,
+            client,
+        ):
             yield fake_server, listed, node, client
     finally:
         await fake_server.close()
@@ -73,7 +76,7 @@
     client.ask(stream, c="sheet", k=f"key{stream}", d=str(deadline_ms), body=b"answers")
 
 
-@trial
+@async_test
 async def test_stalled_keyed_request_is_retried_at_an_address_without_a_stall() -> None:
     """A server that took a request may have executed it. So only the router may send it again, as a further
     attempt within the window of its key, and never the dialer."""
@@ -90,7 +93,7 @@
         assert fake_server.seen[2].address == listed[1] and max(fake_server.counts.values()) == 1
 
 
-@trial
+@async_test
 async def test_stalled_keyed_request_is_not_sent_again_when_no_further_attempt_is_allowed() -> None:
     """The dialer must not send a request to another address by itself after a server took it."""
     async with origin(V6_FIRST, max_attempts=1) as (fake_server, listed, _, client):
@@ -101,7 +104,7 @@
         assert [seen.address for seen in fake_server.seen] == listed[:1]
 
 
-@trial
+@async_test
 async def test_unresponsive_address_delays_only_the_first_connect_until_it_recovers() -> None:
     """The first connect waits for the delay before it dials the second address. Later ones dial the second
     address first, until a health check shows that the first one works again."""
@@ -116,28 +119,28 @@
         await fake_server.set(listed[0], Fault.NONE)
         node.endpoints.health.get("r0", parse(listed[0])).avoided_until_ms = 1.0  # type: ignore[union-attr]
         await fake_server.set(listed[1], Fault.NONE)  # closes the open connections
-        await until(lambda: not node.upstream._pool)
+        await wait_until(lambda: not node.upstream._pool)
         submit(client, 2)
         assert (await client.next())[:3] == (17, 2, 0)
-        await until(lambda: not node.endpoints.health.is_avoided("r0", parse(listed[0])))
+        await wait_until(lambda: not node.endpoints.health.is_avoided("r0", parse(listed[0])))
         assert fake_server.seen[1].address == listed[1] and node.upstream._extra_sockets == 0
         assert [a.text for a in node.endpoints.plan("r0", node.clock.now()).addresses] == listed
 
 
-@trial
+@async_test
 async def test_broken_family_is_detected_at_few_servers() -> None:
     """If IPv6 is broken at all servers, only connects to the first few of them may lose time on it."""
     fake_servers = {f"c{n}": await start_fake_server(f"c{n}", V6_FIRST) for n in range(8)}
     for fake_server, listed in fake_servers.values():
         await fake_server.set(listed[0], Fault.BLACK_HOLE)
-    async with running(
+    async with running_director(
         fleet_config({n: listed for n, (_, listed) in fake_servers.items()} | {"r0": [REFUSED]})
     ) as (node, client):
         dialled_v6_first = []
         for name in fake_servers:
             connection = connection_module.Connection(node.upstream, name)
             first_family = node.endpoints.plan(name, node.clock.now()).addresses[0].family
-            await until(lambda c=connection: c.writer is not None)  # type: ignore[misc]
+            await wait_until(lambda c=connection: c.writer is not None)  # type: ignore[misc]
             dialled_v6_first.append(first_family is Family.V6)
             connection.close()
         assert dialled_v6_first == [True] * 3 + [False] * 5
@@ -201,8 +204,8 @@
             for stream in (1, 2, 3):
                 submit(client, stream, 2500)
             answers = [await client.next() for _ in range(3)]
-            assert sorted(answer[1] for answer in answers) == [1, 2, 3] and await client.silent()
-            await until(lambda: not node.director.live)
+            assert sorted(answer[1] for answer in answers) == [1, 2, 3] and await client.receives_nothing()
+            await wait_until(lambda: not node.director.live)
             for stream in (1, 2, 3):
                 assert fake_server.times(f"{stream:016x}") <= sent[f"{stream:016x}"]
             # A late answer or a full server is not a fault of the address. After any other fault, later
@@ -219,7 +222,7 @@
     asyncio.run(run())
 
 
-@trial
+@async_test
 async def test_refusal_by_all_addresses_fails_early_and_proves_that_nothing_ran() -> None:
     """The client gets an answer that allows a retry, before the timeout of the connect."""
     async with origin(ALL) as (fake_server, listed, node, client):
@@ -264,7 +267,7 @@
         self.held += sockets
 
 
-@trial
+@async_test
 async def test_of_two_dials_that_connect_at_once_one_wins_and_the_other_is_closed_unused() -> None:
     """Both sockets are writable in the same iteration of the event loop. Nothing may be sent on the second
     one."""
@@ -276,14 +279,14 @@
     winner = await dialer.winner()
     assert not isinstance(winner, DialFailure) and budget.held == 0
     dialer.start_writing()
-    await until(lambda: sum(fake_server.accepted(a) for a in listed) == 2)
-    await until(lambda: sum(fake_server.open(a) for a in listed) == 1)
+    await wait_until(lambda: sum(fake_server.accepted(a) for a in listed) == 2)
+    await wait_until(lambda: sum(fake_server.open(a) for a in listed) == 1)
     assert fake_server.open(winner[1].text) == 1 and not fake_server.seen
     winner[0].close()
     await fake_server.close()
 
 
-@trial
+@async_test
 async def test_connect_without_spare_sockets_dials_one_address_at_a_time() -> None:
     """Without a further socket, the next address is dialled only once the first dial has had its share of the
     timeout."""
@@ -303,7 +306,7 @@
     await fake_server.close()
 
 
-@trial
+@async_test
 async def test_winner_closed_before_the_first_byte_is_replaced_once() -> None:
     """A server that resets connections after accepting them must not fail the request if another address
     works."""
@@ -343,7 +346,7 @@
                 await fake_server.set(address, Fault.BLACK_HOLE)
             events = told(node.director)
             submit(client, 1)
-            await until(
+            await wait_until(
                 lambda: [c.dialer for conns in node.upstream._pool.values() for c in conns if c.dialer]
             )
             leaving = {
@@ -366,7 +369,7 @@
     return notice(rev, {**instance, "machineType": "root", "addresses": addresses})
 
 
-@trial
+@async_test
 async def test_next_address_is_dialled_when_the_dialled_one_is_removed() -> None:
     """The delay before the next address does not apply when the endpoint list removes the address that is
     being dialled."""
@@ -379,28 +382,30 @@
         node.endpoints.options = Options(delay_first_ms=9_000.0, delay_most_ms=9_000.0)
         await fake_server.set(listed[0], Fault.BLACK_HOLE)
         submit(client, 1)
-        await until(lambda: [c.dialer for conns in node.upstream._pool.values() for c in conns if c.dialer])
+        await wait_until(
+            lambda: [c.dialer for conns in node.upstream._pool.values() for c in conns if c.dialer]
+        )
         node.director.apply_watch_event(relisted(2, listed[1], []))
         assert (await client.next(1.0))[:3] == (17, 1, 0)
         assert fake_server.seen[0].address == listed[1]
 
 
-@trial
+@async_test
 async def test_connections_to_a_removed_address_close_once_their_requests_end() -> None:
     """New requests use another address, but a pending request keeps its connection until it ends."""
     async with origin(ALL, host_port_is_last=True) as (fake_server, listed, node, client):
         fake_server.answer = lambda seen: None
         submit(client, 1)
-        await until(lambda: fake_server.seen)
+        await wait_until(lambda: fake_server.seen)
         node.director.apply_watch_event(relisted(2, listed[2], [listed[1]]))
         submit(client, 2)
-        await until(lambda: len(fake_server.seen) == 2)
+        await wait_until(lambda: len(fake_server.seen) == 2)
         assert [seen.address for seen in fake_server.seen] == listed[:2] and fake_server.open(listed[0]) == 1
         client.send(18, 1)
-        await until(lambda: fake_server.open(listed[0]) == 0)
+        await wait_until(lambda: fake_server.open(listed[0]) == 0)
 
 
-@trial
+@async_test
 async def test_new_owner_of_an_address_takes_over_neither_its_connections_nor_its_health() -> None:
     """Otherwise requests for the previous owner would reach the new one, and a stall of the previous one
     would count against it."""
@@ -412,13 +417,13 @@
         node.director.apply_watch_event(notice(2, other))
         assert node.endpoints.registry.owner(parse(listed[0])) == "c1"
         assert not node.endpoints.health.is_avoided("c1", parse(listed[0]))
-        await until(lambda: fake_server.open(listed[0]) == 0)
+        await wait_until(lambda: fake_server.open(listed[0]) == 0)
         submit(client, 2)
         assert (await client.next())[:3] == (17, 2, 0)
         assert fake_server.seen[-1].address == listed[1]
 
 
-@trial
+@async_test
 async def test_lack_of_descriptors_does_not_count_against_an_address() -> None:
     """When this process has no descriptors left, that says nothing about the server."""
     endpoints = Endpoints(random.Random(1))
@@ -433,7 +438,7 @@
     assert not endpoints.health.is_avoided("r0", parse("[::1]:9"))
 
 
-@trial
+@async_test
 async def test_unusable_addresses_fail_without_leaking_descriptors() -> None:
     before = len(os.listdir("/proc/self/fd"))
     for text in ("[fe80::1%nosuchzone]:80", "unix:/nowhere/at/all.sock", "unix:@nobody-listens-here"):
@@ -444,7 +449,7 @@
     assert len(os.listdir("/proc/self/fd")) == before
 
 
-@trial
+@async_test
 async def test_stalled_address_is_checked_by_a_request_that_executes_nothing() -> None:
     """A stalled server still accepts connections, so a connect alone must not count as recovery."""
     async with origin(V6_FIRST) as (fake_server, listed, node, client):
@@ -479,7 +484,7 @@
             [sys.executable, "-m", "gladelane"], cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True
         )
         try:
-            client = await Client.to(await ready(process))
+            client = await Client.connect(await ready(process))
             stream = 0
 
             async def burst(count: int) -> None:
@@ -508,7 +513,7 @@
             assert fake_server.open(unix) > 0
             file.write_text("{}")
             process.send_signal(signal.SIGHUP)
-            await until(lambda: fake_server.open(unix) == 0)
+            await wait_until(lambda: fake_server.open(unix) == 0)
             await burst(4)
             assert fake_server.seen[-1].address == tcp and max(fake_server.counts.values()) == 1
             process.send_signal(signal.SIGTERM)
--- a/tests/endpoints/test_reconnecting_client.py
+++ b/tests/endpoints/test_reconnecting_client.py
@@ -6,7 +6,7 @@
 import asyncio
 
 import pytest
-from harness import trial, until
+from harness import async_test, wait_until
 
 from benchmarks.addresses import clients
 from benchmarks.addresses.clients import ReconnectingClient
@@ -62,7 +62,7 @@
 ) -> None:
     monkeypatch.setattr(clients, "CROSSING_S", crossing_s)
 
-    @trial
+    @async_test
     async def test() -> None:
         director = FakeDirector(*reactions)
         client = ReconnectingClient(await director.start())
@@ -73,12 +73,12 @@
     test()
 
 
-@trial
+@async_test
 async def test_connection_closed_without_a_pending_request_is_replaced() -> None:
     director = FakeDirector(ANSWER_AND_CLOSE, ANSWER)
     client = ReconnectingClient(await director.start())
     assert await client.ask(FIELDS, b"", 5.0) is not None
-    await until(lambda: client.clients[0].ended)
+    await wait_until(lambda: client.clients[0].ended)
     assert await client.ask(FIELDS, b"", 5.0) is not None
     assert (len(client.clients), client.crossed, director.requests) == (2, 0, 2)
     await client.close()
--- a/tests/fleet/test_audit.py
+++ b/tests/fleet/test_audit.py
@@ -17,7 +17,7 @@
 import msgspec
 import pytest
 import uvloop
-from harness import Cache, Command, config, running, trial, until
+from harness import Command, ScriptedCache, async_test, config, running_director, wait_until
 from test_coming_back import fleet_of, said, struck
 
 from benchmarks.comeback.first_restart import time_imports
@@ -137,7 +137,7 @@
         self.calls.append("refresh_view")
 
 
-@trial
+@async_test
 async def test_lease_that_expires_during_an_attempt_stops_its_first_byte_or_its_response() -> None:
     audit, withheld_object = FakeAudit(), "00000000000000ff"
 
@@ -147,8 +147,11 @@
         )  # the lease expires while these attempts are in progress
         return "served digest=d,dated=0,remark=h", b"\x00body"
 
-    cache, origin = Cache(script), Cache(script)
-    async with running(config({"c0": await cache.start(), "r0": await origin.start()})) as (node, client):
+    cache, origin = ScriptedCache(script), ScriptedCache(script)
+    async with running_director(config({"c0": await cache.start(), "r0": await origin.start()})) as (
+        node,
+        client,
+    ):
         node.director.audit = audit
 
         async def ask(stream: int, **fields: str) -> int:
@@ -157,11 +160,11 @@
 
         assert await ask(1, o="00000000000000aa") == 0 and audit.calls[-1] == "record_answer 7"
         audit.permits_sending = False
-        assert await ask(2, o="00000000000000ab") != 0 and len(cache.seen) == 1, "no byte may be sent"
+        assert await ask(2, o="00000000000000ab") != 0 and len(cache.received) == 1, "no byte may be sent"
         audit.permits_sending = True
         assert (
             await ask(3, o=withheld_object) != 0
-            and len(cache.seen) >= 2
+            and len(cache.received) >= 2
             and audit.calls.count("record_answer 7") == 1
         )
         # a write that was answered has been executed: its response is passed on
@@ -563,12 +566,12 @@
             assert count_leases() == 200
             await fleet.end(server, signal.SIGKILL)
             assert count_leases(LEASES_EXPIRED_MS) == 0
-            await until(lambda: count_leases() == 0, WAIT_S)
+            await wait_until(lambda: count_leases() == 0, WAIT_S)
             import_before_s = await asyncio.to_thread(time_imports, 2)
             restart_started = time.monotonic()
             await fleet.restart(server)
             restarted = time.monotonic()
-            await until(lambda: count_leases() == 200, WAIT_S)
+            await wait_until(lambda: count_leases() == 200, WAIT_S)
             recovery_s = time.monotonic() - restarted
             import_s = max(import_before_s, await asyncio.to_thread(time_imports, 2))
             rows = (await asked(fleet, 0, "/fleet/versions"))["rows"]
@@ -622,9 +625,9 @@
                     *command, cwd=ROOT, env={**env, "GW_CONFIG": str(tmp_path / "newer.json")}, stderr=log
                 )
             try:
-                await until(lambda: "ready name=" in (tmp_path / "newer.log").read_text(), WAIT_S)
+                await wait_until(lambda: "ready name=" in (tmp_path / "newer.log").read_text(), WAIT_S)
                 await fleet.end(director, signal.SIGTERM)
-                await until(
+                await wait_until(
                     lambda: list((director.folder / "trail").glob("*.log"))
                     and "processes=1" in (tmp_path / "newer.log").read_text(),
                     WAIT_S,
--- a/tests/net/raw_client.py
+++ b/tests/net/raw_client.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from harness import until
+from harness import wait_until
 
 from gladelane.net.client_connection import ClientConnection
 from gladelane.net.client_protocol import FrameDecoder, encode_fields, encode_frame
@@ -64,10 +64,10 @@
     found: list[ClientConnection] = []
 
     def is_accepted() -> bool:
-        found[:] = [c for c in node.front.connections if c.sock.getpeername() == client_address]
+        found[:] = [c for c in node.client_listener.connections if c.sock.getpeername() == client_address]
         return bool(found)
 
-    await until(is_accepted)
+    await wait_until(is_accepted)
     return found[0]
 
 
--- a/tests/net/test_client_connection_races.py
+++ b/tests/net/test_client_connection_races.py
@@ -14,7 +14,17 @@
 
 import pytest
 import uvloop
-from harness import Cache, Client, config, hit, mute, raw_frame, running, trial, until
+from harness import (
+    Client,
+    ScriptedCache,
+    async_test,
+    config,
+    hit,
+    never_respond,
+    raw_frame,
+    running_director,
+    wait_until,
+)
 from raw_client import (
     CLIENT_GONE_FRAME,
     RawClient,
@@ -47,11 +57,11 @@
     return "served digest=aa,dated=1,remark=h", b"x" * LARGE_BODY_BYTES
 
 
-@trial
+@async_test
 async def test_a_request_during_the_close_of_an_idle_connection_is_read_and_not_forwarded() -> None:
     # Earlier both directions were shut down after the last check for unread bytes: a request in between caused a reset.
-    cache = Cache(hit)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
+    cache = ScriptedCache(hit)
+    async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
         raw = RawClient(node)
         conn = await wait_for_server_connection(node, raw)
         check = conn.has_unread_bytes
@@ -67,23 +77,23 @@
         raw.send(encode_request(2))  # a request after the end of file causes no reset either
         assert raw.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0
         raw.sock.close()
-        await until(lambda: conn not in node.front.connections)
-        assert not cache.seen and not node.front.lingering
+        await wait_until(lambda: conn not in node.client_listener.connections)
+        assert not cache.received and not node.client_listener.lingering
 
 
-@trial
+@async_test
 async def test_answers_in_transit_are_not_lost_when_a_connection_with_unread_bytes_is_closed() -> None:
     # A plain close of a socket with unread bytes resets the connection, which discards the answers in the send buffer.
-    cache = Cache(serve_large_body)
+    cache = ScriptedCache(serve_large_body)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(listener_module, "CLOSE_TIMEOUT_S", 5.0)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
             raw = RawClient(node, receive_buffer_bytes=4096)
             raw.send(encode_request(1))
             conn = await wait_for_server_connection(node, raw)
-            await until(lambda: cache.seen and not node.director.live and not conn.unsent_bytes())
+            await wait_until(lambda: cache.received and not node.director.live and not conn.unsent_bytes())
             raw.send(encode_request(2))  # still unread by the director, which refuses it before the close
-            closing = asyncio.create_task(node.front.close())
+            closing = asyncio.create_task(node.client_listener.close())
             await asyncio.sleep(0)
             frames, end = await raw.receive_until_end()
             raw.sock.close()
@@ -93,34 +103,34 @@
                 (2, 1, 2),
             ]
             assert end == "end of file"
-            assert len(cache.seen) == 1
+            assert len(cache.received) == 1
 
 
 @pytest.mark.parametrize("is_partial", [False, True])
 def test_a_drain_does_not_end_before_an_unread_or_partly_read_request_is_answered(is_partial: bool) -> None:
-    @trial
+    @async_test
     async def scenario() -> None:
-        cache = Cache(hit)
+        cache = ScriptedCache(hit)
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(shutdown, "LINGER_S", 0.0)
-            async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
+            patch.setattr(shutdown, "ACCEPT_PERIOD_S", 0.0)
+            async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
                 raw, frame = RawClient(node), encode_request(1)
                 conn = await wait_for_server_connection(node, raw)
                 if is_partial:
                     raw.send(frame[:20])
-                    await until(lambda: conn.incomplete_since_ms)
+                    await wait_until(lambda: conn.incomplete_since_ms)
                 else:
                     conn.writer.transport.pause_reading()  # type: ignore[attr-defined]
                     raw.send(frame)
-                assert not node.front.has_no_pending_requests()
+                assert not node.client_listener.has_no_pending_requests()
                 draining = asyncio.create_task(node.drain())
-                await until(lambda: node.front.listener is None)
+                await wait_until(lambda: node.client_listener.listener is None)
                 if is_partial:
                     raw.send(frame[20:])
                 else:
                     conn.writer.transport.resume_reading()  # type: ignore[attr-defined]
                 await draining
-                closing = asyncio.create_task(node.front.close())
+                closing = asyncio.create_task(node.client_listener.close())
                 frames, end = await raw.receive_until_end()
                 raw.sock.close()
                 await closing
@@ -131,47 +141,47 @@
     scenario()
 
 
-@trial
+@async_test
 async def test_a_partial_frame_that_is_never_completed_does_not_delay_a_drain() -> None:
-    async with running(config({"r0": REFUSED})) as (node, _):
+    async with running_director(config({"r0": REFUSED})) as (node, _):
         raw = RawClient(node)
         raw.send(encode_request(1)[:20])
         conn = await wait_for_server_connection(node, raw)
-        await until(lambda: conn.incomplete_since_ms)
+        await wait_until(lambda: conn.incomplete_since_ms)
         assert conn.may_have_sent_request(conn.last_active_ms + 200.0) and not conn.may_have_sent_request(
             conn.last_active_ms + 400.0
         )
 
 
-@trial
+@async_test
 async def test_a_request_after_the_end_of_a_drain_is_refused_and_not_forwarded() -> None:
-    cache = Cache(hit)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
-        node.front.is_closing = True  # as drain() leaves it
+    cache = ScriptedCache(hit)
+    async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+        node.client_listener.is_closing = True  # as drain() leaves it
         client.ask(1)
-        assert (await client.next())[:3] == (17, 1, 1) and not cache.seen
+        assert (await client.next())[:3] == (17, 1, 1) and not cache.received
 
 
 @pytest.mark.parametrize("error", ["length", "frame that never ends"])
 def test_open_requests_are_answered_before_a_connection_with_a_framing_error_is_closed(error: str) -> None:
-    @trial
+    @async_test
     async def scenario() -> None:
-        cache = Cache(mute)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
+        cache = ScriptedCache(never_respond)
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
             raw = RawClient(node)
             raw.send(encode_request(1))
             conn = await wait_for_server_connection(node, raw)
-            await until(lambda: cache.seen)
+            await wait_until(lambda: cache.received)
             raw.send(struct.pack(">I", 3) if error == "length" else raw_frame(50_000, 16, 2, b"x" * 30_000))
-            await until(lambda: conn.discards_input or conn.incomplete_since_ms)
+            await wait_until(lambda: conn.discards_input or conn.incomplete_since_ms)
             conn.sweep(conn.last_active_ms + 2600.0)
             raw.send(encode_request(3))  # nothing after a framing error can be parsed
-            await until(lambda: conn.discards_input and not conn.has_unread_bytes())
-            cache.conns[0].write(b"0000000000000001 served digest=aa,dated=1,remark=h 2\r\nok\r\n")
+            await wait_until(lambda: conn.discards_input and not conn.has_unread_bytes())
+            cache.connections[0].write(b"0000000000000001 served digest=aa,dated=1,remark=h 2\r\nok\r\n")
             frames, end = await raw.receive_until_end()
             raw.sock.close()
             assert frames == [(17, 0, b"\x02\x00"), (17, 1, b"\x00\x00ok")] and end == "end of file"
-            assert len(cache.seen) == 1
+            assert len(cache.received) == 1
 
     scenario()
 
@@ -181,10 +191,13 @@
 def test_a_request_whose_client_leaves_while_it_waits_for_a_dial_is_not_forwarded(
     method: str, cancel: bool
 ) -> None:
-    @trial
+    @async_test
     async def scenario() -> None:
-        cache = Cache(hit)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED}, cancel=cancel)) as (node, _):
+        cache = ScriptedCache(hit)
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED}, cancel=cancel)) as (
+            node,
+            _,
+        ):
             raw = RawClient(node)
 
             async def leave(attempt: Attempt) -> None:
@@ -194,16 +207,16 @@
                     if method == "reset":
                         raw.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                     raw.sock.close()
-                await until(lambda: attempt.exchange.done)
+                await wait_until(lambda: attempt.exchange.done)
 
             tasks = hold_dials_until(node, leave)
             raw.send(encode_request(1))
-            await until(lambda: tasks and tasks[0].done() and not node.director.live)
-            await until(lambda: len(cache.conns) == 1)  # the dial itself has succeeded
-            checker = await Client.to(node.port)
+            await wait_until(lambda: tasks and tasks[0].done() and not node.director.live)
+            await wait_until(lambda: len(cache.connections) == 1)  # the dial itself has succeeded
+            checker = await Client.connect(node.port)
             checker.ask(9)
             assert (await checker.next())[:3] == (17, 9, 0)
-            assert [command[0] for command in cache.seen] == [f"{9:016x}"]
+            assert [command[0] for command in cache.received] == [f"{9:016x}"]
             checker.writer.close()
 
     scenario()
@@ -215,21 +228,21 @@
 ) -> None:
     # A client above the connection limit waits in the listen queue, where it sends a request and leaves. The director
     # later reads both at once.
-    @trial
+    @async_test
     async def scenario() -> None:
-        cache = Cache(lambda command: hit(command) if command[1]["nth"] == "7" else None)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+        cache = ScriptedCache(lambda command: hit(command) if command[1]["nth"] == "7" else None)
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
             client.ask(1)
-            await until(lambda: cache.seen)
-            node.front.cap = 1
+            await wait_until(lambda: cache.received)
+            node.client_listener.cap = 1
             ended: list[ClientConnection] = []
-            serve = node.front._serve
+            serve = node.client_listener._serve
 
             async def serve_and_record(conn: ClientConnection) -> None:
                 await serve(conn)
                 ended.append(conn)
 
-            node.front._serve = serve_and_record  # type: ignore[method-assign]
+            node.client_listener._serve = serve_and_record  # type: ignore[method-assign]
             raw = RawClient(node)
             raw.send(encode_request(1, i=f"{77:016x}"))
             if method == "close":
@@ -237,13 +250,13 @@
             else:
                 raw.send(CLIENT_GONE_FRAME)
             client.send(18, 1)  # the connection limit is no longer reached
-            node.front.cap = 2
-            await until(lambda: len(node.front.connections) + len(ended) == 2)
+            node.client_listener.cap = 2
+            await wait_until(lambda: len(node.client_listener.connections) + len(ended) == 2)
             if method == "close":
-                await until(lambda: ended)
+                await wait_until(lambda: ended)
             client.ask(2, chunk="7")
             assert (await client.next())[:3] == (17, 2, 0)
-            assert [command[0] for command in cache.seen] == [f"{n:016x}" for n in (1, 2)]
+            assert [command[0] for command in cache.received] == [f"{n:016x}" for n in (1, 2)]
             raw.sock.close()
 
     scenario()
@@ -251,55 +264,55 @@
 
 @pytest.mark.parametrize("method", ["type 18", "close"])
 def test_the_departure_of_a_client_is_noticed_also_while_it_reads_no_answers(method: str) -> None:
-    cache = Cache(lambda command: serve_large_body(command) if command[1]["nth"] == "7" else None)
+    cache = ScriptedCache(lambda command: serve_large_body(command) if command[1]["nth"] == "7" else None)
 
-    @trial
+    @async_test
     async def scenario() -> None:
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(connection_module, "MAX_UNSENT_BYTES", 50_000)
-            async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
+            async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, _):
                 raw, conn = await connect_with_small_buffers(node)
                 raw.send(encode_request(1, d="20000"))
-                await until(lambda: cache.seen)
+                await wait_until(lambda: cache.received)
                 raw.send(encode_request(2, chunk="7"))
-                await until(lambda: conn.unsent_bytes() > 50_000)
+                await wait_until(lambda: conn.unsent_bytes() > 50_000)
                 raw.send(encode_request(3))  # refused, since its answer would wait in the director
-                await until(lambda: conn._frames_while_blocked == 1)
+                await wait_until(lambda: conn._frames_while_blocked == 1)
                 if method == "close":
                     raw.sock.close()
                 else:
                     raw.send(CLIENT_GONE_FRAME)
-                await until(lambda: cache.aborted == [f"{1:016x}"])
-                assert len(cache.seen) == 2 and cache.seen[1][1]["nth"] == "7"
+                await wait_until(lambda: cache.aborted_ids == [f"{1:016x}"])
+                assert len(cache.received) == 2 and cache.received[1][1]["nth"] == "7"
                 with contextlib.suppress(OSError):
                     raw.sock.close()
 
     scenario()
 
 
-@trial
+@async_test
 async def test_a_client_that_reads_nothing_and_keeps_sending_requests_is_disconnected() -> None:
-    cache = Cache(serve_large_body)
+    cache = ScriptedCache(serve_large_body)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(connection_module, "MAX_UNSENT_BYTES", 50_000)
         patch.setattr(connection_module, "MAX_FRAMES_WHILE_BLOCKED", 40)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
             raw, conn = await connect_with_small_buffers(node)
             raw.send(encode_request(1))
-            await until(lambda: conn.unsent_bytes() > 50_000)
+            await wait_until(lambda: conn.unsent_bytes() > 50_000)
             for stream in range(2, 60):
                 raw.send(encode_request(stream))
-            await until(lambda: conn not in node.front.connections)
-            assert len(cache.seen) == 1
+            await wait_until(lambda: conn not in node.client_listener.connections)
+            assert len(cache.received) == 1
             client.ask(1)
             assert (await client.next())[:3] == (17, 1, 0)
             raw.sock.close()
 
 
-@trial
+@async_test
 async def test_a_flood_of_frames_does_not_block_the_event_loop() -> None:
     # Earlier 64 KB of the smallest frames were handled in one loop iteration, with 7,000 answers and log lines.
-    async with running(config({"r0": REFUSED})) as (node, client):
+    async with running_director(config({"r0": REFUSED})) as (node, client):
         raw, frames_per_iteration = RawClient(node), [0]
         conn = await wait_for_server_connection(node, raw)
         handle = conn._handle
@@ -311,7 +324,7 @@
         conn._handle = handle_and_count  # type: ignore[method-assign]
         raw.send(struct.pack(">IBI", 5, 99, 7) * 7000)
         raw.sock.close()
-        while conn in node.front.connections:
+        while conn in node.client_listener.connections:
             await asyncio.sleep(0)
             frames_per_iteration.append(0)
         assert max(frames_per_iteration) == connection_module.MAX_FRAMES_PER_TURN
@@ -319,30 +332,30 @@
         assert (await client.next())[:3] == (33, 5, 0)
 
 
-@trial
+@async_test
 async def test_a_keyed_request_whose_client_leaves_before_a_retry_is_not_sent_again() -> None:
     # The origin is overloaded, so the router waits for a retry timer.
-    origin = Cache(lambda _: ("overload -", b""))
-    async with running(config({"c0": REFUSED, "r0": await origin.start()})) as (node, client):
+    origin = ScriptedCache(lambda _: ("overload -", b""))
+    async with running_director(config({"c0": REFUSED, "r0": await origin.start()})) as (node, client):
         client.ask(1, c="sheet", k="5c")
-        await until(lambda: origin.seen)
+        await wait_until(lambda: origin.received)
         client.send(18, 1)
-        await until(lambda: not node.director.live)
-        attempts = len(origin.seen)
+        await wait_until(lambda: not node.director.live)
+        attempts = len(origin.received)
         # the retries of request 2 come later than those of request 1 would have
         client.ask(2, c="sheet", k="5d", d="400")
         assert (await client.next())[:3] == (17, 2, 1)
-        assert [command[0] for command in origin.seen].count(f"{1:016x}") == attempts
+        assert [command[0] for command in origin.received].count(f"{1:016x}") == attempts
 
 
 @pytest.mark.parametrize("runner", [asyncio.run, uvloop.run])
 def test_all_connections_send_small_writes_without_delay(runner: Callable[[Any], None]) -> None:
     async def scenario() -> None:
-        cache = Cache(hit)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+        cache = ScriptedCache(hit)
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
             client.ask(1)
             await client.next()
-            sockets = [c.sock for c in node.front.connections]
+            sockets = [c.sock for c in node.client_listener.connections]
             sockets += [c.sock for c in node.upstream._pool["c0"] if c.sock is not None]
             assert len(sockets) == 2
             assert all(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) for sock in sockets)
@@ -350,28 +363,31 @@
     runner(scenario())
 
 
-@trial
+@async_test
 async def test_memory_for_a_client_that_reads_nothing_is_limited_for_frames_of_any_type() -> None:
     # Earlier only requests were counted, while the answers to all other frames accumulated unread.
-    cache = Cache(serve_large_body)
+    cache = ScriptedCache(serve_large_body)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(connection_module, "MAX_UNSENT_BYTES", 50_000)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
             raw, conn = await connect_with_small_buffers(node)
             raw.send(encode_request(1))
-            await until(lambda: conn.unsent_bytes() > 50_000)
+            await wait_until(lambda: conn.unsent_bytes() > 50_000)
             raw.send(struct.pack(">IBI", 5, 32, 0) * (connection_module.MAX_FRAMES_WHILE_BLOCKED + 1))
-            await until(lambda: conn not in node.front.connections)
+            await wait_until(lambda: conn not in node.client_listener.connections)
             client.ask(1)
             assert (await client.next())[:3] == (17, 1, 0)
             raw.sock.close()
 
 
-@trial
+@async_test
 async def test_a_client_that_was_refused_because_the_loop_was_late_is_not_closed_as_unused() -> None:
     # Earlier its connection was closed 2 s after it was opened, and was the first to be closed at the connection limit.
-    async with running(config({"c0": await Cache(hit).start(), "r0": REFUSED})) as (node, client):
-        (conn,) = node.front.connections
+    async with running_director(config({"c0": await ScriptedCache(hit).start(), "r0": REFUSED})) as (
+        node,
+        client,
+    ):
+        (conn,) = node.client_listener.connections
         node.timers.lag = lambda: 2 * listener_module.MAX_LAG_MS  # type: ignore[method-assign]
         client.ask(1)
         assert (await client.next())[:3] == (17, 1, 1)
@@ -381,10 +397,13 @@
         assert conn.write_closed_ms
 
 
-@trial
+@async_test
 async def test_a_client_that_never_sent_a_valid_request_is_closed_as_unused() -> None:
-    async with running(config({"c0": await Cache(hit).start(), "r0": REFUSED})) as (node, client):
-        (conn,) = node.front.connections
+    async with running_director(config({"c0": await ScriptedCache(hit).start(), "r0": REFUSED})) as (
+        node,
+        client,
+    ):
+        (conn,) = node.client_listener.connections
         client.ask(1, drop="c")
         assert (await client.next())[:3] == (17, 1, 2)
         conn.sweep(conn.accepted_ms + connection_module.FIRST_FRAME_TIMEOUT_MS + 1.0)
--- a/tests/net/test_combined_faults.py
+++ b/tests/net/test_combined_faults.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 import pytest
-from harness import Client, config, running, until
+from harness import Client, config, running_director, wait_until
 from test_discovery_outages import Discovery, DiscoveryState
 from test_idle_cache_connections import ConnectionDroppingCache, ConnectionFault, config_with_three_classes
 from virtual_time import VirtualClock, virtual
@@ -40,7 +40,7 @@
         self.hangs = False
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.conns.append(writer)
+        self.connections.append(writer)
         try:
             while line := (await reader.readline()).decode().split():
                 if line[0] != "fetch":
@@ -128,7 +128,7 @@
         """The result code, or None if the connection ended instead."""
         try:
             if self.client is None:
-                self.client, self.stream = await Client.to(self.node.port), 0
+                self.client, self.stream = await Client.connect(self.node.port), 0
             self.stream += 1
             self.client.ask(self.stream, i=id_, c=cls, k=id_, o=id_, d=str(wait_ms))
             while True:
@@ -196,7 +196,7 @@
             for discovery in discovery_addresses
             for max_attempts in (2, 4)
         ]
-        async with running(raw_configs[0]) as (node, first):
+        async with running_director(raw_configs[0]) as (node, first):
             first.writer.close()
             task = asyncio.create_task(
                 cause_faults(rng, node, [*caches, origin, origin], discoveries, raw_configs)
@@ -205,7 +205,7 @@
             clients = [RandomClient(number, node, observed, seed) for number in range(CLIENTS)]
             await asyncio.gather(*(client.run(until_s) for client in clients))
             task.cancel()
-            await until(lambda: not node.director.live)
+            await wait_until(lambda: not node.director.live)
             for discovery in discoveries:
                 await discovery.set_state(DiscoveryState.REFUSES)
         observed.check_executions()
--- a/tests/net/test_configuration_reloads.py
+++ b/tests/net/test_configuration_reloads.py
@@ -9,7 +9,7 @@
 
 import pytest
 from conftest import settings as plain_settings
-from harness import Cache, config, hit, mute, running
+from harness import ScriptedCache, config, hit, never_respond, running_director
 from hypothesis import given
 from hypothesis import strategies as st
 from virtual_time import VirtualClock, virtual
@@ -70,9 +70,9 @@
     # keyed: requests without a key failed.
     @virtual
     async def scenario(clock: VirtualClock) -> None:
-        cache = Cache(hit)
+        cache = ScriptedCache(hit)
         addresses = {"c0": await cache.start(), "r0": REFUSED}
-        async with running(config(addresses)) as (node, client):
+        async with running_director(config(addresses)) as (node, client):
             node.reload(make_config(addresses, Effect.KEYED))
             await asyncio.sleep(gap_s)
             node.reload(make_config(addresses, Effect.KEYED, max_attempts=3))
@@ -95,14 +95,14 @@
 async def test_no_second_copy_is_sent_until_all_clients_use_the_configuration_that_permits_it(
     clock: VirtualClock,
 ) -> None:
-    caches = [Cache(mute), Cache(mute)]
+    caches = [ScriptedCache(never_respond), ScriptedCache(never_respond)]
     addresses = {**{f"c{n}": await cache.start() for n, cache in enumerate(caches)}, "r0": REFUSED}
-    async with running(config(addresses, may_duplicate=False)) as (node, client):
+    async with running_director(config(addresses, may_duplicate=False)) as (node, client):
         node.reload(read_config(config(addresses, may_duplicate=True)))
         client.ask(1, d="1000")
         assert (await client.next())[2] == 1
-        assert sum(len(cache.seen) for cache in caches) == 1
+        assert sum(len(cache.received) for cache in caches) == 1
         await asyncio.sleep(1.6)
         client.ask(2, d="1000", i=f"{2:016x}")
         assert (await client.next())[2] == 1
-        assert sum(len(cache.seen) for cache in caches) == 3
+        assert sum(len(cache.received) for cache in caches) == 3
--- a/tests/net/test_discovery_outages.py
+++ b/tests/net/test_discovery_outages.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 import pytest
-from harness import Cache, Client, Command, config, hit, running, trial, until
+from harness import Client, Command, ScriptedCache, async_test, config, hit, running_director, wait_until
 from virtual_time import VirtualClock, virtual
 
 import gladelane.discovery.client as discovery_client_module
@@ -146,19 +146,19 @@
 ) -> None:
     @virtual
     async def scenario(clock: VirtualClock) -> None:
-        cache, other, discovery = Cache(hit), Cache(serve_fresh_copy), Discovery()
+        cache, other, discovery = ScriptedCache(hit), ScriptedCache(serve_fresh_copy), Discovery()
         address = await cache.start()
         raw = config({"c0": address, "r0": REFUSED}, await discovery.start())
-        async with running(raw) as (node, first):
+        async with running_director(raw) as (node, first):
             assert await fetch_code(first, 1) == 0
-            await until(lambda: discovery.request_times_s)
+            await wait_until(lambda: discovery.request_times_s)
             await discovery.set_state(state)
             started_s, requests_before = clock.elapsed_s, len(discovery.request_times_s)
             while clock.elapsed_s < started_s + OUTAGE_S:
                 clock.is_network_idle = True
                 await asyncio.sleep(OUTAGE_S / 4)
                 clock.is_network_idle = False
-                client = await Client.to(node.port)
+                client = await Client.connect(node.port)
                 assert await fetch_code(client, 1) == 0
                 client.writer.close()
             # during the outage one cache was replaced by another, and a purge was published
@@ -168,12 +168,12 @@
             request_count = len(discovery.request_times_s) - requests_before
             await discovery.set_state(DiscoveryState.UP)
             recovered_s = clock.elapsed_s
-            await until(lambda: node.director.rev == last, MAX_EVENT_DELAY_S)
+            await wait_until(lambda: node.director.rev == last, MAX_EVENT_DELAY_S)
             assert clock.elapsed_s - recovered_s < MAX_EVENT_DELAY_S
-            client = await Client.to(node.port)
-            fetches_before = len(other.seen)
+            client = await Client.connect(node.port)
+            fetches_before = len(other.received)
             assert await fetch_code(client, 1) == 0
-            assert len(other.seen) == fetches_before + 1 and "accept" in other.seen[-1][1]
+            assert len(other.received) == fetches_before + 1 and "accept" in other.received[-1][1]
             # two requests are a backoff apart, of which up to half is random
             assert request_count < OUTAGE_S / (discovery_client_module.BACKOFF_MAX_S / 2)
             client.writer.close()
@@ -182,12 +182,12 @@
     scenario()
 
 
-@trial
+@async_test
 async def test_a_burst_of_events_does_not_block_the_event_loop() -> None:
     # Earlier 500 changes of a list of 200 caches were applied in one loop iteration of 150 ms, and of 3,200 caches in one
     # of 1.4 s. A director whose loop is more than 150 ms late refuses every request.
     discovery = Discovery()
-    async with running(config({"r0": REFUSED}, await discovery.start())) as (node, _):
+    async with running_director(config({"r0": REFUSED}, await discovery.start())) as (node, _):
         events_per_iteration = [0]
         apply_watch_event = node.director.apply_watch_event
 
@@ -211,7 +211,7 @@
         await discovery.set_state(DiscoveryState.REFUSES)
 
 
-@trial
+@async_test
 async def test_a_burst_counts_as_received_only_once_all_of_it_is_applied() -> None:
     # A director that took its list for current in the middle of a burst would act on an incomplete list.
     discovery = Discovery()
@@ -227,7 +227,7 @@
     client = DiscoveryClient(host, int(port), lambda: revisions[-1], apply_slowly, random.Random(1))
     client.on_received = lambda _: revisions_when_current.append(revisions[-1])
     task = asyncio.create_task(client.run())
-    await until(lambda: revisions_when_current and revisions[-1] == last)
+    await wait_until(lambda: revisions_when_current and revisions[-1] == last)
     task.cancel()
     assert set(revisions_when_current) == {last}
     await discovery.set_state(DiscoveryState.REFUSES)
@@ -281,9 +281,9 @@
         discovery = SlowDiscovery(delay)
         for number in range(3):
             last = discovery.publish(flush={"collection": number, "ms": 1})
-        async with running(config({"r0": REFUSED}, await discovery.start())) as (node, _):
+        async with running_director(config({"r0": REFUSED}, await discovery.start())) as (node, _):
             clock.is_network_idle = True  # all waiting is for timers of either side
-            await until(lambda: node.director.rev == last, 30.0)
+            await wait_until(lambda: node.director.rev == last, 30.0)
             await discovery.set_state(DiscoveryState.REFUSES)
 
     scenario()
@@ -297,18 +297,18 @@
     pool = json.loads(config({**stores, "r0": REFUSED}))["known"]["notices"][0]["pool"]
     last = discovery.publish(pool=pool)
     assert len(discovery.events[0]) > 50_000  # in 80 pieces within 4 s
-    async with running(config({"r0": REFUSED}, await discovery.start())) as (node, _):
+    async with running_director(config({"r0": REFUSED}, await discovery.start())) as (node, _):
         clock.is_network_idle = True
-        await until(lambda: node.director.rev == last, 30.0)
+        await wait_until(lambda: node.director.rev == last, 30.0)
         assert len(discovery.request_times_s) == 1 and len(node.director.known_endpoints()) == 401
         await discovery.set_state(DiscoveryState.REFUSES)
 
 
-@trial
+@async_test
 async def test_changes_of_the_discovery_address_during_a_burst_lose_and_repeat_no_event() -> None:
     first, second = Discovery(), Discovery()
     addresses = [await first.start(), await second.start()]
-    async with running(config({"r0": REFUSED}, addresses[0])) as (node, _):
+    async with running_director(config({"r0": REFUSED}, addresses[0])) as (node, _):
         applied: list[int] = []
         apply_watch_event = node.director.apply_watch_event
 
--- a/tests/net/test_discovery_watch_races.py
+++ b/tests/net/test_discovery_watch_races.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import pytest
-from harness import config, running, trial, until
+from harness import async_test, config, running_director, wait_until
 
 import gladelane.discovery.client as discovery_client_module
 import gladelane.sse as sse_module
@@ -79,13 +79,13 @@
         "event": (HEADERS + b"data: {", b" "),
     }[incomplete]
 
-    @trial
+    @async_test
     async def scenario() -> None:
         discovery = FakeDiscovery(send_forever(start, piece), send_event_2)
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(discovery_client_module, "IDLE_TIMEOUT_S", 0.3)
             patch.setattr(discovery_client_module, "HEADER_TIMEOUT_S", 0.3)
-            async with running(config({"r0": REFUSED})) as (node, _):
+            async with running_director(config({"r0": REFUSED})) as (node, _):
                 client = DiscoveryClient(
                     *await discovery.start(),
                     lambda: node.director.rev,
@@ -93,7 +93,7 @@
                     random.Random(1),
                 )
                 task = asyncio.create_task(client.run())
-                await until(lambda: node.director.rev == 2)
+                await wait_until(lambda: node.director.rev == 2)
                 task.cancel()
                 assert discovery.requested_revisions[:2] == [1, 1]
 
@@ -115,7 +115,7 @@
     node.follow_discovery()
 
 
-@trial
+@async_test
 async def test_an_address_change_while_an_event_is_partly_read_loses_and_mixes_no_events() -> None:
     # The old watch ends in the same loop iteration as the change, and the new one starts from the last applied revision.
     may_continue = asyncio.Event()
@@ -130,16 +130,16 @@
         await asyncio.sleep(5.0)
 
     first, second = FakeDiscovery(send_partly), FakeDiscovery(send_events)
-    async with running(config({"r0": REFUSED})) as (node, _):
+    async with running_director(config({"r0": REFUSED})) as (node, _):
         await follow_discovery_at(node, await first.start())
-        await until(lambda: node.director.rev == 2)
+        await wait_until(lambda: node.director.rev == 2)
         await follow_discovery_at(node, await second.start())
         may_continue.set()
-        await until(lambda: node.director.rev == 4 and first.finished_responses)
+        await wait_until(lambda: node.director.rev == 4 and first.finished_responses)
         assert second.requested_revisions == [2] and node.director.rev == 4
 
 
-@trial
+@async_test
 async def test_an_address_change_during_a_dial_leaves_one_watch() -> None:
     # The listen queue of the first address is full, so the dial hangs.
     import socket
@@ -152,11 +152,11 @@
         filler.connect_ex(full_listener.getsockname())
         fillers.append(filler)
     discovery = FakeDiscovery(send_event_2)
-    async with running(config({"r0": REFUSED})) as (node, _):
+    async with running_director(config({"r0": REFUSED})) as (node, _):
         await follow_discovery_at(node, full_listener.getsockname())
         await asyncio.sleep(0)
         await follow_discovery_at(node, await discovery.start())
-        await until(lambda: node.director.rev == 2)
+        await wait_until(lambda: node.director.rev == 2)
         assert discovery.requested_revisions == [1]
     for sock in (*fillers, full_listener):
         sock.close()
@@ -173,7 +173,7 @@
     return {instance.instance_id for instance in pool.instances} if pool is not None else set()
 
 
-@trial
+@async_test
 async def test_a_complete_list_that_arrives_in_pieces_is_applied_at_once_and_removes_missing_stores() -> None:
     # No part of a list may be applied before the rest has arrived, and a shorter list must remove stores.
     may_continue = asyncio.Event()
@@ -188,20 +188,20 @@
         await asyncio.sleep(5.0)
 
     discovery = FakeDiscovery(respond)
-    async with running(config({"c0": REFUSED, "c1": REFUSED, "r0": REFUSED})) as (node, _):
+    async with running_director(config({"c0": REFUSED, "c1": REFUSED, "r0": REFUSED})) as (node, _):
         await follow_discovery_at(node, await discovery.start())
-        await until(lambda: discovery.requested_revisions)
+        await wait_until(lambda: discovery.requested_revisions)
         await asyncio.sleep(0.1)
         assert node.director.rev == 1 and listed_stores(node) == {"c0", "c1", "r0"}
         may_continue.set()
-        await until(lambda: node.director.rev == 2)
+        await wait_until(lambda: node.director.rev == 2)
         assert listed_stores(node) == {"c1", "r0"}
 
 
 def test_a_watch_that_falls_silent_within_a_list_is_closed_and_the_partial_list_is_dropped() -> None:
     # The next request starts from the last applied revision, and its bytes must not be appended to the partial list.
 
-    @trial
+    @async_test
     async def scenario() -> None:
         async def send_partly(writer: asyncio.StreamWriter) -> None:
             writer.write(HEADERS + encode_pool_event(2, "r0")[:-30])
@@ -214,9 +214,9 @@
         discovery = FakeDiscovery(send_partly, send_events)
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(discovery_client_module, "IDLE_TIMEOUT_S", 0.3)
-            async with running(config({"c0": REFUSED, "r0": REFUSED})) as (node, _):
+            async with running_director(config({"c0": REFUSED, "r0": REFUSED})) as (node, _):
                 await follow_discovery_at(node, await discovery.start())
-                await until(lambda: node.director.rev == 3)
+                await wait_until(lambda: node.director.rev == 3)
                 assert discovery.requested_revisions[:2] == [1, 1]
                 assert listed_stores(node) == {"c1", "r0"}
 
@@ -245,7 +245,7 @@
     is renewed all the same, and the events just applied do not count as current, since they may be old."""
     monkeypatch.setattr(discovery_client_module, "IDLE_TIMEOUT_S", 0.2)
 
-    @trial
+    @async_test
     async def scenario() -> None:
         applied: list[int] = []
         sent_after_ms: list[float] = []
@@ -269,7 +269,7 @@
         clock_ms = [0.0]
         client.steady_clock, client.on_received = lambda: clock_ms[0], sent_after_ms.append
         task = asyncio.create_task(client.run())
-        await until(lambda: applied == [2])
+        await wait_until(lambda: applied == [2])
         writer = discovery.writers[0]
         writer.write(encode_event(3))
         time.sleep(0.5)  # suspends the process for longer than the timeout of a watch
@@ -279,7 +279,7 @@
         await asyncio.sleep(discovery_client_module.BACKLOG_READ_S / 2)
         assert applied == [2, 3] and discovery.requested_revisions == [0]
         if steady_ms:
-            await until(lambda: len(discovery.requested_revisions) == 2)
+            await wait_until(lambda: len(discovery.requested_revisions) == 2)
             assert len(sent_after_ms) == reports_before or sent_after_ms[-1] >= steady_ms
         task.cancel()
 
--- a/tests/net/test_idle_cache_connections.py
+++ b/tests/net/test_idle_cache_connections.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from harness import Cache, Client, config, hit, mute, running, until
+from harness import Client, ScriptedCache, config, hit, never_respond, running_director, wait_until
 from virtual_time import VirtualClock, virtual
 
 from gladelane.lab.fleet.relay import reset
@@ -28,7 +28,7 @@
     SILENT = auto()  # it has dropped them, and ignores bytes that arrive
 
 
-class ConnectionDroppingCache(Cache):
+class ConnectionDroppingCache(ScriptedCache):
     """A cache that drops its connections when `drop_connections` is called, and answers only on new ones."""
 
     def __init__(self) -> None:
@@ -38,7 +38,7 @@
 
     def drop_connections(self, fault: ConnectionFault) -> None:
         self.fault = fault
-        self.dropped = {writer for writer in self.conns if not writer.is_closing()}
+        self.dropped = {writer for writer in self.connections if not writer.is_closing()}
         for writer in self.dropped:
             if fault is ConnectionFault.CLOSED:
                 writer.close()
@@ -46,15 +46,15 @@
                 reset(writer)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.conns.append(writer)
+        self.connections.append(writer)
         try:
             while line := (await reader.readline()).decode().split():
                 if line[0] == "abort":
                     continue
                 body = (await reader.readexactly(int(line[3]) + 2))[:-2]
-                self.seen.append((line[1], dict(pair.split("=", 1) for pair in line[2].split(",")), body))
+                self.received.append((line[1], dict(pair.split("=", 1) for pair in line[2].split(",")), body))
                 if writer not in self.dropped:
-                    head, content = hit(self.seen[-1]) or ("", b"")
+                    head, content = hit(self.received[-1]) or ("", b"")
                     writer.write(f"{line[1]} {head} {len(content)}\r\n".encode() + content + b"\r\n")
                 elif self.fault is ConnectionFault.RESET_AT_WRITE:
                     reset(writer)
@@ -103,19 +103,19 @@
     @virtual
     async def scenario(clock: VirtualClock) -> None:
         cache = ConnectionDroppingCache()
-        async with running(config_with_three_classes(await cache.start())) as (node, client):
+        async with running_director(config_with_three_classes(await cache.start())) as (node, client):
             client.ask(1, c=cls, k="aa")
             assert (await client.next())[:3] == (17, 1, SERVED)
             await stay_idle(clock)
             cache.drop_connections(fault)
-            late = await Client.to(node.port)  # the connection of the first client has been idle, too
+            late = await Client.connect(node.port)  # the connection of the first client has been idle, too
             requested_s = clock.elapsed_s
             late.ask(1, i=f"{2:016x}", c=cls, k="bb")
             assert (await late.next())[:3] == (17, 1, code)
             assert clock.elapsed_s - requested_s <= max_s
-            assert await late.silent()
+            assert await late.receives_nothing()
             if cls == "order":
-                assert [command[0] for command in cache.seen] == [f"{n:016x}" for n in (1, 2)]
+                assert [command[0] for command in cache.received] == [f"{n:016x}" for n in (1, 2)]
             late.writer.close()
 
     scenario()
@@ -126,14 +126,14 @@
     @virtual
     async def scenario(clock: VirtualClock) -> None:
         cache = ConnectionDroppingCache()
-        async with running(config_with_three_classes(await cache.start())) as (node, client):
+        async with running_director(config_with_three_classes(await cache.start())) as (node, client):
             for stream in range(1, 21):
                 client.ask(stream, c=cls, k=f"{stream:032x}", o=f"{stream:016x}")
             for _ in range(20):
                 assert (await client.next())[2] == SERVED
             await stay_idle(clock)
             cache.drop_connections(ConnectionFault.RESET)
-            late = await Client.to(node.port)
+            late = await Client.connect(node.port)
             for stream in range(1, 21):
                 late.ask(stream, i=f"{99 + stream:016x}", c=cls, k=f"{99 + stream:032x}", o=f"{stream:016x}")
             answers = [await late.next() for _ in range(20)]
@@ -152,17 +152,17 @@
 async def test_a_second_copy_that_is_refused_immediately_does_not_end_the_first_attempt(
     clock: VirtualClock,
 ) -> None:
-    cache = Cache(mute)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+    cache = ScriptedCache(never_respond)
+    async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
         client.ask(1)
-        await until(lambda: cache.seen)
-        request_id = cache.seen[0][0]
+        await wait_until(lambda: cache.received)
+        request_id = cache.received[0][0]
         cache.server.close()  # the second copy needs a new connection, which is refused
         await asyncio.sleep(1.0)
-        assert len(cache.seen) == 1 and len(node.director.live) == 1
-        cache.conns[0].write(f"{request_id} served digest=aa,dated=1,remark=h 2\r\nok\r\n".encode())
+        assert len(cache.received) == 1 and len(node.director.live) == 1
+        cache.connections[0].write(f"{request_id} served digest=aa,dated=1,remark=h 2\r\nok\r\n".encode())
         assert (await client.next())[:3] == (17, 1, SERVED)
-        assert await client.silent() and not node.director.live
+        assert await client.receives_nothing() and not node.director.live
 
 
 @pytest.mark.parametrize("failure", ["refused", "overloaded", "reset"])
@@ -172,9 +172,11 @@
 ) -> None:
     @virtual
     async def scenario(clock: VirtualClock) -> None:
-        cache = ConnectionDroppingCache() if failure == "reset" else Cache(respond_overloaded)
+        cache = ConnectionDroppingCache() if failure == "reset" else ScriptedCache(respond_overloaded)
         address = await cache.start()
-        async with running(config_with_three_classes(REFUSED if failure == "refused" else address)) as (
+        async with running_director(
+            config_with_three_classes(REFUSED if failure == "refused" else address)
+        ) as (
             node,
             client,
         ):
@@ -187,7 +189,7 @@
             # classes that only the origin can answer retry an overloaded origin for part of their time
             max_s = 1.0 if cls != "film" and failure == "overloaded" else IMMEDIATE_S
             assert clock.elapsed_s - requested_s <= max_s
-            assert await client.silent() and not node.director.live
+            assert await client.receives_nothing() and not node.director.live
 
     scenario()
 
@@ -201,7 +203,7 @@
 
 async def request_once(port: int, number: int, cls: str, wait_ms: int = 2000) -> int:
     """Sends one request over a client connection of its own, and returns the result code."""
-    client = await Client.to(port)
+    client = await Client.connect(port)
     client.ask(1, i=f"{number:016x}", o=f"{number:016x}", c=cls, k=f"{number:032x}", d=str(wait_ms))
     code = (await client.next())[2]
     client.writer.close()
@@ -217,7 +219,7 @@
         caches = [ConnectionDroppingCache() for _ in range(6)]
         addresses = {f"c{number}": await cache.start() for number, cache in enumerate(caches)}
         raw = config({**addresses, "r0": REFUSED}, may_duplicate=second_copies)
-        async with running(raw) as (node, _):
+        async with running_director(raw) as (node, _):
             first = [request_once(node.port, number, "film") for number in range(40)]
             assert set(await asyncio.gather(*first)) == {SERVED}
             await stay_idle(clock)
@@ -240,15 +242,15 @@
     # given up only if later ones are answered.
     @virtual
     async def scenario(clock: VirtualClock) -> None:
-        cache = Cache(lambda command: None if command[1]["nth"] == "9" else hit(command))
-        async with running(config_with_three_classes(await cache.start(), may_duplicate=False)) as (
+        cache = ScriptedCache(lambda command: None if command[1]["nth"] == "9" else hit(command))
+        async with running_director(config_with_three_classes(await cache.start(), may_duplicate=False)) as (
             node,
             client,
         ):
             client.ask(1, c=cls)
             assert (await client.next())[2] == SERVED
             await stay_idle(clock)
-            slow = await Client.to(node.port)
+            slow = await Client.connect(node.port)
             slow.ask(1, i=f"{2:016x}", c=cls, chunk="9", d="3000")
             await asyncio.sleep(0.4)
             other = (
@@ -258,10 +260,10 @@
             )
             assert await asyncio.gather(*other) == [SERVED] * len(other)
             await asyncio.sleep(1.6)
-            (writer,) = cache.conns[:1]
+            (writer,) = cache.connections[:1]
             writer.write(f"{2:016x} served digest=aa,dated=1,remark=h 4\r\nslow\r\n".encode())
             assert (await slow.next())[2:] == (SERVED, {}, b"slow")
-            assert [command[0] for command in cache.seen].count(f"{2:016x}") == 1
+            assert [command[0] for command in cache.received].count(f"{2:016x}") == 1
             slow.writer.close()
 
     scenario()
@@ -271,7 +273,10 @@
 async def test_a_dropped_connection_does_not_mark_its_address_as_stalled(clock: VirtualClock) -> None:
     # Otherwise a store with several addresses would stop using this one.
     cache = ConnectionDroppingCache()
-    async with running(config({"c0": await cache.start(), "r0": REFUSED}, may_duplicate=False)) as (node, _):
+    async with running_director(config({"c0": await cache.start(), "r0": REFUSED}, may_duplicate=False)) as (
+        node,
+        _,
+    ):
         assert await request_once(node.port, 1, "film") == SERVED
         await stay_idle(clock)
         cache.drop_connections(ConnectionFault.SILENT)
@@ -284,4 +289,4 @@
         codes = await asyncio.gather(*requests)
         # of the requests in the first quarter of a second all but the first one wait until their deadline
         assert codes.count(SERVED) >= 18
-        assert not stalled_stores and len(cache.conns) == 2
+        assert not stalled_stores and len(cache.connections) == 2
--- a/tests/net/test_process_signals.py
+++ b/tests/net/test_process_signals.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 import pytest
-from harness import Cache, Client, config, hit, mute, until
+from harness import Client, ScriptedCache, config, hit, never_respond, wait_until
 from test_discovery_outages import Discovery, DiscoveryState
 
 from gladelane.lab.free_ports import free_port
@@ -108,22 +108,22 @@
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
-        cache, loop = Cache(mute), asyncio.get_running_loop()
+        cache, loop = ScriptedCache(never_respond), asyncio.get_running_loop()
         async with start_director(
             config_with_short_deadlines({"c0": await cache.start(), "r0": REFUSED}), tmp_path
         ) as director:
             await director.wait_until_ready()
-            clients = [await Client.to(director.port) for _ in range(4)]
+            clients = [await Client.connect(director.port) for _ in range(4)]
             for client in clients:
                 client.ask(1, d="1000")
-            await until(lambda: len(cache.seen) >= 4)
+            await wait_until(lambda: len(cache.received) >= 4)
             director.signal(signal.SIGTERM)
             started_s = loop.time()
             streams = {client: 1 for client in clients}
             while loop.time() - started_s < 0.6:
                 await asyncio.sleep(0.05)
                 if loop.time() - started_s < 0.4:
-                    clients.append(await Client.to(director.port))
+                    clients.append(await Client.connect(director.port))
                     streams[clients[-1]] = 0
                 for client in clients:
                     streams[client] += 1
@@ -182,7 +182,7 @@
         ) as director:
             program = Path(f"/proc/{director.process.pid}/cmdline")
             # wait until the shell has replaced itself by Python
-            await until(lambda: b"-c" not in program.read_bytes().split(b"\0"))
+            await wait_until(lambda: b"-c" not in program.read_bytes().split(b"\0"))
             await asyncio.sleep(after_s)
             director.configure(
                 json.dumps(
@@ -193,7 +193,7 @@
             )
             director.signal(signal.SIGHUP)
             await director.wait_until_ready()
-            await until(lambda: discoveries[1].request_times_s)
+            await wait_until(lambda: discoveries[1].request_times_s)
             director.signal(signal.SIGTERM)
             assert await director.wait_until_exit() == 0 and "Traceback" not in director.log
             for discovery in discoveries:
@@ -205,12 +205,12 @@
 def test_repeated_signals_do_not_disturb_a_shutdown(tmp_path: Path) -> None:
     # Earlier the process restored the default handlers before it ended, and a late signal killed it.
     async def scenario() -> None:
-        cache = Cache(hit)
+        cache = ScriptedCache(hit)
         async with start_director(
             config_with_short_deadlines({"c0": await cache.start(), "r0": REFUSED}), tmp_path
         ) as director:
             await director.wait_until_ready()
-            client = await Client.to(director.port)
+            client = await Client.connect(director.port)
             client.ask(1)
             assert await receive_code(client, 1) == 0
             director.signal(signal.SIGTERM)
@@ -228,14 +228,14 @@
 
 def test_a_shutdown_while_all_caches_drain_answers_every_accepted_request(tmp_path: Path) -> None:
     async def scenario() -> None:
-        cache, origin, discovery = Cache(hit), Cache(hit), Discovery()
+        cache, origin, discovery = ScriptedCache(hit), ScriptedCache(hit), Discovery()
         address = await cache.start()
         stores = {"c0": address, "r0": await origin.start()}
         raw = config_with_short_deadlines(stores, await discovery.start())
         async with start_director(raw, tmp_path) as director:
             await director.wait_until_ready()
-            await until(lambda: discovery.request_times_s)
-            clients = [await Client.to(director.port) for _ in range(8)]
+            await wait_until(lambda: discovery.request_times_s)
+            clients = [await Client.connect(director.port) for _ in range(8)]
             for stream in range(1, 31):
                 if stream == 10:
                     discovery.publish_member("c0", "terminating", address)
@@ -257,7 +257,7 @@
 
 def test_after_many_configurations_in_a_row_the_last_valid_one_is_in_force(tmp_path: Path) -> None:
     async def scenario() -> None:
-        cache = Cache(hit)
+        cache = ScriptedCache(hit)
         discoveries = [Discovery() for _ in range(4)]
         addresses = [await discovery.start() for discovery in discoveries]
         stores = {"c0": await cache.start(), "r0": REFUSED}
@@ -269,7 +269,7 @@
                 raw["settings"]["limits"].update(limits)
                 return json.dumps(raw).encode()
 
-            client = await Client.to(director.port)
+            client = await Client.connect(director.port)
             valid_configs = [config_text(addresses[1 + n % 2], max_attempts=2 + n % 5) for n in range(8)] + [
                 config_text(addresses[3])
             ]
@@ -288,9 +288,11 @@
                     code = await receive_code(client, stream)
                     assert code in (0, 1) and stream < 200
                     await asyncio.sleep(0.01 * code)
-            await until(lambda: discoveries[3].request_times_s)
+            await wait_until(lambda: discoveries[3].request_times_s)
             discoveries[3].publish(flush={"collection": 17, "ms": int(time.time() * 1000.0)})
-            while "accept" not in cache.seen[-1][1]:  # the purge that the last discovery published is applied
+            while (
+                "accept" not in cache.received[-1][1]
+            ):  # the purge that the last discovery published is applied
                 stream += 1
                 client.ask(stream, i=f"{stream:016x}")
                 await receive_code(client, stream)
--- a/tests/net/test_requests_at_connection_end.py
+++ b/tests/net/test_requests_at_connection_end.py
@@ -9,7 +9,7 @@
 from enum import Enum, auto
 
 import pytest
-from harness import Cache, config, hit, running, trial, until
+from harness import ScriptedCache, async_test, config, hit, running_director, wait_until
 from raw_client import RawClient, encode_request, wait_for_server_connection
 
 import gladelane.net.client_listener as listener_module
@@ -47,15 +47,15 @@
         case CloseReason.NEVER_USED:
             conn.sweep(conn.accepted_ms + 2_100.0)
         case CloseReason.DRAIN:
-            node.front.drain.request_drain(now)
+            node.client_listener.drain.request_drain(now)
             conn.goaway_ms = now - 400.0
             conn.sweep(now)
         case CloseReason.CONNECTION_LIMIT:
             conn.last_active_ms = now - 1_000.0
-            node.front.cap = 1
-            node.front._close_idle_connection()
+            node.client_listener.cap = 1
+            node.client_listener._close_idle_connection()
         case CloseReason.SHUTDOWN:
-            node.front.stop_listening()
+            node.client_listener.stop_listening()
             conn.is_settled()  # the last check before the close, as in `ClientListener.close`
             conn.close_gracefully()
         case CloseReason.INVALID_FRAME:
@@ -67,17 +67,17 @@
 def test_a_request_during_the_close_is_answered_completely_or_not_forwarded(
     reason: CloseReason, arrival: Arrival
 ) -> None:
-    @trial
+    @async_test
     async def scenario() -> None:
-        cache = Cache(hit)
+        cache = ScriptedCache(hit)
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(listener_module, "CLOSE_TIMEOUT_S", 1.0)
-            async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, other):
+            async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, other):
                 raw = RawClient(node)
                 conn = await wait_for_server_connection(node, raw)
                 if reason is not CloseReason.NEVER_USED:
                     raw.send(encode_request(1))
-                    await until(lambda: len(cache.seen) == 1 and not conn.open)
+                    await wait_until(lambda: len(cache.received) == 1 and not conn.open)
                 request = bytes(encode_request(2, i=f"{2:016x}"))
                 if arrival is Arrival.BEFORE and reason is not CloseReason.INVALID_FRAME:
                     raw.send(request)
@@ -85,7 +85,7 @@
                     conn.has_unread_bytes = call_after_first(conn.has_unread_bytes, lambda: raw.send(request))  # type: ignore[method-assign]
                 close_connection(node, conn, raw, reason)
                 if arrival is Arrival.AFTER or reason is CloseReason.INVALID_FRAME:
-                    await until(lambda: conn.write_closed_ms or not conn.is_idle() or conn.open)
+                    await wait_until(lambda: conn.write_closed_ms or not conn.is_idle() or conn.open)
                     raw.send(request)
                 await asyncio.sleep(0.05)
                 conn.close_gracefully()  # the connection stays open if the director saw the request in time
@@ -95,7 +95,7 @@
                     payload for type_, stream, payload in frames if (type_, stream) == (FrameType.ANSWER, 2)
                 ]
                 assert end == "end of file" and len(answers) <= 1
-                forwarded = [command for command in cache.seen if command[0] == f"{2:016x}"]
+                forwarded = [command for command in cache.received if command[0] == f"{2:016x}"]
                 assert len(forwarded) == len(answers)
                 assert all(payload[0] == 0 for payload in answers)
                 if arrival is Arrival.BEFORE and reason not in (
--- a/tests/net/test_short_deadlines.py
+++ b/tests/net/test_short_deadlines.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from harness import Cache, Client, Command, config, hit, running
+from harness import Client, Command, ScriptedCache, config, hit, running_director
 from virtual_time import VirtualClock, virtual
 
 from gladelane.net.client_protocol import FrameType
@@ -24,16 +24,16 @@
 def test_requests_with_1_to_60_ms_left_get_one_answer_each_before_it_counts_as_lost(cls: str) -> None:
     @virtual
     async def scenario(clock: VirtualClock) -> None:
-        cache = Cache(drop_short_requests)
+        cache = ScriptedCache(drop_short_requests)
         address = await cache.start()
-        async with running(config({"c0": address, "r0": address})) as (node, client):
+        async with running_director(config({"c0": address, "r0": address})) as (node, client):
             for remaining_ms in range(1, SHORT_MS + 1):
                 requested_s = clock.elapsed_s
                 client.ask(remaining_ms, c=cls, k=f"{remaining_ms:032x}", d=str(remaining_ms))
                 type_, stream, code, *_ = await client.next()
                 assert (type_, stream) == (FrameType.ANSWER, remaining_ms) and code in (1, 2)
                 assert clock.elapsed_s - requested_s < remaining_ms / 1000.0 + LATE_S
-            assert await client.silent() and not node.director.live
+            assert await client.receives_nothing() and not node.director.live
 
     scenario()
 
@@ -42,29 +42,29 @@
 async def test_short_requests_that_a_cache_drops_neither_close_its_connection_nor_eject_it(
     clock: VirtualClock,
 ) -> None:
-    cache = Cache(drop_short_requests)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+    cache = ScriptedCache(drop_short_requests)
+    async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
         client.ask(1)
         assert (await client.next())[2] == 0
         for stream in range(2, 12):
             client.ask(stream, d=str(SHORT_MS - 10))
             assert (await client.next())[:3] == (17, stream, 1)
-        assert len(cache.seen) == 11
+        assert len(cache.received) == 11
         assert not node.director.router.stores["c0"].is_ejected(node.clock.now())
         client.ask(12)
         assert (await client.next())[:3] == (17, 12, 0)
-        assert len(cache.conns) == 1
+        assert len(cache.connections) == 1
 
 
 @virtual
 async def test_a_cache_that_stops_answering_is_ejected_also_if_most_requests_are_short(
     clock: VirtualClock,
 ) -> None:
-    cache = Cache(lambda command: hit(command) if len(cache.seen) < 2 else None)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+    cache = ScriptedCache(lambda command: hit(command) if len(cache.received) < 2 else None)
+    async with running_director(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
         client.ask(1)
         assert (await client.next())[2] == 0
-        clients = [await Client.to(node.port) for _ in range(3)]
+        clients = [await Client.connect(node.port) for _ in range(3)]
         for stream, other in enumerate(clients, 2):
             other.ask(stream, d="400")
         for other in clients:
--- a/tests/net/test_system_calls.py
+++ b/tests/net/test_system_calls.py
@@ -11,7 +11,7 @@
 from types import SimpleNamespace
 
 import pytest
-from harness import trial
+from harness import async_test
 
 from benchmarks.system_calls import FAULT_S, FRESH, SITES, Case, Moment, play_running
 from gladelane import sockets
@@ -123,16 +123,16 @@
 
     monkeypatch.setattr(socket, "create_server", fails_first)
     monkeypatch.setattr(sockets, "OPEN_INTERVAL_S", 0.001)
-    with sockets.open_listening("127.0.0.1", 0, 8) as sock:
+    with sockets.open_listening_socket("127.0.0.1", 0, 8) as sock:
         assert sock.getsockname()[1] and not left
     left.extend([errno.ENFILE] * 100)
     with pytest.raises(OSError, match="for a moment"):
-        sockets.open_listening("127.0.0.1", 0, 8)
+        sockets.open_listening_socket("127.0.0.1", 0, 8)
 
 
 def test_an_address_that_is_taken_stops_the_start_at_once() -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken, pytest.raises(OSError) as raised:
-        sockets.open_listening("127.0.0.1", taken.getsockname()[1], 8)
+        sockets.open_listening_socket("127.0.0.1", taken.getsockname()[1], 8)
     assert raised.value.errno == errno.EADDRINUSE
 
 
@@ -165,7 +165,7 @@
     assert planned == [pool.sweep]
 
 
-@trial
+@async_test
 async def test_a_dial_that_a_signal_interrupts_goes_on() -> None:
     # it was given up as unreachable, and its address passed over
     with socket.create_server(("127.0.0.1", 0)) as server:
@@ -200,7 +200,7 @@
         return super().accept()
 
 
-@trial
+@async_test
 async def test_the_accept_before_the_close_outlasts_a_moment_without_descriptors() -> None:
     # the queue was reset with what clients had sent
     with LeavingFirst() as sock, socket.socket() as client:
@@ -216,7 +216,7 @@
         accepted[0].close()
 
 
-@trial
+@async_test
 async def test_a_newcomer_that_has_gone_holds_up_none_behind_it() -> None:
     # those behind it waited 5 ms, and at the stop, which accepts once more and closes, were reset
     with LeavingFirst() as sock, socket.socket() as one, socket.socket() as other:
--- a/tests/net/test_unanswered.py
+++ b/tests/net/test_unanswered.py
@@ -15,7 +15,16 @@
 
 import pytest
 import uvloop
-from harness import Cache, Command, config, hit, mute, running, trial, until
+from harness import (
+    Command,
+    ScriptedCache,
+    async_test,
+    config,
+    hit,
+    never_respond,
+    running_director,
+    wait_until,
+)
 from raw_client import (
     CLIENT_GONE_FRAME,
     RawClient,
@@ -56,47 +65,50 @@
 # --- a client that shuts its write side and waits for its answers
 
 
-@trial
+@async_test
 async def test_a_client_that_shuts_its_write_side_is_told_that_its_running_request_failed() -> None:
-    cache = Cache(mute)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
+    cache = ScriptedCache(never_respond)
+    async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
         raw = RawClient(node)
         raw.send(encode_request(1))
-        await until(lambda: cache.seen)
+        await wait_until(lambda: cache.received)
         shut_write_side(raw)
         frames, end = await raw.receive_until_end()
         assert (answers(frames), end) == ([(1, AnswerCode.FAILED)], "end of file")
-        assert len(cache.seen) == 1 and not node.director.live
+        assert len(cache.received) == 1 and not node.director.live
         raw.sock.close()
 
 
 @pytest.mark.parametrize("cancel", [True, False])
 def test_a_client_that_shuts_its_write_side_while_it_waits_for_a_dial_is_refused(cancel: bool) -> None:
-    @trial
+    @async_test
     async def scene() -> None:
-        cache = Cache(hit)
+        cache = ScriptedCache(hit)
         listed = {"c0": await cache.start(), "r0": REFUSED_ADDRESS}
-        async with running(config(listed, cancel=cancel)) as (node, _):
+        async with running_director(config(listed, cancel=cancel)) as (node, _):
             raw = RawClient(node)
 
             async def shuts(attempt: Attempt) -> None:
                 shut_write_side(raw)
-                await until(lambda: attempt.exchange.done)
+                await wait_until(lambda: attempt.exchange.done)
 
             hold_dials_until(node, shuts)
             raw.send(encode_request(1))
             frames, end = await raw.receive_until_end()
             assert (answers(frames), end) == ([(1, AnswerCode.REFUSED)], "end of file")
-            assert not cache.seen
+            assert not cache.received
             raw.sock.close()
 
     scene()
 
 
-@trial
+@async_test
 async def test_requests_that_are_read_together_with_the_shutdown_of_the_write_side_are_refused() -> None:
-    cache = Cache(hit)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (_, node_client):
+    cache = ScriptedCache(hit)
+    async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (
+        _,
+        node_client,
+    ):
         raw = RawClient.__new__(RawClient)
         raw.sock = socket.socket()
         port = node_client.writer.get_extra_info("peername")[1]
@@ -109,7 +121,7 @@
         frames, end = await raw.receive_until_end()
         # 1 was given up; a stream that is used again has no second answer
         assert (answers(frames), end) == ([(2, AnswerCode.REFUSED), (3, AnswerCode.REFUSED)], "end of file")
-        assert not cache.seen
+        assert not cache.received
         raw.sock.close()
 
 
@@ -120,12 +132,12 @@
 def test_a_connection_whose_socket_has_just_closed_fails_no_drain(runner: Callable[[Any], None]) -> None:
     # a look at its descriptor raised, and ended the process over what others were owed
     async def scene() -> None:
-        async with running(config({"r0": REFUSED_ADDRESS})) as (node, _):
+        async with running_director(config({"r0": REFUSED_ADDRESS})) as (node, _):
             raw = RawClient(node)
             conn = await wait_for_server_connection(node, raw)
             conn.sock = socket.socket()
             conn.sock.close()
-            assert not conn.has_unread_bytes() and node.front.has_no_pending_requests()
+            assert not conn.has_unread_bytes() and node.client_listener.has_no_pending_requests()
             raw.sock.close()
 
     runner(scene())
@@ -133,19 +145,19 @@
 
 @pytest.mark.parametrize("lies", ["in the system", "in the reader", "behind half a frame"])
 def test_what_has_come_when_the_process_ends_is_refused_before_its_connection_is_shut(lies: str) -> None:
-    @trial
+    @async_test
     async def scene() -> None:
-        cache = Cache(hit)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
+        cache = ScriptedCache(hit)
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
             raw, whole = RawClient(node), encode_request(1)
             conn = await wait_for_server_connection(node, raw)
             if lies == "behind half a frame":
                 raw.send(whole[:20])
-                await until(lambda: conn.incomplete_since_ms)
+                await wait_until(lambda: conn.incomplete_since_ms)
                 raw.send(whole[20:] + encode_request(2))
             else:
                 raw.send(whole + encode_request(2))
-            closing = asyncio.create_task(node.front.close())
+            closing = asyncio.create_task(node.client_listener.close())
             if lies == "in the reader":  # it is read once the close has begun
                 time.sleep(0.01)  # loopback delivers at once
                 conn.reader.feed_data(conn.sock.recv(65_536))
@@ -156,22 +168,22 @@
                 [(1, AnswerCode.REFUSED), (2, AnswerCode.REFUSED)],
                 "end of file",
             )
-            assert not cache.seen
+            assert not cache.received
 
     scene()
 
 
-@trial
+@async_test
 async def test_many_frames_that_were_read_in_one_go_are_answered_before_the_process_ends() -> None:
     # all behind the first 64 frames were dropped, since the close came between two batches
-    async with running(config({"r0": REFUSED_ADDRESS})) as (node, _):
+    async with running_director(config({"r0": REFUSED_ADDRESS})) as (node, _):
         raw, streams = RawClient(node), range(1, 201)
         conn = await wait_for_server_connection(node, raw)
         handle, closing = conn._handle_all, list[asyncio.Task[None]]()
 
         def handled(frames: list[Any]) -> None:
             if not closing:
-                closing.append(asyncio.create_task(node.front.close()))
+                closing.append(asyncio.create_task(node.client_listener.close()))
             handle(frames)
 
         conn._handle_all = handled  # type: ignore[method-assign]
@@ -182,18 +194,18 @@
         assert ([stream for stream, _ in answers(frames)], end) == (list(streams), "end of file")
 
 
-@trial
+@async_test
 async def test_a_newcomer_that_is_let_in_by_the_last_accept_is_answered() -> None:
-    cache = Cache(hit)
+    cache = ScriptedCache(hit)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(shutdown, "LINGER_S", 0.0)
-        patch.setattr(shutdown, "STEER_S", 0.0)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
-            node.front.cap = 1  # it waits in the system's queue
+        patch.setattr(shutdown, "ACCEPT_PERIOD_S", 0.0)
+        patch.setattr(shutdown, "ACCEPT_QUEUE_DELAY_S", 0.0)
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
+            node.client_listener.cap = 1  # it waits in the system's queue
             raw = RawClient(node)
             raw.send(encode_request(1))
             await node.drain()
-            closing = asyncio.create_task(node.front.close())
+            closing = asyncio.create_task(node.client_listener.close())
             frames, end = await raw.receive_until_end()
             raw.sock.close()
             await closing
@@ -205,10 +217,10 @@
 
 @pytest.mark.parametrize("garbage", [struct.pack(">I", 3), struct.pack(">I", 2**31), b"\xff" * 5000])
 def test_requests_in_front_of_garbage_in_the_same_read_are_served(garbage: bytes) -> None:
-    @trial
+    @async_test
     async def scene() -> None:
-        cache = Cache(hit)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
+        cache = ScriptedCache(hit)
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
             raw = RawClient(node)  # the first that comes on a new connection
             raw.send(encode_request(1) + encode_request(2) + garbage)
             frames, end = await raw.receive_until_end()
@@ -229,22 +241,25 @@
     return raw, conn
 
 
-@trial
+@async_test
 async def test_a_connection_that_is_being_closed_makes_no_room_while_its_answers_have_not_left() -> None:
-    cache = Cache(big)
+    cache = ScriptedCache(big)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(front_module, "MIN_IDLE_MS", -1.0)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (
+            node,
+            client,
+        ):
             raw, conn = await slow(node)
             raw.send(encode_request(1) + struct.pack(">I", 3))
-            await until(lambda: conn.write_closed_ms and conn.unsent_bytes())
+            await wait_until(lambda: conn.write_closed_ms and conn.unsent_bytes())
             conn.write_closed_ms -= 60.0  # longer ago than a crossing takes
-            node.front.cap, node.front.lingering = 0, 0
-            await until(lambda: not client.reader._buffer)  # type: ignore[attr-defined]
+            node.client_listener.cap, node.client_listener.lingering = 0, 0
+            await wait_until(lambda: not client.reader._buffer)  # type: ignore[attr-defined]
             assert (
-                not node.front._close_idle_connection()
+                not node.client_listener._close_idle_connection()
             )  # the resting client goes, and the cap is not met all the same
-            node.front.cap, node.front.lingering = 100, 1
+            node.client_listener.cap, node.client_listener.lingering = 100, 1
             frames, end = await raw.receive_until_end()
             assert (answers(frames), end) == ([(1, AnswerCode.SERVED)], "end of file")
             assert [len(payload) for _, stream, payload in frames if stream] == [BIG + 2]
@@ -254,32 +269,32 @@
 # --- a client that is cut off
 
 
-@trial
+@async_test
 async def test_a_client_that_sends_on_while_it_takes_nothing_gets_what_it_had_open_if_it_reads_again() -> (
     None
 ):
     # it was reset, and with it went the answers that lay here and the requests that were open
-    cache = Cache(lambda command: big(command) if command[1]["nth"] == "7" else None)
+    cache = ScriptedCache(lambda command: big(command) if command[1]["nth"] == "7" else None)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(client_module, "MAX_UNSENT_BYTES", 50_000)
         patch.setattr(client_module, "MAX_FRAMES_WHILE_BLOCKED", 40)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
+        async with running_director(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
             raw, conn = await slow(node)
             raw.send(encode_request(1, d="20000"))
-            await until(lambda: cache.seen)
+            await wait_until(lambda: cache.received)
             raw.send(encode_request(2, chunk="7"))
-            await until(lambda: conn.unsent_bytes() > 50_000)
+            await wait_until(lambda: conn.unsent_bytes() > 50_000)
             for stream in range(3, 60):
                 raw.send(encode_request(stream))
-            await until(lambda: conn.discards_input)
-            cache.conns[0].write(b"0000000000000001 served digest=aa,dated=1,remark=h 2\r\nok\r\n")
+            await wait_until(lambda: conn.discards_input)
+            cache.connections[0].write(b"0000000000000001 served digest=aa,dated=1,remark=h 2\r\nok\r\n")
             frames, end = await raw.receive_until_end()
             assert (
                 answers(frames)[:2] == [(1, AnswerCode.SERVED), (2, AnswerCode.SERVED)]
                 and end == "end of file"
             )
             assert len(answers(frames)) == len({stream for stream, _ in answers(frames)}) == 2 + 41
-            assert len(cache.seen) == 2
+            assert len(cache.received) == 2
             raw.sock.close()
 
 
--- a/tests/routing/test_cold.py
+++ b/tests/routing/test_cold.py
@@ -240,7 +240,7 @@
 
 
 def store_observed_by(driver: Driver, started_at_ms: float, kind: ListKind = ListKind.CHANGES) -> Store:
-    driver.members((Member("c0", "edge", "box", weight=WEIGHT, started_at_ms=started_at_ms),), kind)
+    driver.update_members((Member("c0", "edge", "box", weight=WEIGHT, started_at_ms=started_at_ms),), kind)
     return driver.router.stores["c0"]
 
 
@@ -263,15 +263,15 @@
     for kind in (ListKind.CHANGES, ListKind.COMPLETE):
         d.now += 20_000.0
         if kind is ListKind.CHANGES:
-            d.members((Member("c0", "edge", "box", state=State.GONE),), kind)
+            d.update_members((Member("c0", "edge", "box", state=State.GONE),), kind)
         else:
-            d.members(members(1)[1:], kind)
+            d.update_members(members(1)[1:], kind)
         assert "c0" not in d.router.stores
         d.now += 1_000.0
         store = store_observed_by(d, started_at_ms)
         assert (store.observed_start, store.tokens.at_ms, store.tokens.credit) == (first, d.now, 0.0)
         assert d.router.cold.allows(store.member, store.tokens, d.now, work(9e6, 9e6))
-    d.members((Member("c0", "edge", "box", state=State.GONE),), ListKind.CHANGES)
+    d.update_members((Member("c0", "edge", "box", state=State.GONE),), ListKind.CHANGES)
     assert store_observed_by(d, started_at_ms + 5_000.0).observed_start == ObservedStart(
         d.now, by_change=True
     )
@@ -280,8 +280,8 @@
 def test_the_number_of_remembered_removed_servers_is_bounded() -> None:
     d = Driver(())
     for number in range(MAX_REMOVED + 10):
-        d.members((Member(f"c{number}", "edge", "box", started_at_ms=1.0),), ListKind.CHANGES)
-        d.members((Member(f"c{number}", "edge", "box", state=State.GONE),), ListKind.CHANGES)
+        d.update_members((Member(f"c{number}", "edge", "box", started_at_ms=1.0),), ListKind.CHANGES)
+        d.update_members((Member(f"c{number}", "edge", "box", state=State.GONE),), ListKind.CHANGES)
     assert len(d.router.store_list._removed) == MAX_REMOVED
 
 
@@ -522,7 +522,7 @@
 def test_a_restart_of_a_server_discards_its_credit() -> None:
     d = Driver(members(1), weights="nominal")
     d.router.stores["c0"].tokens.credit = 5e6
-    d.members((Member("c0", "edge", "box", weight=WEIGHT, started_at_ms=d.now),), ListKind.CHANGES)
+    d.update_members((Member("c0", "edge", "box", weight=WEIGHT, started_at_ms=d.now),), ListKind.CHANGES)
     assert d.router.stores["c0"].tokens.credit == 0.0 and d.router.stores["c0"].tokens.at_ms == d.now
 
 
--- a/tests/test_failure.py
+++ b/tests/test_failure.py
@@ -7,7 +7,7 @@
 
 from dataclasses import replace
 
-from conftest import Driver, members, only, some
+from conftest import Driver, actions_of, members, only_action
 
 from gladelane.routing.cache_admission import MAX_OBJECTS, MAX_SENT_OBJECTS
 from gladelane.routing.concurrency_limit import MIN_LIMIT
@@ -30,17 +30,19 @@
 def answer_late(d: Driver, fetch: Fetch, note: Note = Note.HIT, wait: float = 0.0) -> None:
     """Answers the attempt after its latency objective."""
     d.now += 3000.0
-    d.tell(Outcome(fetch.id, d.numbers[fetch.id], fetch.store, Status.OK, 3000.0, note, wait, over=True))
+    d.handle(
+        Outcome(fetch.id, d.attempt_numbers[fetch.id], fetch.store, Status.OK, 3000.0, note, wait, over=True)
+    )
 
 
 def open_fetches(d: Driver, count: int, **request: object) -> list[Fetch]:
-    return [f for n in range(count) for f in some(d.ask(object=1000 + n, **request), Fetch)]  # type: ignore[arg-type]
+    return [f for n in range(count) for f in actions_of(d.ask(object=1000 + n, **request), Fetch)]  # type: ignore[arg-type]
 
 
 def test_a_first_attempt_runs_to_the_deadline() -> None:
     """A timeout at the latency objective would discard half-sent answers and add retries to an overload."""
     d = Driver()
-    assert only(d.ask(), Fetch).timeout_ms == 5000.0
+    assert only_action(d.ask(), Fetch).timeout_ms == 5000.0
 
 
 def test_late_hits_lower_the_limit_of_a_cache_and_excess_requests_are_rejected_at_once() -> None:
@@ -50,8 +52,8 @@
     limit = d.router.caches[0].concurrency.limit
     assert limit < 12
     actions = [d.ask(object=2000 + n) for n in range(20)]
-    assert len([a for a in actions if some(a, Fetch)]) <= limit + 1
-    refused = [r for a in actions for r in some(a, Refuse)]
+    assert len([a for a in actions if actions_of(a, Fetch)]) <= limit + 1
+    refused = [r for a in actions for r in actions_of(a, Refuse)]
     assert refused and all(r.retry_after_ms > 0 for r in refused)
 
 
@@ -67,7 +69,7 @@
     copies_only = [f for f in asked if f.source == f.store]
     assert copies_only and len(asked) == 12
     # after a miss, a route with capacity is searched once more; then the request is rejected at once
-    assert only(d.answer(copies_only[0], Status.MISS, Note.NOT_REPORTED, after=1.0), Refuse)
+    assert only_action(d.answer(copies_only[0], Status.MISS, Note.NOT_REPORTED, after=1.0), Refuse)
 
 
 def test_timely_answers_raise_the_limit_again() -> None:
@@ -123,10 +125,10 @@
     answer_late(d, fetches.pop(0))
     assert d.router.caches[0].concurrency.limit > 14  # one late answer is no overload
     fetch = fetches.pop(0)
-    d.tell(Outcome(fetch.id, 0, fetch.store, Status.OK, 3000.0, Note.HIT, over=True))
+    d.handle(Outcome(fetch.id, 0, fetch.store, Status.OK, 3000.0, Note.HIT, over=True))
     before = d.router.caches[0].concurrency.limit
     for fetch in fetches[1:]:
-        d.tell(Outcome(fetch.id, 0, fetch.store, Status.OK, 3000.0, Note.HIT, over=True))
+        d.handle(Outcome(fetch.id, 0, fetch.store, Status.OK, 3000.0, Note.HIT, over=True))
     assert before < 14 and d.router.caches[0].concurrency.limit == before
 
 
@@ -134,11 +136,11 @@
     """A single slow parent lowered the limit on fills at every cache."""
     d = Driver(second_copies=False)
     for _ in range(3):
-        slow = only(d.ask(object=5), Fetch)
+        slow = only_action(d.ask(object=5), Fetch)
         answer_late(d, slow, Note.PARENT_HELD, 2900.0)
     source = d.router.stores[slow.source]
     assert source.concurrency.limit <= MIN_LIMIT and d.router.stores[slow.store].fills.limit > 12
-    others = {f.source for n in range(8) for f in some(d.ask(object=5, part=n), Fetch)}
+    others = {f.source for n in range(8) for f in actions_of(d.ask(object=5, part=n), Fetch)}
     assert len(others) == 2
 
 
@@ -146,7 +148,7 @@
     """While the origin was slow, fills that parents could have served from their copies were rejected."""
     d = Driver(second_copies=False)
     for n in range(6):
-        answer_late(d, only(d.ask(object=n), Fetch), Note.FROM_ORIGIN, 2900.0)
+        answer_late(d, only_action(d.ask(object=n), Fetch), Note.FROM_ORIGIN, 2900.0)
     asked = open_fetches(d, 12)
     assert len(asked) == 12 and any(f.source_holds_only and f.source != "root" for f in asked)
 
@@ -156,26 +158,26 @@
     for notes, is_ejected in (("all", False), ("none", True)):
         d = Driver(members(parents=1), notes=notes, second_copies=False)
         for n in range(2):
-            fetch = only(d.ask(object=n), Fetch)
+            fetch = only_action(d.ask(object=n), Fetch)
             d.answer(fetch, Status.TIMEOUT, Note.NOT_REPORTED, after=100.0)
         assert any(p.ejected_until_ms > 0 for p in d.router.parents) is is_ejected
 
 
 def test_a_reported_source_failure_retries_the_same_cache_with_another_source() -> None:
     d = Driver()
-    fetch = only(d.ask(object=5), Fetch)
-    again = only(d.answer(fetch, Status.ERROR, Note.SOURCE_BROKEN), Fetch)
+    fetch = only_action(d.ask(object=5), Fetch)
+    again = only_action(d.answer(fetch, Status.ERROR, Note.SOURCE_BROKEN), Fetch)
     assert again.store == fetch.store and again.source != fetch.source
 
 
 def test_an_unreachable_cache_is_ejected_and_then_gets_one_trial() -> None:
     d = Driver(members(caches=2))
-    home = only(d.ask(object=5), Fetch)
-    other = only(d.answer(home, Status.CONNECT_FAILED, Note.NOT_REPORTED), Fetch)
+    home = only_action(d.ask(object=5), Fetch)
+    other = only_action(d.answer(home, Status.CONNECT_FAILED, Note.NOT_REPORTED), Fetch)
     assert other.store != home.store
     assert {d.serve(object=n).store for n in range(6)} == {other.store}
     d.now += 500.0
-    trials = [f for n in range(40) for f in some(d.ask(object=n), Fetch) if f.store == home.store]
+    trials = [f for n in range(40) for f in actions_of(d.ask(object=n), Fetch) if f.store == home.store]
     assert len(trials) == 1
 
 
@@ -183,11 +185,11 @@
     """A store that never answers is only recognized by timeouts that arrive after the request has ended."""
     d = Driver(members(caches=2), second_copies=False)
     while not any(c.ejected_until_ms for c in d.router.caches):
-        fetch = only(d.ask(object=5), Fetch)
+        fetch = only_action(d.ask(object=5), Fetch)
         d.now += 5000.0
-        d.tell(Timer(f"d:{fetch.id}"))
+        d.handle(Timer(f"d:{fetch.id}"))
         d.answer(fetch, Status.TIMEOUT, Note.NOT_REPORTED, after=0.0)
-        assert d.ids < 10
+        assert d.last_id < 10
     assert all(c.concurrency.in_flight == 0 for c in d.router.caches)
 
 
@@ -195,9 +197,9 @@
     """While caches were busy, all requests went directly to the parents, which only moved the overload."""
     d = Driver(members(caches=1), straight=True, second_copies=False)
     d.router.caches[0].concurrency.limit = 0.0
-    only(d.ask(object=5), Refuse)
+    only_action(d.ask(object=5), Refuse)
     d.router.caches[0].eject(d.now)
-    fetch = only(d.ask(object=5), Fetch)
+    fetch = only_action(d.ask(object=5), Fetch)
     assert fetch.store == fetch.source and fetch.store.startswith("p") and fetch.rank == 0
 
 
@@ -207,17 +209,17 @@
     d.ask(cls="film", size_kb=4000.0)
     cache = d.router.caches[0]
     cache.concurrency.limit, cache.concurrency.in_flight = 10.0, 8
-    only(d.ask(cls="film", size_kb=4000.0), Refuse)
-    only(d.ask(cls="page", size_kb=40.0), Fetch)
+    only_action(d.ask(cls="film", size_kb=4000.0), Refuse)
+    only_action(d.ask(cls="page", size_kb=40.0), Fetch)
 
 
 def test_a_keyed_request_is_retried_after_a_backoff_if_the_origin_rejects_it() -> None:
     d = Driver(straight=True, second_copies=False)
-    actions = d.answer(only(d.ask(cls="sale"), Lookup), Status.FULL, Note.NOT_REPORTED)
-    timer = only(actions, SetTimer)
-    assert not some(actions, (Lookup, Refuse))
+    actions = d.answer(only_action(d.ask(cls="sale"), Lookup), Status.FULL, Note.NOT_REPORTED)
+    timer = only_action(actions, SetTimer)
+    assert not actions_of(actions, (Lookup, Refuse))
     d.now = timer.due_ms
-    only(d.tell(Timer(timer.token)), Lookup)
+    only_action(d.handle(Timer(timer.token)), Lookup)
 
 
 def test_tables_stay_bounded_over_many_requests() -> None:
@@ -225,10 +227,10 @@
     for n in range(3 * MAX_OBJECTS):
         d.now += 1.0
         d.ask(object=n, part=n % 9)
-        d.tell(Purge(n, n % 7, 10.0))
+        d.handle(Purge(n, n % 7, 10.0))
         if n % 250 == 0:
-            d.tell(Timer("sweep"))
-        d.tell(Timer(f"d:{d.ids}"))
+            d.handle(Timer("sweep"))
+        d.handle(Timer(f"d:{d.last_id}"))
     r = d.router
     assert len(r.objects) <= MAX_OBJECTS and len(r.lingering) <= MAX_LINGERING and not r.pending
     assert all(len(c.sent_objects) <= MAX_SENT_OBJECTS for c in r.caches)
@@ -245,11 +247,11 @@
     rejected."""
     d = Driver(members(caches=1), second_copies=False, flow_kb_per_s=0.0)
     for _ in range(12):
-        fetch = only(d.ask(object=5, size_kb=0.0), Fetch)
+        fetch = only_action(d.ask(object=5, size_kb=0.0), Fetch)
         d.answer(fetch, after=1500.0)
     assert d.router.objects[5].work == 1500.0
     before = d.router.caches[0].concurrency.lateness
-    d.answer(only(d.ask(object=5, size_kb=0.0), Fetch), after=1600.0)
+    d.answer(only_action(d.ask(object=5, size_kb=0.0), Fetch), after=1600.0)
     assert d.router.caches[0].concurrency.lateness < before
 
 
@@ -262,7 +264,7 @@
         d.now += 3000.0
         for fetch in one_each.values():
             d.now += 700.0
-            d.tell(Outcome(fetch.id, 0, fetch.store, Status.OK, 3000.0, Note.PARENT_HELD, 40.0, over=True))
+            d.handle(Outcome(fetch.id, 0, fetch.store, Status.OK, 3000.0, Note.PARENT_HELD, 40.0, over=True))
         asked = open_fetches(d, 12)
         assert any(f.source == f.store for f in asked) is is_limited
 
@@ -270,22 +272,22 @@
 def test_a_single_reset_retries_the_same_cache_and_three_in_a_row_eject_it() -> None:
     """While a quarter of all answers was reset, single resets ejected caches that mostly worked."""
     d = Driver(members(caches=2))
-    fetch = only(d.ask(object=5), Fetch)
-    again = only(d.answer(fetch, Status.RESET, Note.NOT_REPORTED), Fetch)
+    fetch = only_action(d.ask(object=5), Fetch)
+    again = only_action(d.answer(fetch, Status.RESET, Note.NOT_REPORTED), Fetch)
     assert again.store == fetch.store
-    again = only(d.answer(again, Status.RESET, Note.NOT_REPORTED), Fetch)
+    again = only_action(d.answer(again, Status.RESET, Note.NOT_REPORTED), Fetch)
     assert again.store == fetch.store
-    assert only(d.answer(again, Status.RESET, Note.NOT_REPORTED), Fetch).store != fetch.store
+    assert only_action(d.answer(again, Status.RESET, Note.NOT_REPORTED), Fetch).store != fetch.store
 
 
 def test_lost_attempts_overtaken_by_timely_answers_lower_no_limit() -> None:
     """Attempts whose answers were lost ran to their deadline and counted as signs of overload."""
     for overtaken in (True, False):
         d = Driver(members(caches=1), second_copies=False)
-        lost = [only(d.ask(object=n), Fetch) for n in range(6)]
+        lost = [only_action(d.ask(object=n), Fetch) for n in range(6)]
         if overtaken:
             d.now += 10.0
-            d.answer(only(d.ask(object=50), Fetch), after=50.0)
+            d.answer(only_action(d.ask(object=50), Fetch), after=50.0)
         d.now += 5000.0
         before = d.router.caches[0].fills.limit
         for fetch in lost:
@@ -300,7 +302,7 @@
     d.router.ingress_limit.limit = d.router.ingress_limit.min_limit
     first = []
     for n in range(200):
-        fetch = only(d.ask(object=n), Fetch)
+        fetch = only_action(d.ask(object=n), Fetch)
         first.append(fetch.source != fetch.store)
         d.router.ingress_limit.in_flight = 0
     assert 5 < sum(first) < 40
@@ -332,11 +334,11 @@
     """For 5 s after each restart of a director, a parent that had started 10 s ago got no fills and the other
     one got all of them."""
     d = Driver(members(parents=1), second_copies=False)
-    d.members((Member("p9", "hub", "mid", started_at_ms=d.now - 10_000.0),), ListKind.CHANGES)
+    d.update_members((Member("p9", "hub", "mid", started_at_ms=d.now - 10_000.0),), ListKind.CHANGES)
     sources = set()
     for n in range(60):
         sources.add(d.serve(object=n).source)
-        d.tell(Timer("sweep"))
+        d.handle(Timer("sweep"))
     assert d.now < 100_000.0 + 4000.0 and sources == {"p0", "p9"}
 
 
@@ -346,7 +348,7 @@
     d = Driver(members(caches=1), notes="hit", second_copies=False)
     fetch = d.serve()
     asked = open_fetches(d, 8)
-    again = [only(d.answer(f, Status.RESET, Note.NOT_REPORTED, after=0.0), Fetch) for f in asked]
+    again = [only_action(d.answer(f, Status.RESET, Note.NOT_REPORTED, after=0.0), Fetch) for f in asked]
     assert [(f.store, f.source) for f in again] == [
         (f.store, f.source) for f in asked
     ]  # the source is not at fault
@@ -362,15 +364,15 @@
     for n in range(30):
         d.serve(object=n)
     for n in range(6):
-        first = only(d.ask(object=900 + n), Fetch)
-        second = only(d.answer(first, Status.ERROR, Note.NOT_REPORTED, after=3.0), Fetch)
-        only(d.answer(second, Status.ERROR, Note.NOT_REPORTED, after=3.0), Refuse)
+        first = only_action(d.ask(object=900 + n), Fetch)
+        second = only_action(d.answer(first, Status.ERROR, Note.NOT_REPORTED, after=3.0), Fetch)
+        only_action(d.answer(second, Status.ERROR, Note.NOT_REPORTED, after=3.0), Refuse)
     assert not any(store.is_ejected(d.now) for store in d.router.stores.values())
-    failed_late = only(
-        d.answer(only(d.ask(object=990), Fetch), Status.ERROR, Note.NOT_REPORTED, after=100.0), Fetch
+    failed_late = only_action(
+        d.answer(only_action(d.ask(object=990), Fetch), Status.ERROR, Note.NOT_REPORTED, after=100.0), Fetch
     )
     # an error after 100 ms may be that of a fill: it is no immediate error
-    only(d.answer(failed_late, Status.ERROR, Note.NOT_REPORTED, after=100.0), Fetch)
+    only_action(d.answer(failed_late, Status.ERROR, Note.NOT_REPORTED, after=100.0), Fetch)
 
 
 def test_an_impossible_size_does_not_distort_the_mean_work_of_a_class() -> None:
@@ -389,13 +391,13 @@
     d = Driver(notes="hit", second_copies=False)
     bad, errors, refused = "p0", 0, 0
     for n in range(300):
-        fetch = only(d.ask(object=1000 + n), Fetch)
+        fetch = only_action(d.ask(object=1000 + n), Fetch)
         while fetch is not None:
             if fetch.source == bad and n % 5:
                 errors += n >= 60
                 actions = d.answer(fetch, Status.ERROR, Note.NOT_REPORTED, after=9.0)
-                refused += bool(some(actions, Refuse))
-                fetch = next(iter(some(actions, Fetch)), None)
+                refused += bool(actions_of(actions, Refuse))
+                fetch = next(iter(actions_of(actions, Fetch)), None)
             else:
                 d.answer(fetch, Status.OK, Note.PARENT_HELD, after=9.0)
                 fetch = None
@@ -404,5 +406,5 @@
     assert not any(d.router.stores[name].is_ejected(d.now) for name in ("c0", "c1", "c2", "p1"))
     for n in range(400):  # after its repair the parent is used again
         d.now += 100.0
-        d.answer(only(d.ask(object=5000 + n), Fetch), Status.OK, Note.PARENT_HELD, after=9.0)
+        d.answer(only_action(d.ask(object=5000 + n), Fetch), Status.OK, Note.PARENT_HELD, after=9.0)
     assert not d.router.stores[bad].is_ejected(d.now) and d.router.stores[bad].error_rate < 0.6
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,7 +1,7 @@
 """The ordinary path of a request: choice of cache and source, admission, utility and rank."""
 
 import pytest
-from conftest import PLAIN, Driver, members, only
+from conftest import BASE_SETTINGS, Driver, members, only_action
 
 from gladelane.routing.events import Fetch, Lookup, Member, Note, SetTimer, State, Status, Timer
 
@@ -37,15 +37,15 @@
         for n in range(1, 10):
             d.serve(object=n, cls="page")
         d.now += 1000.0
-        d.tell(Timer("sweep"))
+        d.handle(Timer("sweep"))
         assert {d.serve(object=n, cls="page").rank for n in (8, 9)} <= ranks
 
 
 def test_an_admitted_object_is_kept_at_once_after_a_restart_of_its_cache() -> None:
     d = Driver()
     home = [d.serve(object=5) for _ in range(3)][-1].store
-    d.members((Member(home, "edge", "box", started_at_ms=d.now - 60_000.0),))
-    fetch = only(d.ask(object=5), Fetch)
+    d.update_members((Member(home, "edge", "box", started_at_ms=d.now - 60_000.0),))
+    fetch = only_action(d.ask(object=5), Fetch)
     d.answer(fetch, Status.OK, Note.FROM_ORIGIN)
     assert fetch.rank > 0
 
@@ -62,7 +62,7 @@
     assert first in ("p0", "p1")
     assert {d.serve(object=n).source for n in range(50)} == {"p0", "p1"}
     gone = tuple(m for m in members() if m.store != first)
-    d.members((*gone, Member(first, "hub", "mid", state=State.DRAINING)))
+    d.update_members((*gone, Member(first, "hub", "mid", state=State.DRAINING)))
     assert d.serve(object=5).source == ({"p0", "p1"} - {first}).pop()
 
 
@@ -74,7 +74,7 @@
     gained = {}
     for note in (Note.HIT, Note.PARENT_HELD, Note.FROM_ORIGIN, Note.NOT_REPORTED):
         d = Driver()
-        d.answer(only(d.ask(object=5), Fetch), note=note)
+        d.answer(only_action(d.ask(object=5), Fetch), note=note)
         gained[note] = d.router.objects[5].utility
     base = gained[Note.NOT_REPORTED]
     assert gained == {
@@ -108,7 +108,7 @@
 
 def test_an_uncacheable_request_goes_through_a_cache_without_being_kept() -> None:
     d = Driver()
-    fetch = only(d.ask(cls="pair"), Fetch)
+    fetch = only_action(d.ask(cls="pair"), Fetch)
     assert (fetch.rank, fetch.source) == (0, "root")
 
 
@@ -116,8 +116,8 @@
 def test_backoffs_of_a_write_that_the_origin_rejects_scale_with_its_deadline(deadline: float) -> None:
     """With a fixed backoff of 100 ms and 300 ms that had to be left, a class with a deadline of 600 ms was
     retried only once."""
-    sale = next(spec for spec in PLAIN["classes"] if spec["name"] == "sale")
-    others = [spec for spec in PLAIN["classes"] if spec is not sale]
+    sale = next(spec for spec in BASE_SETTINGS["classes"] if spec["name"] == "sale")
+    others = [spec for spec in BASE_SETTINGS["classes"] if spec is not sale]
     driver = Driver(straight=True, classes=[*others, {**sale, "deadline_ms": deadline}])
     attempts, actions = 1, driver.ask("sale", part=0)
     while lookups := [a for a in actions if isinstance(a, Lookup)]:
@@ -130,5 +130,5 @@
             break
         assert waits[0].due_ms - driver.now == pytest.approx(deadline / 30 * attempts)
         driver.now = waits[0].due_ms
-        attempts, actions = attempts + 1, driver.tell(Timer(waits[0].token))
+        attempts, actions = attempts + 1, driver.handle(Timer(waits[0].token))
     assert attempts == 5
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from conftest import PLAIN, Driver, members, only, some
+from conftest import BASE_SETTINGS, Driver, actions_of, members, only_action
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -41,23 +41,25 @@
 def test_an_unsafe_request_is_neither_repeated_nor_rejected_once_it_may_have_run() -> None:
     for status in (Status.TIMEOUT, Status.RESET, Status.ERROR):
         d = Driver()
-        actions = d.answer(only(d.ask(cls="pair"), Fetch), status, Note.NOT_REPORTED)
-        assert not some(actions, (Fetch, Lookup, Refuse))
-        only(actions, Fail)
+        actions = d.answer(only_action(d.ask(cls="pair"), Fetch), status, Note.NOT_REPORTED)
+        assert not actions_of(actions, (Fetch, Lookup, Refuse))
+        only_action(actions, Fail)
 
 
 def test_an_unsafe_request_is_retried_after_an_outcome_that_proves_it_never_ran() -> None:
     d = Driver()
-    only(d.answer(only(d.ask(cls="pair"), Fetch), Status.CONNECT_FAILED, Note.NOT_REPORTED), Fetch)
+    only_action(
+        d.answer(only_action(d.ask(cls="pair"), Fetch), Status.CONNECT_FAILED, Note.NOT_REPORTED), Fetch
+    )
 
 
 def test_a_keyed_request_is_repeated_only_within_its_window() -> None:
     d = Driver(straight=True)
-    only(d.answer(only(d.ask(cls="sale"), Lookup), Status.RESET, Note.NOT_REPORTED), Lookup)
-    classes = [dict(c, window_ms=100.0) for c in __import__("conftest").PLAIN["classes"]]
+    only_action(d.answer(only_action(d.ask(cls="sale"), Lookup), Status.RESET, Note.NOT_REPORTED), Lookup)
+    classes = [dict(c, window_ms=100.0) for c in __import__("conftest").BASE_SETTINGS["classes"]]
     d = Driver(straight=True, classes=classes)
-    assert not some(
-        d.answer(only(d.ask(cls="sale"), Lookup), Status.RESET, Note.NOT_REPORTED, after=150.0), Lookup
+    assert not actions_of(
+        d.answer(only_action(d.ask(cls="sale"), Lookup), Status.RESET, Note.NOT_REPORTED, after=150.0), Lookup
     )
 
 
@@ -65,7 +67,7 @@
     d = Driver()
     bad = {"c0", "p0"}
     told = [Member(m.store, m.zone, m.kind, state=State.DRAINING) for m in members() if m.store in bad]
-    d.members(tuple(told), ListKind.CHANGES)
+    d.update_members(tuple(told), ListKind.CHANGES)
     for n in range(60):
         fetch = d.serve(object=n)
         assert not {fetch.store, fetch.source} & bad
@@ -74,35 +76,35 @@
 def test_a_purge_bounds_the_age_of_every_attempt_and_prevents_joining() -> None:
     d = Driver()
     d.serve(object=5)
-    d.tell(Purge(5, 0, 80.0))
+    d.handle(Purge(5, 0, 80.0))
     d.now += 700.0
-    fetch = only(d.ask(object=5), Fetch)
+    fetch = only_action(d.ask(object=5), Fetch)
     assert 0 < fetch.max_age_ms <= 780.0 and not fetch.join
-    again = only(d.answer(fetch, Status.CONNECT_FAILED, Note.NOT_REPORTED, after=100.0), Fetch)
+    again = only_action(d.answer(fetch, Status.CONNECT_FAILED, Note.NOT_REPORTED, after=100.0), Fetch)
     assert 0 < again.max_age_ms <= 880.0 and not again.join
 
 
 def test_a_purge_of_a_group_applies_to_its_objects_only() -> None:
     d = Driver()
-    d.tell(Purge(0, 4, 80.0))
+    d.handle(Purge(0, 4, 80.0))
     d.now += 700.0
-    assert 0 < only(d.ask(object=5, group=4), Fetch).max_age_ms <= 780.0
-    assert only(d.ask(object=6, group=3), Fetch).max_age_ms == 0.0
+    assert 0 < only_action(d.ask(object=5, group=4), Fetch).max_age_ms <= 780.0
+    assert only_action(d.ask(object=6, group=3), Fetch).max_age_ms == 0.0
 
 
 def test_a_purge_expires_when_caches_have_dropped_old_copies() -> None:
     d = Driver()
-    d.tell(Purge(5, 0, 0.0))
+    d.handle(Purge(5, 0, 0.0))
     d.now += 20_000.0
-    assert only(d.ask(object=5), Fetch).max_age_ms == 0.0
+    assert only_action(d.ask(object=5), Fetch).max_age_ms == 0.0
 
 
 def test_an_age_bound_never_exceeds_the_fresh_time() -> None:
-    classes = [dict(c, fresh_ms=300.0) for c in __import__("conftest").PLAIN["classes"]]
+    classes = [dict(c, fresh_ms=300.0) for c in __import__("conftest").BASE_SETTINGS["classes"]]
     d = Driver(classes=classes)
-    d.tell(Purge(5, 0, 0.0))
+    d.handle(Purge(5, 0, 0.0))
     d.now += 2000.0
-    assert only(d.ask(cls="page", object=5), Fetch).max_age_ms <= 300.0
+    assert only_action(d.ask(cls="page", object=5), Fetch).max_age_ms <= 300.0
 
 
 def test_a_cold_cache_gets_no_more_than_its_budget_in_any_window() -> None:
@@ -111,9 +113,9 @@
     for n in range(4000):
         d.now += 10.0
         if n == 1500:
-            d.members((Member("c0", "edge", "box", started_at_ms=d.now),), ListKind.CHANGES)
+            d.update_members((Member("c0", "edge", "box", started_at_ms=d.now),), ListKind.CHANGES)
         if n % 25 == 0:
-            d.tell(Timer("sweep"))
+            d.handle(Timer("sweep"))
         fetch = d.serve(object=n)
         if n >= 1500 and fetch.store == "c0":
             at.append(d.now)
@@ -134,26 +136,26 @@
     d = Driver()
     for n in range(served_before):
         d.serve(object=1000 + n)
-    d.members((Member("p0", "hub", "mid", started_at_ms=d.now),), ListKind.CHANGES)
+    d.update_members((Member("p0", "hub", "mid", started_at_ms=d.now),), ListKind.CHANGES)
     sources = [d.serve(object=n).source for n in range(30)]
     assert sources.count("p0") <= 2 and sources.count("p0") + sources.count("p1") == 30
 
 
 def test_there_is_one_attempt_in_flight_if_second_copies_are_not_allowed() -> None:
     d = Driver(second_copies=False)
-    fetch = only(d.ask(object=5), Fetch)
+    fetch = only_action(d.ask(object=5), Fetch)
     for step in range(30):
         d.now += 100.0
         for token in (f"h:{fetch.id}", f"r:{fetch.id}", "sweep"):
-            assert not some(d.tell(Timer(token)), (Fetch, Lookup)), step
+            assert not actions_of(d.handle(Timer(token)), (Fetch, Lookup)), step
 
 
 def test_the_final_answer_is_given_at_the_deadline_without_any_outcome() -> None:
     d = Driver()
     actions = d.ask(object=5)
-    due = [a for a in actions if isinstance(a, SetTimer) and a.token == f"d:{d.ids}"]
+    due = [a for a in actions if isinstance(a, SetTimer) and a.token == f"d:{d.last_id}"]
     d.now = due[0].due_ms
-    assert some(d.tell(Timer(due[0].token)), (Refuse, Fail))
+    assert actions_of(d.handle(Timer(due[0].token)), (Refuse, Fail))
     assert not d.router.pending
 
 
@@ -185,8 +187,8 @@
         self.purges: dict[tuple[int, int], tuple[float, float]] = {}
         self.timers: list[tuple[float, str]] = []
 
-    def tell(self, event: Any) -> None:
-        for action in self.driver.tell(event):
+    def handle(self, event: Any) -> None:
+        for action in self.driver.handle(event):
             self.check(action)
 
     def check(self, action: Any) -> None:
@@ -242,7 +244,7 @@
             self.timers.remove(due[0])
             self.driver.now = max(self.driver.now, due[0][0])
             self.check_deadlines()
-            self.tell(Timer(due[0][1]))
+            self.handle(Timer(due[0][1]))
         self.driver.now = until
 
     def check_deadlines(self) -> None:
@@ -255,10 +257,10 @@
         name = names[number % len(names)]
         member = self.listed[name]
         if kind == "ask":
-            driver.ids += 1
+            driver.last_id += 1
             cls = ("film", "page", "sale", "pair")[number % 4]
             request = Request(
-                driver.ids,
+                driver.last_id,
                 cls,
                 number % 3 + 1,
                 driver.now + 400.0 * (number + 1),
@@ -266,8 +268,8 @@
                 group=number % 2,
                 part=number % 5,
             )
-            self.open_requests[driver.ids] = request
-            self.tell(request)
+            self.open_requests[driver.last_id] = request
+            self.handle(request)
         elif kind == "end" and self.in_flight:
             key = sorted(self.in_flight)[number % len(self.in_flight)]
             store, sent = self.in_flight.pop(key)
@@ -277,11 +279,11 @@
             if over and key[0] in self.open_requests:
                 del self.open_requests[key[0]]
                 self.ended.add(key[0])
-            self.tell(Outcome(key[0], key[1], store, status, driver.now - sent, note, over=over))
+            self.handle(Outcome(key[0], key[1], store, status, driver.now - sent, note, over=over))
         elif kind in ("purge", "group"):
             key = (number % 3 + 1, 0) if kind == "purge" else (0, number % 2)
             self.purges[key] = (driver.now - 50.0, driver.now)
-            self.tell(Purge(key[0], number % 2, 50.0))
+            self.handle(Purge(key[0], number % 2, 50.0))
         elif kind in ("drain", "vanish", "restart"):
             state = {"drain": State.DRAINING, "vanish": State.GONE, "restart": State.READY}[kind]
             if state is State.READY:
@@ -295,17 +297,17 @@
                 state=state,
                 started_at_ms=driver.now if kind == "restart" else 0,
             )
-            self.tell(Members(ListKind.CHANGES, (changed,)))
+            self.handle(Members(ListKind.CHANGES, (changed,)))
         elif kind == "lost":
-            self.tell(Members(ListKind.FAILED))
+            self.handle(Members(ListKind.FAILED))
         elif kind == "gone" and self.open_requests:
             request_id = sorted(self.open_requests)[number % len(self.open_requests)]
             del self.open_requests[request_id]
             self.ended.add(request_id)
-            self.tell(ClientDisconnected(request_id))
+            self.handle(ClientDisconnected(request_id))
         elif kind == "odd":
-            self.tell(Outcome(10_000 + number, 0, "nowhere", status, 1.0, note))
-            self.tell(ClientDisconnected(10_000 + number))
+            self.handle(Outcome(10_000 + number, 0, "nowhere", status, 1.0, note))
+            self.handle(ClientDisconnected(10_000 + number))
         else:
             self.run_timers(driver.now + wait)
 
@@ -327,8 +329,8 @@
     for _ in range(2):
         checker = RuleChecker(3, 2, {})
         answers: list[Any] = []
-        tell = checker.driver.tell
-        checker.driver.tell = lambda e, tell=tell, answers=answers: (answers.append(a := tell(e)), a)[1]  # type: ignore[method-assign]
+        tell = checker.driver.handle
+        checker.driver.handle = lambda e, tell=tell, answers=answers: (answers.append(a := tell(e)), a)[1]  # type: ignore[method-assign]
         for step in steps:
             checker.step(*step)
         runs.append(answers)
@@ -337,12 +339,12 @@
 
 def test_a_request_is_rejected_at_once_if_the_list_is_empty() -> None:
     d = Driver(())
-    only(d.ask(object=5), Refuse)
+    only_action(d.ask(object=5), Refuse)
     assert isinstance(d.router, Router)
 
 
 def _classes(**changes: Any) -> list[dict[str, Any]]:
-    return [{**c, **changes} for c in PLAIN["classes"]]
+    return [{**c, **changes} for c in BASE_SETTINGS["classes"]]
 
 
 DEPLOYMENTS: dict[str, tuple[int, int, dict[str, Any]]] = {
