--- a/benchmarks/system_calls/__init__.py
+++ b/benchmarks/system_calls/__init__.py
@@ -1,19 +1,28 @@
-"""System calls of a real director that fail: call site x errno x moment, with every rule watched.
+"""Makes system calls of a real director fail, for each call site, errno and moment, and checks every rule.
 
-`python -m benchmarks.system_calls [--quick]`: director processes on loopback with a preload library below
-them (`gladelane.lab.preload`), so that calls inside libuv fail too. In each case one kind of call fails for a
-span: under load, at rest, at the start, at the shutdown, or while a new version takes over. Then the director
-has to be back to normal by itself. A case that injected nothing counts as broken.
+`python -m benchmarks.system_calls [--quick]` runs director processes on loopback with a preload library
+(`gladelane.lab.preload`), so that calls inside libuv fail too. In each case one kind of call fails for a
+while: under load, when idle, at the start, at the shutdown, or while a new version takes over. The director
+then has to recover by itself. A case in which no call was made to fail counts as broken.
 
-`sites` has the calls, `cases` the matrix, `runner` plays one case, `lanes` all of them, `tally` sums up,
-`planted` has directors with a mend taken out, which the watch has to catch, and `__main__` reports. The long
-form repeats the matrix with other seeds and lower rates. Exits with 1 if a rule was broken.
+`sites` has the calls, `cases` the matrix, `runner` runs one case, `lanes` runs all of them, `tally` sums up
+the results, `planted` has directors with a fault in their code, which the checks have to detect, and
+`__main__` reports. The long form repeats the matrix with other seeds and lower rates. Exits with 1 if a rule
+was broken.
 """
 
 from .cases import Case
-from .runner import FRESH, play_running
+from .runner import FRESH_DIRECTOR_RUNNERS, run_on_serving_director
 from .sites import SITES, Moment
 
-FAULT_S, FAULT_LONG_S = 0.2, 0.5  # how long a fault is on: well under the deadline of a request
+FAULT_S, FAULT_LONG_S = 0.2, 0.5  # duration of a fault: well under the deadline of a request
 
-__all__ = ["FAULT_LONG_S", "FAULT_S", "FRESH", "SITES", "Case", "Moment", "play_running"]
+__all__ = [
+    "FAULT_LONG_S",
+    "FAULT_S",
+    "FRESH_DIRECTOR_RUNNERS",
+    "SITES",
+    "Case",
+    "Moment",
+    "run_on_serving_director",
+]
--- a/benchmarks/system_calls/__main__.py
+++ b/benchmarks/system_calls/__main__.py
@@ -16,12 +16,12 @@
 from . import FAULT_LONG_S, FAULT_S
 from .cases import Case, matrix
 from .lanes import Lanes
-from .planted import PLANTS, play_planted
+from .planted import PLANTED_FAULTS, run_planted_faults
 from .tally import Tally
 
 
 async def measure(quick: bool, only: str) -> tuple[dict[str, Any], list[str]]:
-    """The figures, and what was broken."""
+    """Runs all cases and planted faults; returns the figures and the broken rules."""
     fault_s = FAULT_S if quick else FAULT_LONG_S
     cases = [case for case in matrix(quick) if only in case.name]
     with tempfile.TemporaryDirectory(prefix="calls") as folder:
@@ -29,17 +29,17 @@
         lanes = Lanes(library, fault_s)
         missed: list[str] = []
 
-        async def planted() -> None:
+        async def run_planted() -> None:
             if not only:
-                missed.extend(await play_planted(library, fault_s))
+                missed.extend(await run_planted_faults(library, fault_s))
 
-        await asyncio.gather(lanes.run(cases), planted())
+        await asyncio.gather(lanes.run(cases), run_planted())
     broken = [*lanes.tally.broken, *(f"planted and missed: {name}" for name in missed)]
-    return figures_of(cases, lanes.tally, 0 if only else len(PLANTS), len(missed)), broken
+    return figures_of(cases, lanes.tally, 0 if only else len(PLANTED_FAULTS), len(missed)), broken
 
 
 def figures_of(cases: list[Case], tally: Tally, planted: int, missed: int) -> dict[str, Any]:
-    """By the names of the report."""
+    """Returns the figures under the names of the report."""
     return {
         "sites": len({case.site.name for case in cases}),
         "errnos": len({case.error for case in cases}),
@@ -53,10 +53,10 @@
 
 
 def main() -> int:
-    """`--only TEXT` plays the cases whose names hold the text."""
-    words = sys.argv[1:]
-    only = words[words.index("--only") + 1] if "--only" in words else ""
-    figures, broken = uvloop.run(measure("--quick" in words, only))
+    """Runs the benchmark; `--only TEXT` selects the cases whose names contain the text."""
+    argv = sys.argv[1:]
+    only = argv[argv.index("--only") + 1] if "--only" in argv else ""
+    figures, broken = uvloop.run(measure("--quick" in argv, only))
     return conclude(figures, broken)
 
 
--- a/benchmarks/system_calls/planted.py
+++ b/benchmarks/system_calls/planted.py
@@ -1,4 +1,4 @@
-"""Directors with a fault put in, which show that the watch notices what it is there for."""
+"""Directors with a fault planted in their code, which show that the checks of the benchmark detect faults."""
 
 from __future__ import annotations
 
@@ -11,16 +11,19 @@
 from gladelane.lab.processes import ROOT
 
 from .cases import Case
-from .runner import play_running
+from .runner import run_on_serving_director
 from .sites import SITES, Moment
 
-PLANTED_TRIES = 3  # what a planted fault breaks may need a request that is under way just then
+PLANTED_FAULT_TRIES = 3  # a planted fault may show only if a request is in progress at that moment
 
 
 @dataclass(frozen=True)
-class Plant:
-    """A director in which something that the watch must notice was put: Python that is run in its process
-    before it starts, and the case that brings it out."""
+class PlantedFault:
+    """A fault that the checks must detect.
+
+    `code` is Python that runs in the process of the director before the director starts, and `case` is the
+    case in which the fault shows.
+    """
 
     name: str
     code: str
@@ -28,27 +31,27 @@
 
 
 def _case(site: str, error: int) -> Case:
-    return Case(next(one for one in SITES if one.name == site), error, Moment.LOAD)
+    return Case(next(candidate for candidate in SITES if candidate.name == site), error, Moment.LOAD)
 
 
-PLANTS = (
-    Plant(
-        "accepting never goes on",
+PLANTED_FAULTS = (
+    PlantedFault(
+        "accepting never resumes",
         "from gladelane.net import listener\n"
         "import asyncio\n"
         "listener.Listener._accept_later = lambda self: "
         "asyncio.get_running_loop().remove_reader(self.sock.fileno())\n",
         _case("accept of a client", errno.ENFILE),
     ),
-    Plant(
-        "a reset counts as proof that nothing ran",
+    PlantedFault(
+        "a reset counts as proof that the request did not run",
         "from gladelane.net import attempt_outcomes as outcomes\n"
         "from gladelane.routing.events import Status\n"
         "outcomes.STATUS[outcomes.AttemptOutcome.RESET] = Status.CONNECT_FAILED\n",
         _case("read from a store", errno.ECONNRESET),
     ),
-    Plant(
-        "what was not served is not answered",
+    PlantedFault(
+        "a request that was not served gets no answer",
         "from gladelane.net import client_requests as c\n"
         "answer = c.ClientRequests._answer\n"
         "def only_served(self, stream, final, answered):\n"
@@ -57,7 +60,7 @@
         "c.ClientRequests._answer = only_served\n",
         _case("connect", errno.ENETUNREACH),
     ),
-    Plant(
+    PlantedFault(
         "a dial without an address ends the process",
         "import errno, os\n"
         "from gladelane.endpoints import connect\n"
@@ -66,8 +69,8 @@
         "os._exit(3) if code == errno.EADDRNOTAVAIL else told(self, code)\n",
         _case("connect", errno.EADDRNOTAVAIL),
     ),
-    Plant(
-        "a client whose options cannot be set is closed",
+    PlantedFault(
+        "a client whose socket options cannot be set is closed",
         "from gladelane.net import client_listener, streams\n"
         "import socket\n"
         "accept = streams.accept_stream\n"
@@ -80,29 +83,29 @@
 )
 
 
-async def play_planted(library: Path, fault_s: float) -> list[str]:
-    """The names of those that the watch missed."""
+async def run_planted_faults(library: Path, fault_s: float) -> list[str]:
+    """Runs all planted faults; returns the names of those that the checks missed."""
     missed = []
-    for plant in PLANTS:
+    for planted in PLANTED_FAULTS:
         broken: list[str] = []
-        for _ in range(PLANTED_TRIES):
-            broken = broken or await play_plant(plant, library, fault_s)
-        print(f"planted, {plant.name}: {'; '.join(broken[:3]) or 'MISSED'}", flush=True)
+        for _ in range(PLANTED_FAULT_TRIES):
+            broken = broken or await run_planted_fault(planted, library, fault_s)
+        print(f"planted, {planted.name}: {'; '.join(broken[:3]) or 'MISSED'}", flush=True)
         if not broken:
-            missed.append(plant.name)
+            missed.append(planted.name)
     return missed
 
 
-async def play_plant(plant: Plant, library: Path, fault_s: float) -> list[str]:
-    """What the watch saw; nothing where its director's ports were taken by others."""
+async def run_planted_fault(planted: PlantedFault, library: Path, fault_s: float) -> list[str]:
+    """Returns the rules that were broken; none if the ports of the director were in use."""
     with tempfile.TemporaryDirectory(prefix="calls") as folder:
-        (Path(folder) / "sitecustomize.py").write_text(plant.code)
+        (Path(folder) / "sitecustomize.py").write_text(planted.code)
         scene = Scene(Path(folder), library, {"PYTHONPATH": f"{folder}:{ROOT}"})
         try:
             await scene.prepare()
             if not await scene.starts():
                 return []
-            result = await play_running(scene, plant.case, fault_s)
+            result = await run_on_serving_director(scene, planted.case, fault_s)
         finally:
             await scene.close()
     return result.verdict.broken()
--- a/benchmarks/system_calls/sites.py
+++ b/benchmarks/system_calls/sites.py
@@ -1,4 +1,4 @@
-"""The call sites of a director that are made to fail: which call, in which part, with which errors, when."""
+"""The call sites of a director that are made to fail: the call, the part, the errors and the moments."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Moment(Enum):
-    """When a fault is on."""
+    """When a fault is active."""
 
     LOAD = "load"
     IDLE = "idle"
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Site:
-    """A call as one part of the director makes it."""
+    """A system call that one part of the director makes."""
 
     name: str
     call: Call
@@ -38,18 +38,18 @@
     moments: tuple[Moment, ...] = (Moment.LOAD,)
     scope: Scope = Scope.TCP
     port: Port = Port.ANY
-    breaks_clients: bool = False  # its errors, but neither EINTR nor SHORT, end connections of clients
+    breaks_clients: bool = False  # its errors, except EINTR and SHORT, end connections of clients
 
 
-ALWAYS = (Moment.LOAD, Moment.SHUTDOWN)
-OUT_OF_DESCRIPTORS = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM)
-BROKEN = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET)
+LOAD_AND_SHUTDOWN = (Moment.LOAD, Moment.SHUTDOWN)
+OUT_OF_RESOURCES = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM)
+BROKEN_CONNECTION = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET)
 TRANSIENT = (errno.EINTR, SHORT)
 SITES = (
     Site(
         "accept of a client",
         Call.ACCEPT,
-        (errno.ECONNABORTED, *OUT_OF_DESCRIPTORS, errno.EPROTO, errno.EINTR),
+        (errno.ECONNABORTED, *OUT_OF_RESOURCES, errno.EPROTO, errno.EINTR),
         (Moment.LOAD, Moment.IDLE),
         port=Port.CLIENTS,
     ),
@@ -92,7 +92,7 @@
     Site(
         "read from a client",
         Call.READ,
-        (*BROKEN, *TRANSIENT),
+        (*BROKEN_CONNECTION, *TRANSIENT),
         (Moment.LOAD,),
         Scope.ACCEPTED,
         Port.CLIENTS,
@@ -107,7 +107,7 @@
         Port.CLIENTS,
         breaks_clients=True,
     ),
-    Site("socket", Call.SOCKET, OUT_OF_DESCRIPTORS, (Moment.LOAD, Moment.IDLE)),
+    Site("socket", Call.SOCKET, OUT_OF_RESOURCES, (Moment.LOAD, Moment.IDLE)),
     Site(
         "connect",
         Call.CONNECT,
@@ -123,12 +123,14 @@
     ),
     Site("setsockopt", Call.SETSOCKOPT, (errno.ENOBUFS, errno.EINVAL)),
     Site("getsockopt of a dial", Call.GETSOCKOPT, (errno.ENOBUFS, errno.EINVAL), scope=Scope.CONNECTED),
-    Site("read from a store", Call.READ, (*BROKEN, *TRANSIENT), ALWAYS, Scope.CONNECTED),
+    Site(
+        "read from a store", Call.READ, (*BROKEN_CONNECTION, *TRANSIENT), LOAD_AND_SHUTDOWN, Scope.CONNECTED
+    ),
     Site(
         "write to a store",
         Call.WRITE,
         (errno.EPIPE, errno.ECONNRESET, errno.ETIMEDOUT, errno.ENOBUFS, *TRANSIENT),
-        ALWAYS,
+        LOAD_AND_SHUTDOWN,
         Scope.CONNECTED,
     ),
     Site(
@@ -141,7 +143,7 @@
     Site(
         "read from discovery",
         Call.READ,
-        (*BROKEN, *TRANSIENT),
+        (*BROKEN_CONNECTION, *TRANSIENT),
         (Moment.IDLE,),
         Scope.CONNECTED,
         Port.DISCOVERY,
@@ -157,7 +159,7 @@
     Site(
         "accept at the admin endpoint",
         Call.ACCEPT,
-        (errno.ECONNABORTED, *OUT_OF_DESCRIPTORS, errno.EPROTO),
+        (errno.ECONNABORTED, *OUT_OF_RESOURCES, errno.EPROTO),
         port=Port.ADMIN,
     ),
     Site(
@@ -174,8 +176,8 @@
         scope=Scope.ACCEPTED,
         port=Port.ADMIN,
     ),
-    Site("wait", Call.WAIT, (errno.EINTR,), (*ALWAYS, Moment.IDLE), Scope.ANY),
-    Site("close", Call.CLOSE, (errno.EINTR, errno.EIO), ALWAYS),
+    Site("wait", Call.WAIT, (errno.EINTR,), (*LOAD_AND_SHUTDOWN, Moment.IDLE), Scope.ANY),
+    Site("close", Call.CLOSE, (errno.EINTR, errno.EIO), LOAD_AND_SHUTDOWN),
     Site("socket at the start", Call.SOCKET, (errno.ENFILE, errno.ENOBUFS), (Moment.START,)),
     Site("bind at the start", Call.BIND, (errno.EADDRINUSE, errno.ENOMEM), (Moment.START,)),
     Site("listen at the start", Call.LISTEN, (errno.EADDRINUSE,), (Moment.START,)),
--- a/benchmarks/system_calls/tally.py
+++ b/benchmarks/system_calls/tally.py
@@ -1,4 +1,4 @@
-"""What all cases of a run came to: figures, and the rules that were broken."""
+"""The results of all cases of a run: figures, and the rules that were broken."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 from gladelane.lab.call_faults import Verdict
 
-COUNTED = ("lost", "duplicates", "unanswered", "crashes")  # fields of a verdict
+COUNTED_FIELDS = ("lost", "duplicates", "unanswered", "crashes")  # lists of a `Verdict`
 
 
 class CaseResult(NamedTuple):
-    """What one case came to."""
+    """The result of one case."""
 
     verdict: Verdict
-    is_injected: bool  # whether its fault disturbed any call
+    is_injected: bool  # whether the fault disturbed any call
 
 
 @dataclass
@@ -22,16 +22,18 @@
     """The sum of all cases."""
 
     cases: int = 0
-    figures: dict[str, int] = field(default_factory=lambda: dict.fromkeys((*COUNTED, "not_injected"), 0))
+    figures: dict[str, int] = field(
+        default_factory=lambda: dict.fromkeys((*COUNTED_FIELDS, "not_injected"), 0)
+    )
     stuck_after_ms_max: float = 0.0
     slowest: str = ""
     broken: list[str] = field(default_factory=list)
 
     def add(self, name: str, result: CaseResult) -> None:
-        """Takes in the result of the case of this name."""
+        """Adds the result of the case with this name."""
         verdict = result.verdict
         self.cases += 1
-        for key in COUNTED:
+        for key in COUNTED_FIELDS:
             self.figures[key] += len(getattr(verdict, key))
         self.figures["not_injected"] += not result.is_injected
         if verdict.stuck_after_ms > self.stuck_after_ms_max:
--- a/tests/net/test_system_call_matrix.py
+++ b/tests/net/test_system_call_matrix.py
@@ -23,7 +23,7 @@
     assert played == {(site.name, moment) for site in SITES for moment in site.moments}
     assert all(case.rate == LAST_ACCEPT_RATE for case in cases if case.site.name == "accept at the stop")
     starts = [case for case in cases if case.moment is Moment.START]
-    assert len(starts) == 2 * sum(case.most >= 0 for case in starts) > 0
+    assert len(starts) == 2 * sum(case.max_failures >= 0 for case in starts) > 0
 
 
 def test_the_long_form_repeats_all_but_the_starts_with_each_seed() -> None:
--- a/tests/net/test_system_calls.py
+++ b/tests/net/test_system_calls.py
@@ -13,7 +13,14 @@
 import pytest
 from harness import trial
 
-from benchmarks.system_calls import FAULT_S, FRESH, SITES, Case, Moment, play_running
+from benchmarks.system_calls import (
+    FAULT_S,
+    FRESH_DIRECTOR_RUNNERS,
+    SITES,
+    Case,
+    Moment,
+    run_on_serving_director,
+)
 from gladelane import sockets
 from gladelane.endpoints.address import parse
 from gladelane.endpoints.connect import Connect
@@ -77,9 +84,9 @@
         made = Scene(tmp_path, library)
         try:
             await started(made)
-            play = FRESH.get(played.moment)
+            play = FRESH_DIRECTOR_RUNNERS.get(played.moment)
             verdict, is_injected = await (
-                play(made, played) if play is not None else play_running(made, played, FAULT_S)
+                play(made, played) if play is not None else run_on_serving_director(made, played, FAULT_S)
             )
             log = made.director.log(-1)
         finally:
