--- a/benchmarks/operations/__main__.py
+++ b/benchmarks/operations/__main__.py
@@ -14,16 +14,16 @@
 from gladelane.lab.processes import Processes
 
 from .admin_endpoint import measure_admin_endpoint
+from .listener_handover import Change, measure_new_connections
 from .metrics import measure_metrics
-from .newcomers import Change, measure_newcomers
-from .site import MEMORY_MB, SOCKETS, serving_site
+from .site import MEMORY_MB, SOCKETS, serve_site
 from .upgrades import measure_upgrades
 
-T = TypeVar("T")
+Result = TypeVar("Result")
 UPGRADES, QUICK_UPGRADES = 20, 3
 METRIC_REQUESTS, QUICK_METRIC_REQUESTS = 4_000, 400
 ROUNDS, QUICK_ROUNDS = 60, 5
-NONE_ALLOWED = (
+FIGURES_THAT_MUST_BE_ZERO = (
     "door_wrong",
     "lost",
     "figures_apart",
@@ -32,32 +32,32 @@
 )
 
 
-async def with_director(measure: Callable[[Processes], Awaitable[T]]) -> T:
-    """What this gives for a director of its own."""
-    async with serving_site() as serving:
+async def with_director(measure: Callable[[Processes], Awaitable[Result]]) -> Result:
+    """Runs the measurement with a director of its own and returns the result."""
+    async with serve_site() as serving:
         return await measure(serving.director)
 
 
 def measure_all(quick: bool) -> dict[str, Any]:
-    """One after the other."""
+    """Runs all measurements, one after the other, and returns the figures under the names of the report."""
     measure_endpoint = partial(measure_admin_endpoint, quick=quick)
-    measure_some_upgrades = partial(measure_upgrades, times=QUICK_UPGRADES if quick else UPGRADES)
+    measure_upgrade_series = partial(measure_upgrades, count=QUICK_UPGRADES if quick else UPGRADES)
     figures: dict[str, Any] = {
         "quick": quick,
         **asdict(uvloop.run(with_director(measure_endpoint))),
-        **asdict(uvloop.run(with_director(measure_some_upgrades))),
+        **asdict(uvloop.run(with_director(measure_upgrade_series))),
         **asdict(uvloop.run(measure_metrics(QUICK_METRIC_REQUESTS if quick else METRIC_REQUESTS))),
     }
-    for how in Change:
-        newcomers = measure_newcomers(how, QUICK_ROUNDS if quick else ROUNDS)
-        figures[f"newcomers_lost_{how.value}"] = newcomers.lost
-        figures[f"newcomers_{how.value}"] = newcomers.came
+    for change in Change:
+        connections = measure_new_connections(change, QUICK_ROUNDS if quick else ROUNDS)
+        figures[f"newcomers_lost_{change.value}"] = connections.lost
+        figures[f"newcomers_{change.value}"] = connections.attempted
     return figures
 
 
 def broken_rules(figures: dict[str, Any]) -> list[str]:
-    """The names of the figures that are not as they must be."""
-    broken = [name for name in NONE_ALLOWED if figures[name]]
+    """Returns the names of the figures that break a rule."""
+    broken = [name for name in FIGURES_THAT_MUST_BE_ZERO if figures[name]]
     if figures["both_memory_mb"] > MEMORY_MB or figures["both_descriptors"] > SOCKETS:
         broken.append("limits")
     if not figures["last_took_over"]:
@@ -66,7 +66,7 @@
 
 
 def main() -> int:
-    """The exit code."""
+    """Runs the benchmark and returns the exit code."""
     figures = measure_all("--quick" in sys.argv[1:])
     return conclude(figures, broken_rules(figures))
 
--- a/benchmarks/operations/site.py
+++ b/benchmarks/operations/site.py
@@ -1,4 +1,4 @@
-"""The site: two caches, a parent and the origin, and the processes of one director before them."""
+"""A site of two caches, a parent and the origin, and the processes of one director in front of them."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from gladelane.lab.fake_server import Answer, FakeServer
 from gladelane.lab.processes import ROOT, Processes
 
-MEMORY_MB, SOCKETS = 96, 384  # of the director: both processes together keep within
-NAMES = ("cache-0", "cache-1", PARENT, ORIGIN)
+MEMORY_MB, SOCKETS = 96, 384  # limits of the director, for the old and the new process together
+SERVER_NAMES = ("cache-0", "cache-1", PARENT, ORIGIN)
 WEIGHT = 64
 NO_DISCOVERY = "127.0.0.1:1"
 
@@ -23,14 +23,14 @@
     """The fake servers, and the classes of the example configuration."""
 
     def __init__(self, answers: Sequence[Answer] = ()) -> None:
-        self.servers = [FakeServer(name) for name in NAMES]
+        self.servers = [FakeServer(name) for name in SERVER_NAMES]
         for server, answer in zip(self.servers, answers, strict=False):
             server.answer = answer
         self._config = example_config()
         self.class_names = tuple(row["name"] for row in self._config["settings"]["classes"])
 
     async def start(self, folder: Path, program: Path = ROOT) -> Processes:
-        """The director, once it serves. `program`: the checkout that is started."""
+        """Returns the director once it serves; `program` is the checkout that is started."""
         config = self._config
         config["board"] = NO_DISCOVERY
         config["limits"] = {"cores": 1, "memory_mb": MEMORY_MB, "sockets": SOCKETS}
@@ -43,21 +43,24 @@
         return director
 
     async def close(self) -> None:
-        """Ends the servers."""
+        """Stops the servers."""
         for server in self.servers:
             await server.close()
 
 
 class ServingSite(NamedTuple):
-    """A site and its director, which serves."""
+    """A site and its director, which is ready."""
 
     site: Site
     director: Processes
 
 
 @asynccontextmanager
-async def serving_site(answers: Sequence[Answer] = ()) -> AsyncIterator[ServingSite]:
-    """Ends both afterwards. `answers`: of the servers, in their order; the usual ones where it is empty."""
+async def serve_site(answers: Sequence[Answer] = ()) -> AsyncIterator[ServingSite]:
+    """Runs a site and a director inside the context.
+
+    `answers` are the answers of the servers, in their order; servers without one use the default.
+    """
     with tempfile.TemporaryDirectory() as folder:
         site = Site(answers)
         director = await site.start(Path(folder))
--- a/benchmarks/operations/upgrades.py
+++ b/benchmarks/operations/upgrades.py
@@ -1,4 +1,4 @@
-"""One process after the other under load, with what both use while both run."""
+"""Upgrades a director repeatedly under load and measures what both processes use while both run."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 from gladelane.lab.processes import Load, Processes
 
-CLASSES = ("video-part", "question-item")
-BETWEEN_UPGRADES_S, BOTH_S, LAST_ANSWERS_S = 0.3, 0.1, 0.2
+CLASS_NAMES = ("video-part", "question-item")
+UPGRADE_INTERVAL_S, BOTH_RUNNING_S, LAST_ANSWERS_S = 0.3, 0.1, 0.2
 
 
 @dataclass(frozen=True)
 class UpgradeFigures:
-    """The names are those of the report."""
+    """The results. The fields have the names of the report."""
 
     upgrades: int
     served_meanwhile: int
@@ -28,17 +28,17 @@
     both_descriptors: int
 
 
-async def measure_upgrades(director: Processes, times: int) -> UpgradeFigures:
-    """So many upgrades; the director's last process goes on serving."""
+async def measure_upgrades(director: Processes, count: int) -> UpgradeFigures:
+    """Performs `count` upgrades; the last process of the director keeps serving."""
     memory_mb, descriptors, ready_s = 0.0, 0, []
-    load = Load(director.port, classes=CLASSES)
-    for _ in range(times):
-        await asyncio.sleep(BETWEEN_UPGRADES_S)
-        began_s = time.perf_counter()
+    load = Load(director.port, classes=CLASS_NAMES)
+    for _ in range(count):
+        await asyncio.sleep(UPGRADE_INTERVAL_S)
+        started_s = time.perf_counter()
         await director.start()
         await director.serving()
-        ready_s.append(time.perf_counter() - began_s)
-        await asyncio.sleep(BOTH_S)
+        ready_s.append(time.perf_counter() - started_s)
+        await asyncio.sleep(BOTH_RUNNING_S)
         memory_now_mb, descriptors_now = director.resource_usage()
         memory_mb, descriptors = max(memory_mb, memory_now_mb), max(descriptors, descriptors_now)
         director.all[-2].send_signal(signal.SIGTERM)
@@ -46,7 +46,7 @@
     await asyncio.sleep(LAST_ANSWERS_S)
     await load.stop()
     return UpgradeFigures(
-        upgrades=times,
+        upgrades=count,
         served_meanwhile=load.served,
         lost=load.lost,
         refused_meanwhile=load.refused,
