--- a/benchmarks/restarts/process.py
+++ b/benchmarks/restarts/process.py
@@ -1,4 +1,4 @@
-"""One process: its configuration, its start, and when it is ready."""
+"""One process: its configuration, its start, and the time until it is ready."""
 
 from __future__ import annotations
 
@@ -17,26 +17,30 @@
 from gladelane.lab.processes import ROOT
 from gladelane.net.client_protocol import FrameDecoder, FrameType, FramingError, encode_fields, encode_frame
 
-READY_S, GIVE_UP_S = 10.0, 60.0  # the operators' bound for nine in ten, and how long this benchmark waits
-PROBE_S = 0.02
+# the operators' limit for nine in ten processes, and the time for which this benchmark waits
+READY_LIMIT_S, MAX_WAIT_S = 10.0, 60.0
+PROBE_INTERVAL_S = 0.02
 CACHES = 200
-ANSWER_S = 5.0  # for an answer to type 32
+ANSWER_TIMEOUT_S = 5.0  # for an answer to a frame of type 32
 
 
-class Configured(NamedTuple):
-    """The configuration of a process, and the port where it will listen."""
+class DirectorConfig(NamedTuple):
+    """The configuration file of a process, and the port where it will listen."""
 
     path: Path
     port: int
 
     @property
     def log(self) -> Path:
-        """Of the latest start."""
+        """The log file of the latest start."""
         return self.path.with_suffix(".log")
 
 
-class Started:
-    """One process and what its start took. `has_ended`: before all had been waited for."""
+class StartedProcess:
+    """One process and the cost of its start.
+
+    `has_ended` says that it ended by itself before the wait for all processes was over.
+    """
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
@@ -45,7 +49,7 @@
         self.cpu_s = self.memory_mb = 0.0
 
     def measure(self) -> None:
-        """Reads from the system what it has used so far."""
+        """Reads from the system the processor time and memory that the process has used so far."""
         usage = ProcessUsage(self.process.pid)
         with suppress(OSError):
             self.cpu_s = usage.processor_s()
@@ -53,15 +57,15 @@
 
 
 def distinct_ports(count: int) -> list[int]:
-    """Free ones; two calls of `free_port` may give the same."""
+    """Returns free ports without repetition; two calls of `free_port` may return the same port."""
     ports: set[int] = set()
     while len(ports) < count:
         ports.add(free_port())
     return list(ports)
 
 
-def write_config(folder: Path, number: int, discovery_address: str, port: int) -> Configured:
-    """A configuration with CACHES caches."""
+def write_config(folder: Path, number: int, discovery_address: str, port: int) -> DirectorConfig:
+    """Writes a configuration with CACHES caches."""
     raw = example_config()
     raw.update(name=f"n{number}", listen=f"127.0.0.1:{port}", board=discovery_address)
     pool = raw["known"]["notices"][0]["pool"]
@@ -71,11 +75,11 @@
     ]
     path = folder / f"config{number}.json"
     path.write_text(json.dumps(raw))
-    return Configured(path, port)
+    return DirectorConfig(path, port)
 
 
-async def start(path: Path) -> Started:
-    """A process with this configuration; its log lies beside it."""
+async def start_process(path: Path) -> StartedProcess:
+    """Starts a process with this configuration; its log is written beside it."""
     env = {**os.environ, "GW_CONFIG": str(path), "TMPDIR": str(path.parent)}
     env.pop("GW_OPS", None)
     env.pop("GW_OPERATOR", None)
@@ -83,13 +87,13 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "gladelane", cwd=ROOT, env=env, stderr=log
         )
-    return Started(process)
+    return StartedProcess(process)
 
 
 async def is_ready(port: int) -> bool:
-    """Whether type 32 is answered with code 0."""
-    with suppress(OSError, TimeoutError, FramingError):  # the port may be somebody else's by now
-        async with asyncio.timeout(ANSWER_S):
+    """Returns whether the process answers a frame of type 32 with code 0."""
+    with suppress(OSError, TimeoutError, FramingError):  # another process may have the port by now
+        async with asyncio.timeout(ANSWER_TIMEOUT_S):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             try:
                 writer.write(encode_frame(FrameType.ASK_READY, 1, encode_fields({})))
@@ -102,21 +106,21 @@
     return False
 
 
-async def wait_ready(started: Started, port: int, began: float) -> None:
-    """Returns once it is ready, has ended, or is given up."""
+async def wait_ready(started: StartedProcess, port: int, started_at_s: float) -> None:
+    """Returns once the process is ready, has ended, or MAX_WAIT_S is over."""
     loop = asyncio.get_running_loop()
-    while started.process.returncode is None and loop.time() - began < GIVE_UP_S:
+    while started.process.returncode is None and loop.time() - started_at_s < MAX_WAIT_S:
         if await is_ready(port):
-            started.ready_s = loop.time() - began
+            started.ready_s = loop.time() - started_at_s
             started.measure()
             return
-        await asyncio.sleep(PROBE_S)
+        await asyncio.sleep(PROBE_INTERVAL_S)
 
 
-async def end(processes: list[Started]) -> None:
-    """Kills all and waits for them."""
-    for one in processes:
+async def kill_all(processes: list[StartedProcess]) -> None:
+    """Kills all processes and waits for their ends."""
+    for started in processes:
         with suppress(ProcessLookupError):
-            one.process.send_signal(signal.SIGKILL)
-    for one in processes:
-        await one.process.wait()
+            started.process.send_signal(signal.SIGKILL)
+    for started in processes:
+        await started.process.wait()
