--- a/benchmarks/size/__main__.py
+++ b/benchmarks/size/__main__.py
@@ -8,31 +8,31 @@
 
 from benchmarks import conclude
 
-from .allowances import ALLOWANCES, SERVED_LEAST
-from .day import play_day
-from .fake_fleet import LARGE, SMALL
+from .allowances import ALLOWANCES, MIN_SERVED_RATIO
+from .day import run_day
+from .fake_fleet import LARGE_CACHES, SMALL_CACHES
 
 
 async def run(quick: bool) -> int:
-    """Plays both sizes and reports; the exit code."""
-    small = await play_day(SMALL, quick)
-    print(SMALL, small, flush=True)
-    large = await play_day(LARGE, quick)
-    print(LARGE, large, flush=True)
+    """Runs both sizes, prints the report, and returns the exit code."""
+    small = await run_day(SMALL_CACHES, quick)
+    print(SMALL_CACHES, small, flush=True)
+    large = await run_day(LARGE_CACHES, quick)
+    print(LARGE_CACHES, large, flush=True)
     ratios = {
-        name: allowance.ratio(getattr(small, name), getattr(large, name), LARGE)
+        name: allowance.ratio(getattr(small, name), getattr(large, name), LARGE_CACHES)
         for name, allowance in ALLOWANCES.items()
     }
-    served = large.served / max(small.served, 1e-9)
-    figures: dict[str, Any] = {"quick": quick, "caches": [SMALL, LARGE]}
+    served_ratio = large.served / max(small.served, 1e-9)
+    figures: dict[str, Any] = {"quick": quick, "caches": [SMALL_CACHES, LARGE_CACHES]}
     figures |= {f"{name}_ratio": round(ratio, 3) for name, ratio in ratios.items()}
-    figures["served_ratio"] = round(served, 3)
-    over = [name for name, ratio in ratios.items() if ratio > ALLOWANCES[name].times]
-    return conclude(figures, over + ["served"] * (served < SERVED_LEAST))
+    figures["served_ratio"] = round(served_ratio, 3)
+    exceeded = [name for name, ratio in ratios.items() if ratio > ALLOWANCES[name].times]
+    return conclude(figures, exceeded + ["served"] * (served_ratio < MIN_SERVED_RATIO))
 
 
 def main() -> int:
-    """The exit code."""
+    """Runs the benchmark and returns the exit code."""
     return asyncio.run(run("--quick" in sys.argv[1:]))
 
 
--- a/benchmarks/size/allowances.py
+++ b/benchmarks/size/allowances.py
@@ -1,4 +1,4 @@
-"""The operators' table: how much more a large fleet may need than a small one."""
+"""The operators' table: how many more resources a director may need in a large fleet than in a small one."""
 
 from __future__ import annotations
 
@@ -7,16 +7,19 @@
 
 
 class Allowance(NamedTuple):
-    """A row of the table: so many times the small fleet's figure, plus so much, plus so much for each
-    thousand caches."""
+    """A row of the table.
+
+    The large fleet may need `times` the figure of the small fleet, plus `plus`, plus `plus_per_1000_caches`
+    for each thousand caches.
+    """
 
     times: float
     plus: float
-    plus_a_thousand: float = 0.0
+    plus_per_1000_caches: float = 0.0
 
     def ratio(self, small: float, large: float, caches: int) -> float:
-        """What is left of the large fleet's figure, as a multiple of the small one's."""
-        return max(large - self.plus - self.plus_a_thousand * caches / 1000.0, 0.0) / max(small, 1e-9)
+        """Returns the large fleet's figure less the fixed allowances, as a multiple of the small fleet's."""
+        return max(large - self.plus - self.plus_per_1000_caches * caches / 1000.0, 0.0) / max(small, 1e-9)
 
 
 ALLOWANCES = {
@@ -26,12 +29,12 @@
     "connections": Allowance(2.5, 40.0),
     "list_bytes": Allowance(2.0, 64e3, 500e3),
 }
-SERVED_LEAST = 0.85
+MIN_SERVED_RATIO = 0.85
 
 
 @dataclass
 class Figures:
-    """Of one day: means over its directors, but for `served`, a share of all requests."""
+    """The results of one day: means over its directors, except `served`, the share of all requests."""
 
     cpu: float = 0.0
     memory: float = 0.0
