--- a/benchmarks/purges/control_servers.py
+++ b/benchmarks/purges/control_servers.py
@@ -1,4 +1,4 @@
-"""The control servers of the fleet: processes that take purges and tell each other and the directors."""
+"""The control servers of the fleet: processes that accept purges and distribute them."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 from .director_files import TOKEN, write_tokens
 
-PROBE_S = 0.05
+PROBE_INTERVAL_S = 0.05
 DOWN_S = 0.2  # between a kill and the next start
 
 
 class ControlServers:
-    """So many of them, each with a folder of its own, which it has again after a restart."""
+    """A number of control servers, each with a folder that it keeps over restarts."""
 
     def __init__(self, folder: Path, count: int) -> None:
         self._folder = folder
@@ -27,13 +27,13 @@
         self._processes: list[subprocess.Popen[bytes]] = []
 
     async def start(self) -> None:
-        """Returns once all answer. Raises TimeoutError."""
+        """Starts all control servers; returns once all answer. Raises TimeoutError."""
         write_tokens(self._folder)
         self._processes = [self._start(number) for number in range(len(self.ports))]
         await asyncio.gather(*(self._wait_ready(number) for number in range(len(self.ports))))
 
     def _start(self, number: int) -> subprocess.Popen[bytes]:
-        peers = [f"127.0.0.1:{port}" for place, port in enumerate(self.ports) if place != number]
+        peers = [f"127.0.0.1:{port}" for index, port in enumerate(self.ports) if index != number]
         options = {
             "--dir": str(self._folder / f"feed-{number}"),
             "--tokens": str(write_tokens(self._folder)),
@@ -48,8 +48,8 @@
             "serve",
             "--first",
         ]
-        command += [word for option in options.items() for word in option]
-        command += [word for peer in peers for word in ("--peer", peer)]
+        command += [argument for option in options.items() for argument in option]
+        command += [argument for peer in peers for argument in ("--peer", peer)]
         return subprocess.Popen(command, cwd=ROOT, stderr=subprocess.DEVNULL)
 
     async def _wait_ready(self, number: int) -> None:
@@ -58,15 +58,15 @@
                 with contextlib.suppress(OSError, TimeoutError):
                     await fetch("127.0.0.1", self.ports[number], "GET", "/status", TOKEN)
                     return
-                await asyncio.sleep(PROBE_S)
+                await asyncio.sleep(PROBE_INTERVAL_S)
 
     def kill(self) -> None:
-        """All of them; a restart waits for their end."""
+        """Kills all control servers; `restart` and `close` wait for their ends."""
         for process in self._processes:
             process.kill()
 
     async def restart(self, number: int) -> None:
-        """By SIGKILL. Returns once it answers again."""
+        """Restarts a control server by SIGKILL; returns once it answers again."""
         self._processes[number].kill()
         await asyncio.to_thread(self._processes[number].wait)
         await asyncio.sleep(DOWN_S)
--- a/benchmarks/purges/directors.py
+++ b/benchmarks/purges/directors.py
@@ -1,4 +1,4 @@
-"""The directors of the fleet: processes, and a connection to each that serves."""
+"""The directors of the fleet: processes, and a connection to each that is running."""
 
 from __future__ import annotations
 
@@ -19,14 +19,16 @@
 
 from .director_files import DirectorFiles
 
-PROBE_S = 0.02
-LAST_ANSWERS_S = 0.05  # for requests under way, between the last request and SIGTERM
+PROBE_INTERVAL_S = 0.02
+LAST_ANSWERS_S = 0.05  # for requests in progress, between the last request and SIGTERM
 
 
 @dataclass
 class RunningDirector:
-    """One director over all its starts. `client` is None while it is down; nobody asks while it is not
-    usable."""
+    """One director over all its starts.
+
+    `client` is None while the director is down. No requests are sent to it unless `is_usable`.
+    """
 
     files: DirectorFiles
     port: int
@@ -35,17 +37,17 @@
     is_usable: bool = False
 
     async def wait_ready(self) -> None:
-        """Connects. Raises TimeoutError."""
+        """Connects to the director once it accepts connections. Raises TimeoutError."""
         async with asyncio.timeout(START_S):
             while True:
                 with contextlib.suppress(OSError):
                     self.client = await Client.to("127.0.0.1", self.port)
                     break
-                await asyncio.sleep(PROBE_S)
+                await asyncio.sleep(PROBE_INTERVAL_S)
         self.is_usable = True
 
     async def stop(self) -> None:
-        """By SIGTERM, after the requests that are under way."""
+        """Ends the process by SIGTERM, after the requests that are in progress."""
         self.is_usable = False
         await asyncio.sleep(LAST_ANSWERS_S)
         self.process.send_signal(signal.SIGTERM)
@@ -56,7 +58,7 @@
 
 
 class Directors:
-    """So many of them, before the servers that discovery lists."""
+    """A number of directors in front of the servers that discovery lists."""
 
     def __init__(self, folder: Path, discovery: FakeDiscovery) -> None:
         self._folder = folder
@@ -64,7 +66,7 @@
         self._running: list[RunningDirector] = []
 
     async def start(self, count: int, discovery_address: str, control_ports: Sequence[int]) -> None:
-        """Returns once all accept connections."""
+        """Starts the directors; returns once all accept connections."""
         for number in range(count):
             files, port = DirectorFiles(self._folder, number), free_port()
             files.write(port, discovery_address, control_ports)
@@ -78,18 +80,18 @@
             return subprocess.Popen([sys.executable, "-m", "gladelane"], cwd=ROOT, env=env, stderr=log)
 
     async def restart(self, number: int) -> None:
-        """By SIGTERM. Returns once it accepts connections again."""
+        """Restarts a director by SIGTERM; returns once it accepts connections again."""
         director = self._running[number]
         await director.stop()
         director.process = self._start(director.files)
         await director.wait_ready()
 
     def clients(self) -> list[Client]:
-        """Of those that run, whether anybody asks there or not."""
+        """Returns the connections to all running directors, usable or not."""
         return [director.client for director in self._running if director.client is not None]
 
     def usable_clients(self) -> list[Client | None]:
-        """Of those that may be asked; None where the connection is gone."""
+        """Returns the connections to usable directors; None if a connection was closed."""
         return [director.client for director in self._running if director.is_usable]
 
     async def close(self) -> None:
--- a/benchmarks/purges/fake_site.py
+++ b/benchmarks/purges/fake_site.py
@@ -1,4 +1,4 @@
-"""The fake servers of a site: four caches, a parent, the origin, and discovery that lists them."""
+"""The fake servers of a site: four caches, a parent, the origin, and the discovery server that lists them."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from gladelane.lab.fake_discovery import FakeDiscovery
 from gladelane.lab.fake_server import FakeServer, Fault
 
-from .draws import OBJECTS, group_of, object_id
+from .random_scopes import OBJECT_COUNT, group_of, object_id
 
 CACHES = 4
 WEIGHT = 20
 PARENT_FILL_S, CACHE_FILL_S = 0.02, 0.01
-PARENT_COPIES_AGE_S = 1.0  # of the copies with which the parent comes back
+PARENT_COPIES_AGE_S = 1.0  # age of the copies with which the parent restarts
 PARENT_DOWN_S = 0.3
 
 
 class FakeSite:
-    """Keeps copies with their dates in this process, so that the age of each answer is known."""
+    """The fake servers, whose copies have dates, so that the age of each answer is known."""
 
     def __init__(self) -> None:
         self.discovery = FakeDiscovery()
@@ -33,10 +33,10 @@
         self._addresses: dict[str, str] = {}
 
     async def start(self) -> str:
-        """The address of discovery."""
+        """Starts all servers and returns the address of discovery."""
         stores = {PARENT: self.parent, ORIGIN: self.origin}
         stores |= {f"cache-{number}": store for number, store in enumerate(self.caches)}
-        groups = {object_id(number): group_of(number) for number in range(OBJECTS)}
+        groups = {object_id(number): group_of(number) for number in range(OBJECT_COUNT)}
         for name, store in stores.items():
             store.groups = groups
             server = self._servers[name] = FakeServer(name, store.answer)
@@ -51,7 +51,7 @@
         return list_entry(name, self._addresses[name], WEIGHT, startedAtMs=started_at_ms)
 
     async def restart_parent(self) -> None:
-        """It comes back with the copies that it had some time before."""
+        """Restarts the parent with the copies that it had PARENT_COPIES_AGE_S before."""
         old_copies = dict(self.parent.copies)
         await asyncio.sleep(PARENT_COPIES_AGE_S)
         await self._servers[PARENT].set(self._addresses[PARENT], Fault.REFUSED)
@@ -63,15 +63,15 @@
         self.discovery.tell({"pool": {"instances": [self._list_entry(PARENT, now_ms())]}})
 
     def dropped_by_order(self) -> int:
-        """Copies that the caches and the parent dropped because a director said so."""
+        """Returns the number of copies that the caches and the parent dropped on a director's order."""
         return sum(store.dropped for store in (*self.caches, self.parent))
 
     def joined_fills(self) -> int:
-        """Requests that waited at a cache for the fill of another one."""
+        """Returns the number of requests that waited at a cache for the fill of another request."""
         return sum(store.joins for store in self.caches)
 
     async def close(self) -> None:
-        """Ends all servers."""
+        """Stops all servers."""
         await self.discovery.close()
         for server in self._servers.values():
             await server.close()
--- a/benchmarks/purges/fleet.py
+++ b/benchmarks/purges/fleet.py
@@ -13,7 +13,7 @@
 
 
 class Fleet:
-    """`restarts` counts by the kind of process, as the report names them."""
+    """The site and all processes; `restarts` counts by the kind of process under the names of the report."""
 
     def __init__(self, folder: Path, with_control_servers: bool) -> None:
         self.site = FakeSite()
@@ -22,28 +22,28 @@
         self.restarts: Counter[str] = Counter()
 
     async def start(self) -> None:
-        """Returns once all processes answer."""
+        """Starts the site and all processes; returns once all answer."""
         discovery_address = await self.site.start()
         await self.control_servers.start()
         await self.directors.start(DIRECTORS, discovery_address, self.control_servers.ports)
 
     async def restart_director(self, number: int) -> None:
-        """By SIGTERM."""
+        """Restarts a director by SIGTERM."""
         await self.directors.restart(number)
         self.restarts["director"] += 1
 
     async def restart_control_server(self, number: int) -> None:
-        """By SIGKILL."""
+        """Restarts a control server by SIGKILL."""
         await self.control_servers.restart(number)
         self.restarts["feed"] += 1
 
     async def restart_parent(self) -> None:
-        """With copies of some time before."""
+        """Restarts the parent with old copies."""
         await self.site.restart_parent()
         self.restarts["hub"] += 1
 
     async def restart_in_turn(self, count: int) -> None:
-        """So many restarts: a director, a control server, the parent, the next director."""
+        """Performs `count` restarts in turn: a director, a control server, the parent, the next director."""
         for turn in range(count):
             match turn % 3:
                 case 0:
@@ -54,7 +54,7 @@
                     await self.restart_parent()
 
     async def close(self) -> None:
-        """Ends all processes and servers."""
+        """Stops all processes and servers."""
         await self.directors.close()
         await self.control_servers.close()
         await self.site.close()
--- a/benchmarks/purges/load.py
+++ b/benchmarks/purges/load.py
@@ -1,4 +1,4 @@
-"""Clients that ask for popular objects, and an operator who purges."""
+"""Clients that request popular objects, and an operator who sends purges."""
 
 from __future__ import annotations
 
@@ -14,49 +14,60 @@
 from gladelane.purges.scope import parse
 
 from .director_files import TOKEN
-from .draws import LOOSE, OBJECTS, STRICT, DrawnScope, draw_scope, group_of, object_id
 from .fleet import Fleet
+from .random_scopes import (
+    OBJECT_COUNT,
+    STRICT_CLASS,
+    UNBOUNDED_CLASS,
+    DrawnScope,
+    draw_scope,
+    group_of,
+    object_id,
+)
 
-PARTS = 2  # that are asked for of each object
+PARTS = 2  # of each object that are requested
 DEADLINE_MS = 1500
-PATIENCE_S = 4.0
-NOBODY_USABLE_S, REJECTED_S, BETWEEN_REQUESTS_S, RETRY_S = 0.01, 0.05, 0.002, 0.02
+ANSWER_TIMEOUT_S = 4.0
+NO_DIRECTOR_RETRY_S, REJECTED_BACKOFF_S, REQUEST_INTERVAL_S, PURGE_RETRY_S = 0.01, 0.05, 0.002, 0.02
 SERVED, REJECTED = 0, 1  # codes of answers
 
 
 class Load:
-    """`answers` and `purges` hold what was served and purged; the counts are of all requests."""
+    """Sends requests and purges.
+
+    `answers` has the served answers and `purges` the purges; the counters cover all requests.
+    """
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
         self._fleet = fleet
         self._rng = random.Random(seed)
-        self._weights = [1.0 / (number + 1) for number in range(OBJECTS)]
+        self._weights = [1.0 / (number + 1) for number in range(OBJECT_COUNT)]
         self.answers: list[Made] = []
         self.purges: list[Purged] = []
         self.lost = self.rejected = self.failed = self.asked = 0
         self.is_running = True
 
     async def ask(self) -> None:
-        """One request after the other, until the load ends."""
+        """Sends one request after the other until the load ends."""
         while self.is_running:
-            number = self._rng.choices(range(OBJECTS), self._weights)[0]
+            number = self._rng.choices(range(OBJECT_COUNT), self._weights)[0]
             usable = self._fleet.directors.usable_clients()
             client = self._rng.choice(usable) if usable else None
             if client is None:
-                await asyncio.sleep(NOBODY_USABLE_S)
+                await asyncio.sleep(NO_DIRECTOR_RETRY_S)
             else:
                 await self._ask_for(number, client)
-                await asyncio.sleep(BETWEEN_REQUESTS_S)
+                await asyncio.sleep(REQUEST_INTERVAL_S)
 
     async def _ask_for(self, number: int, client: Client) -> None:
-        class_name, part = (STRICT if number % 2 else LOOSE), self._rng.randrange(PARTS)
+        class_name, part = (STRICT_CLASS if number % 2 else UNBOUNDED_CLASS), self._rng.randrange(PARTS)
         group, request_id = group_of(number), f"{self._rng.getrandbits(64):016x}"
         fields = request_fields(
             class_name, request_id, DEADLINE_MS, object_id(number), part=part, group=group, size_kb="4"
         )
         self.asked += 1
         sent_ms = now_ms()
-        answer = await client.ask(fields, patience_s=PATIENCE_S)
+        answer = await client.ask(fields, patience_s=ANSWER_TIMEOUT_S)
         if answer is not None and answer.code == SERVED:
             dated_ms = float(answer.body[1:] or 0)
             self.answers.append(Made(class_name, group, int(object_id(number), 16), part, sent_ms, dated_ms))
@@ -68,12 +79,12 @@
             self.lost += 1
         elif answer.code == REJECTED:
             self.rejected += 1
-            await asyncio.sleep(REJECTED_S)
+            await asyncio.sleep(REJECTED_BACKOFF_S)
         else:
             self.failed += 1
 
     async def purge(self, count: int, interval_s: float) -> None:
-        """So many purges, each at a control server drawn anew until one answers."""
+        """Sends `count` purges, each to random control servers until one answers."""
         for turn in range(count):
             self.purges.append(await self._submit(draw_scope(self._rng), f"k{turn}"))
             await asyncio.sleep(interval_s)
@@ -87,10 +98,10 @@
                 answer = json.loads(await fetch("127.0.0.1", port, "POST", "/purges", TOKEN, body, headers))
                 return Purged(answer["at_ms"], parse(answer["scope"]))
             except (OSError, HttpStatusError, TimeoutError):
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(PURGE_RETRY_S)
 
-    async def note_purges(self, count: int, interval_s: float) -> None:
-        """What would have been purged, of which nobody is notified."""
+    async def record_purges_without_sending(self, count: int, interval_s: float) -> None:
+        """Records `count` purges that are not sent to any server."""
         for _ in range(count):
             scope = draw_scope(self._rng)
             self.purges.append(Purged(now_ms(), parse(scope.text, scope.tags)))
--- a/benchmarks/purges/measures.py
+++ b/benchmarks/purges/measures.py
@@ -1,4 +1,4 @@
-"""What the answers of a run came to, held against its purges. Pure."""
+"""Figures from the answers of a run and its purges. Pure functions."""
 
 from __future__ import annotations
 
@@ -10,14 +10,16 @@
 
 
 def is_older(answer: Made, purge: Purged) -> bool:
-    """Whether the answer's copy is one that the purge was to drop."""
+    """Returns whether the answer came from a copy that the purge covers."""
     is_before = answer.dated_ms + SLACK_MS < purge.at_ms
     return is_before and purge.scope.covers(answer.cls, answer.group, answer.object, answer.part)
 
 
-def stale_by_scan(answers: Sequence[Made], purges: Sequence[Purged], delay_ms: float, at_most: int) -> int:
-    """Stale answers by the plainest scan over some of them: the index must not vouch for itself."""
-    step = max(len(answers) // at_most, 1)
+def stale_by_scan(
+    answers: Sequence[Made], purges: Sequence[Purged], delay_ms: float, max_scanned: int
+) -> int:
+    """Counts stale answers in a sample by a plain scan, which is independent of the index under test."""
+    step = max(len(answers) // max_scanned, 1)
     return sum(
         any(purge.at_ms + delay_ms <= answer.sent_ms and is_older(answer, purge) for purge in purges)
         for answer in answers[::step]
@@ -25,19 +27,23 @@
 
 
 def delays_ms(answers: Iterable[Made], purges: Iterable[Purged], delay_ms: float) -> list[float]:
-    """For each purge, how long after it the last answer from an older copy was sent; 0: none was. Looks for
-    twice the stated delay."""
+    """Returns for each purge the time until the last request that got an answer from an older copy.
+
+    The time is 0 if there was no such answer; only requests up to twice the stated delay are considered.
+    """
     ordered = sorted(answers, key=lambda answer: answer.sent_ms)
     sent_ms = [answer.sent_ms for answer in ordered]
-    found = []
+    delays = []
     for purge in purges:
         end = bisect_left(sent_ms, purge.at_ms + 2 * delay_ms)
         after = ordered[bisect_left(sent_ms, purge.at_ms) : end]
-        found.append(max((one.sent_ms - purge.at_ms for one in after if is_older(one, purge)), default=0.0))
-    return found
+        delays.append(
+            max((answer.sent_ms - purge.at_ms for answer in after if is_older(answer, purge)), default=0.0)
+        )
+    return delays
 
 
 def peak_per_s(times_s: Iterable[float], start_s: float, end_s: float) -> float:
-    """The most in any second of the interval."""
+    """Returns the largest number of times within one second of the interval."""
     seconds = Counter(int(time_s - start_s) for time_s in times_s if start_s <= time_s < end_s)
     return float(max(seconds.values(), default=0))
--- a/benchmarks/purges/draws.py
+++ b/benchmarks/purges/random_scopes.py
@@ -1,56 +1,59 @@
-"""The objects of the site, and scopes of purges drawn at random."""
+"""The objects of the site, and random scopes of purges."""
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass, field
 
-STRICT, LOOSE = "question-item", "video-part"  # classes with and without a bound on the age of answers
-OBJECTS = 300
-GROUPS = 16
+STRICT_CLASS, UNBOUNDED_CLASS = (
+    "question-item",
+    "video-part",
+)  # classes with and without a bound on the age of answers
+OBJECT_COUNT = 300
+GROUP_COUNT = 16
 
 
 @dataclass(frozen=True)
 class DrawnScope:
-    """A scope as an operator writes it, with the meaning of the tags that it names."""
+    """A scope as an operator writes it, with the scopes of the tags that it names."""
 
     text: str
     tags: dict[str, str] = field(default_factory=dict)
 
 
 def object_id(number: int) -> str:
-    """The 16 hex digits of an object; those of neighbours differ in all places."""
+    """Returns the 16 hex digits of an object; the ids of neighbouring numbers differ in all digits."""
     return f"{number * 0x9E3779B97F4A7C15 & (2**64 - 1):016x}"
 
 
 def group_of(number: int) -> int:
-    """The group to which an object belongs."""
-    return number % GROUPS
+    """Returns the group to which an object belongs."""
+    return number % GROUP_COUNT
 
 
 def draw_scope(rng: random.Random) -> DrawnScope:
-    """Mostly one object of the site, sometimes many."""
-    number = rng.randrange(OBJECTS)
+    """Draws a scope: mostly one object of the site, sometimes many."""
+    number = rng.randrange(OBJECT_COUNT)
     match rng.randrange(10):
         case 0:
-            return DrawnScope(f"group:{rng.randrange(GROUPS)} & class:{LOOSE}")
+            return DrawnScope(f"group:{rng.randrange(GROUP_COUNT)} & class:{UNBOUNDED_CLASS}")
         case 1:
             return DrawnScope(f"objects:{object_id(number)[:2]}* & parts:0")
         case 2:
-            ids = [object_id(rng.randrange(OBJECTS)) for _ in range(4)]
-            return DrawnScope("tag:signs", {"signs": " | ".join(f"object:{one}" for one in ids)})
+            ids = [object_id(rng.randrange(OBJECT_COUNT)) for _ in range(4)]
+            return DrawnScope("tag:signs", {"signs": " | ".join(f"object:{id_}" for id_ in ids)})
         case 3:
             return DrawnScope(f"objects:*{object_id(number)[-1]} & group:{group_of(number)}")
     return DrawnScope(f"object:{object_id(number)}")
 
 
 def draw_scope_of_any_kind(rng: random.Random) -> str:
-    """Over all 64 bits of object ids, with every form that the index keeps apart."""
+    """Draws a scope over all 64 bits of object ids, in one of the forms that the index stores separately."""
     match rng.randrange(20):
         case kind if kind < 10:
             return f"object:{rng.getrandbits(64):016x}"
         case kind if kind < 12:
-            return f"objects:{rng.getrandbits(40):010x}* & class:{STRICT}"
+            return f"objects:{rng.getrandbits(40):010x}* & class:{STRICT_CLASS}"
         case kind if kind < 15:
             return f"objects:{rng.getrandbits(48):012x}*"
         case 15:
--- a/benchmarks/purges/run.py
+++ b/benchmarks/purges/run.py
@@ -1,4 +1,4 @@
-"""One run: load, purges and restarts, then all control servers killed; and what it came to."""
+"""One run: load, purges and restarts, then all control servers killed; and its figures."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from .load import Load
 from .measures import delays_ms, peak_per_s, stale_by_scan
 
-WORKERS = 24
+CLIENT_TASKS = 24
 WARM_UP_S = 1.0
-SCANNED_ANSWERS = 2000  # of all, by the plain scan
-AFTER_DELAY_S = 0.5  # of load, after the delay of the last purge
-CUT_OFF_NOTICED_S = 1.0  # after the delay, until directors that are cut off count as such
-CUT_OFF_S, CAUGHT_UP_S = 3.0, 1.5
+SCANNED_ANSWERS = 2000  # sample size of the plain scan
+EXTRA_LOAD_S = 0.5  # of load after the delay of the last purge
+CUT_OFF_NOTICED_S = 1.0  # after the delay, until directors detect that they are cut off
+CUT_OFF_S, RECOVERY_S = 3.0, 1.5
 
 
 @dataclass(frozen=True)
 class RunPlan:
-    """What is done in a run. Without control servers purges are noted and nobody is notified."""
+    """The actions of a run. Without control servers the purges are recorded but not sent."""
 
     purges: int
     interval_s: float
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class CutOffFigures:
-    """What directors do without control servers. The names are those of the report."""
+    """The behaviour of directors while control servers are down. The fields have the names of the report."""
 
     origin_peak_ratio: float = 0.0
     refused_cut_off: int = 0
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class RunFigures:
-    """What a run came to. The names are those of the report."""
+    """The results of a run. The fields have the names of the report."""
 
     purges: int
     answers: int
@@ -65,47 +65,47 @@
 
 @dataclass(frozen=True)
 class RunResult:
-    """`cut_off` has no meaning for a run without control servers."""
+    """All figures of a run; `cut_off` has no meaning for a run without control servers."""
 
     cut_off: CutOffFigures
     figures: RunFigures
 
 
-async def play(plan: RunPlan) -> RunResult:
-    """Starts a fleet, plays the run, and ends the fleet."""
+async def run_plan(plan: RunPlan) -> RunResult:
+    """Starts a fleet, runs the plan, and stops the fleet."""
     with tempfile.TemporaryDirectory(prefix="gl") as folder:
         fleet = Fleet(Path(folder), plan.with_control_servers)
         try:
             await fleet.start()
-            return await _play_at(fleet, plan)
+            return await _run_on_fleet(fleet, plan)
         finally:
             await fleet.close()
 
 
-async def _play_at(fleet: Fleet, plan: RunPlan) -> RunResult:
+async def _run_on_fleet(fleet: Fleet, plan: RunPlan) -> RunResult:
     loop = asyncio.get_running_loop()
     load = Load(fleet, plan.seed)
-    workers = [asyncio.create_task(load.ask()) for _ in range(WORKERS)]
+    workers = [asyncio.create_task(load.ask()) for _ in range(CLIENT_TASKS)]
     await asyncio.sleep(WARM_UP_S)
-    began_s = loop.time()
+    started_s = loop.time()
     if plan.with_control_servers:
         purging = asyncio.create_task(load.purge(plan.purges, plan.interval_s))
         await fleet.restart_in_turn(plan.restarts)
         await purging
     else:
-        await load.note_purges(plan.purges, plan.interval_s)
-    await asyncio.sleep(DELAY_MS / 1000.0 + AFTER_DELAY_S)
+        await load.record_purges_without_sending(plan.purges, plan.interval_s)
+    await asyncio.sleep(DELAY_MS / 1000.0 + EXTRA_LOAD_S)
     cut_off = CutOffFigures()
     if plan.with_control_servers:
-        usual_peak = peak_per_s(fleet.site.origin.asked, began_s, loop.time())
-        cut_off = await _cut_off(fleet, load, usual_peak)
+        usual_peak = peak_per_s(fleet.site.origin.asked, started_s, loop.time())
+        cut_off = await _measure_cut_off(fleet, load, usual_peak)
     load.is_running = False
     await asyncio.gather(*workers)
     return RunResult(cut_off, _figures(fleet, load))
 
 
-async def _cut_off(fleet: Fleet, load: Load, usual_peak: float) -> CutOffFigures:
-    """Kills all control servers for a while."""
+async def _measure_cut_off(fleet: Fleet, load: Load, usual_peak: float) -> CutOffFigures:
+    """Kills all control servers, restarts them, and returns the figures of the cut-off directors."""
     loop = asyncio.get_running_loop()
     rejected_before = load.rejected
     fleet.control_servers.kill()
@@ -115,7 +115,7 @@
     peak = peak_per_s(fleet.site.origin.asked, start_s, loop.time())
     figures = CutOffFigures(round(peak / usual_peak, 2), load.rejected - rejected_before)
     await asyncio.gather(*(fleet.restart_control_server(number) for number in range(CONTROL_SERVERS)))
-    await asyncio.sleep(CAUGHT_UP_S)
+    await asyncio.sleep(RECOVERY_S)
     return figures
 
 
--- a/benchmarks/purges/structures.py
+++ b/benchmarks/purges/structures.py
@@ -1,4 +1,4 @@
-"""The data structures alone: lookups against a plain scan, memory, and recovery from the log."""
+"""Measures the data structures alone: lookups and plain scans, memory, and recovery from the log."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from gladelane.storage.files import Folder
 from gladelane.storage.log import recover
 
-from .draws import STRICT, draw_scope_of_any_kind
+from .random_scopes import STRICT_CLASS, draw_scope_of_any_kind
 
 POPULAR_OBJECTS = 20_000
 LOOKUPS, LOOKUP_ROUNDS = 50_000, 3
 SCANNED_LOOKUPS = 2
-MEASURED_SHARE = 5  # one in so many purges is enough to see what one takes
+PURGES_PER_MEASURED = 5  # memory is measured with one in this many purges
 
 
 class Lookup(NamedTuple):
-    """An object part as a request names it."""
+    """The object part that a request names."""
 
     class_name: str
     group: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class Recovery:
-    """How long a start takes to read the log, and to build the purges from it."""
+    """The time that a start takes to read the log, and to build the purges from it."""
 
     log_ms: float
     purges_ms: float
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class StructureFigures:
-    """The names are those of the report."""
+    """The results. The fields have the names of the report; `standing` is the number of active purges."""
 
     standing: int
     lookup_us: float
@@ -57,7 +57,7 @@
 
 
 def measure_structures(count: int) -> StructureFigures:
-    """With so many active purges."""
+    """Measures the data structures with `count` active purges."""
     rng = random.Random(3)
     at_ms = now_ms()
     sequence = IssuerSequence("bench", (), 0.0, at_ms)
@@ -65,7 +65,7 @@
         sequence.next(parse(draw_scope_of_any_kind(rng)).text(), at_ms + number / 100.0)
         for number in range(count)
     ]
-    purge_bytes = bytes_per_purge(purges[: count // MEASURED_SHARE], at_ms)
+    purge_bytes = bytes_per_purge(purges[: count // PURGES_PER_MEASURED], at_ms)
     active = apply_all(purges, at_ms)
     lookups = draw_lookups(rng)
     lookup_us = time_lookups_us(active, lookups, at_ms)
@@ -82,7 +82,7 @@
 
 
 def apply_all(purges: Sequence[Purge], at_ms: float) -> ActivePurges:
-    """The index alone: it keeps no purges to hand on."""
+    """Applies all purges to a new index, which does not keep them for other servers."""
     active = ActivePurges(keeps_purges=False)
     for purge in purges:
         active.apply(purge, at_ms)
@@ -90,55 +90,55 @@
 
 
 def bytes_per_purge(purges: Sequence[Purge], at_ms: float) -> float:
-    """Memory of the index for each purge."""
+    """Returns the memory of the index for each purge."""
     tracemalloc.start()
     active = apply_all(purges, at_ms)
     allocated = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del active  # that was alive until here
+    del active  # it had to live until the memory was read
     return allocated / len(purges)
 
 
 def draw_lookups(rng: random.Random) -> list[Lookup]:
-    """Of popular objects mostly."""
+    """Draws lookups, mostly of popular objects."""
     popular = [rng.getrandbits(64) for _ in range(POPULAR_OBJECTS)]
-    weights = [1.0 / (place + 1) for place in range(len(popular))]
+    weights = [1.0 / (index + 1) for index in range(len(popular))]
     chosen = rng.choices(popular, weights, k=LOOKUPS)
-    return [Lookup(STRICT, rng.randrange(256), object_id, 0) for object_id in chosen]
+    return [Lookup(STRICT_CLASS, rng.randrange(256), object_id, 0) for object_id in chosen]
 
 
 def time_lookups_us(active: ActivePurges, lookups: Sequence[Lookup], at_ms: float) -> float:
-    """One lookup, in the fastest of some rounds."""
+    """Returns the mean time of a lookup in the fastest of LOOKUP_ROUNDS rounds."""
     rounds_s = []
     for _ in range(LOOKUP_ROUNDS):
-        began_s = time.perf_counter()
+        started_s = time.perf_counter()
         for lookup in lookups:
             active.index.newest_purge_ms(*lookup, at_ms)
-        rounds_s.append(time.perf_counter() - began_s)
+        rounds_s.append(time.perf_counter() - started_s)
     return min(rounds_s) / len(lookups) * 1e6
 
 
 def time_scans_us(
     purges: Sequence[Purge], active: ActivePurges, lookups: Sequence[Lookup], at_ms: float
 ) -> float:
-    """One lookup by a scan over all purges, which must give what the index gives."""
+    """Returns the mean time of a scan over all purges, and asserts that it gives the result of the index."""
     scopes = [(purge.at_ms, parse(purge.scope)) for purge in purges]
-    began_s = time.perf_counter()
+    started_s = time.perf_counter()
     for lookup in lookups:
         newest_ms = max((purged_ms for purged_ms, scope in scopes if scope.covers(*lookup)), default=0.0)
         assert newest_ms == active.index.newest_purge_ms(*lookup, at_ms)
-    return (time.perf_counter() - began_s) / len(lookups) * 1e6
+    return (time.perf_counter() - started_s) / len(lookups) * 1e6
 
 
 def time_recovery(purges: Sequence[Purge], at_ms: float) -> Recovery:
-    """From a log that has all of them."""
+    """Returns the time of a recovery from a log that has all purges."""
     with tempfile.TemporaryDirectory(prefix="gl") as folder:
         log, _ = recover(Folder(folder), "never")
         for purge in purges:
             log.append(encode_purge(purge))
         log.commit()
         log.close()
-        began_s = time.perf_counter()
+        started_s = time.perf_counter()
         found = recover(Folder(folder))[1]
         read_s = time.perf_counter()
         active = ActivePurges()
@@ -147,4 +147,4 @@
                 active.apply(purge_decoder.decode(record), at_ms)
         built_s = time.perf_counter()
     assert len(found.records) == len(purges)
-    return Recovery((read_s - began_s) * 1000.0, (built_s - read_s) * 1000.0)
+    return Recovery((read_s - started_s) * 1000.0, (built_s - read_s) * 1000.0)
