--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -1,11 +1,13 @@
-"""A server that has just started, under the sum of what all directors send it.
-
-`python -m benchmarks.cold [--quick] [--program FOLDER]`: the simulation of `lab/cold.py` for 1 to 2,300
-directors, whole routers for 1 to 30, then 30 real processes (`--quick`: 10) before a cache and a hub. For
-each size the largest sum in any window less what is borne of N (N + 2 √N + 2, or N + 3 √N + 3 for N under
-30; `over`), the largest sum over that (`ratio`), and how much of what the server may be sent was left unused.
-Exits with 1 if a server would have fallen over.
---program: only the processes, of the version of the program that lies there.
+"""Measures whether the requests of all directors together overload a server that has just started.
+
+`python -m benchmarks.cold [--quick] [--program FOLDER]` runs the simulation of `lab/cold.py` for 1 to 2,300
+directors, whole routers for 1 to 30, then 30 real processes (`--quick`: 10) in front of a cache and a hub. If
+a server may be sent N requests in a window, it tolerates N + 2 √N + 2 of them (N + 3 √N + 3 for N under 30).
+The report has for each size the largest excess over that limit in any window (`over`), the largest ratio of
+requests to the limit (`ratio`), and the share of the allowed requests that was not used (`unused`). Exits
+with 1 if a server would have been overloaded.
+
+`--program` runs only the processes, with the version of the program in that folder.
 """
 
 from __future__ import annotations
@@ -27,64 +29,71 @@
 from gladelane.lab.fleet.day import memory
 
 SIZES = (1, 2, 5, 10, 20, 30, 100, 400, 1000, 2300)
-REQUESTS = (1.0, 2.0, 6.0, 20.0, 80.0)  # N when the server starts
+ALLOWED_REQUESTS = (1.0, 2.0, 6.0, 20.0, 80.0)  # N at the start of the server
 SEEDS, QUICK_SEEDS = range(6), range(1)
 WORKERS = 4
 PROCESSES, QUICK_PROCESSES = 30, 10
 PROCESS_SEEDS, QUICK_PROCESS_SEEDS = range(5), range(1)
-FLOOD = "told at once"  # the run with much more demand than the server can take: what is unused there is lost
+# In this case the demand far exceeds what the server may be sent, so that unused capacity is a loss.
+FLOOD_CASE = "told at once"
 
 
 ROUTER_SIZES = (1, 2, 5, 10, 20, 30)
 ROUTER_REQUESTS, ROUTER_SEEDS, QUICK_ROUTER_SEEDS = (2.0, 6.0, 20.0), range(2), range(1)
 
 
-def summary(played: list[tuple[Case, Measured]]) -> dict[str, Any]:
-    """The figures of one size, by the names of the report."""
-    fallen = [case for case, measured in played if measured.over > 0.0]
-    flooded = [measured.used for case, measured in played if case.name == FLOOD]
-    low = [measured.used / case.demand for case, measured in played if case.demand < 1.0]
+def summarise(results: list[tuple[Case, Measured]]) -> dict[str, Any]:
+    """Returns the figures of one size under the names of the report."""
+    overloaded = [case for case, measured in results if measured.over > 0.0]
+    used_under_flood = [measured.used for case, measured in results if case.name == FLOOD_CASE]
+    served_shares = [measured.used / case.demand for case, measured in results if case.demand < 1.0]
     return {
-        "runs": len(played),
-        "fallen": len(fallen),
-        "over": round(max(measured.over for _, measured in played), 2),
-        "ratio": round(max(measured.ratio for _, measured in played), 3),
-        "unused": round(1.0 - sum(flooded) / len(flooded), 3),
-        "served_of_low_demand": round(sum(low) / len(low), 3),
+        "runs": len(results),
+        "fallen": len(overloaded),
+        "over": round(max(measured.over for _, measured in results), 2),
+        "ratio": round(max(measured.ratio for _, measured in results), 3),
+        "unused": round(1.0 - sum(used_under_flood) / len(used_under_flood), 3),
+        "served_of_low_demand": round(sum(served_shares) / len(served_shares), 3),
     }
 
 
 def simulate(seeds: range) -> dict[str, Any]:
-    """By the number of directors, and the fallen of all sizes by the kind of run."""
-    sizes, kinds = {}, dict[str, int]()
+    """Returns the figures by number of directors, and the overloads of all sizes by the kind of case."""
+    sizes, overloads_by_kind = {}, dict[str, int]()
     with ProcessPoolExecutor(WORKERS) as pool:
         for directors in SIZES:
-            todo = cases(directors, REQUESTS, seeds)
-            played = list(zip(todo, pool.map(play, todo, chunksize=8), strict=True))
-            sizes[str(directors)] = summary(played)
-            for case, measured in played:
+            planned_cases = cases(directors, ALLOWED_REQUESTS, seeds)
+            results = list(zip(planned_cases, pool.map(play, planned_cases, chunksize=8), strict=True))
+            sizes[str(directors)] = summarise(results)
+            for case, measured in results:
                 if measured.over > 0.0:
                     name = f"{case.name}, {case.server.value}"
-                    kinds[name] = kinds.get(name, 0) + 1
+                    overloads_by_kind[name] = overloads_by_kind.get(name, 0) + 1
             print(f"{directors:5d} directors: {sizes[str(directors)]}", flush=True)
-    return {"sizes": sizes, "fallen_by_kind": kinds}
+    return {"sizes": sizes, "fallen_by_kind": overloads_by_kind}
 
 
-def with_routers(seeds: range) -> dict[str, Any]:
-    """Whole routers, with their further attempts and second copies."""
+def run_routers(seeds: range) -> dict[str, Any]:
+    """Runs whole routers, which also send further attempts and second copies."""
     figures = {}
     with ProcessPoolExecutor(WORKERS) as pool:
         for directors in ROUTER_SIZES:
             planned = cases(directors, ROUTER_REQUESTS, seeds)
-            todo = [case for case in planned if not case.beside and not case.restarted]
-            played = list(zip(todo, pool.map(play_routers, todo, chunksize=4), strict=True))
-            figures[str(directors)] = summary(played)
+            planned_cases = [case for case in planned if not case.beside and not case.restarted]
+            results = list(
+                zip(planned_cases, pool.map(play_routers, planned_cases, chunksize=4), strict=True)
+            )
+            figures[str(directors)] = summarise(results)
             print(f"{directors:5d} routers: {figures[str(directors)]}", flush=True)
     return figures
 
 
-async def with_processes(directors: int, seeds: range, program: Path | None) -> dict[str, Any]:
-    """Told at once, asked once, idle, asked twice at once, then flooded until the server is warm."""
+async def run_processes(directors: int, seeds: range, program: Path | None) -> dict[str, Any]:
+    """Runs real processes and returns the figures for each kind of server.
+
+    All directors are notified of the server at once. Each sends one request, is idle, sends two at once, and
+    then sends more requests than allowed until the server is warm.
+    """
     figures = {}
     for server in Server:
         plan = Plan(server, directors, 6.0, 1000.0, 12_000.0, idle_s=3.0, at_once=2, per_s=4.0, flood_s=8.0)
@@ -104,7 +113,7 @@
 
 
 def main() -> int:
-    """The exit code."""
+    """Runs the benchmark and returns the exit code."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--program", type=Path)
@@ -112,14 +121,14 @@
     figures: dict[str, Any] = {}
     if options.program is None:
         figures |= simulate(QUICK_SEEDS if options.quick else SEEDS)
-        figures["routers"] = with_routers(QUICK_ROUTER_SEEDS if options.quick else ROUTER_SEEDS)
+        figures["routers"] = run_routers(QUICK_ROUTER_SEEDS if options.quick else ROUTER_SEEDS)
     directors = QUICK_PROCESSES if options.quick else PROCESSES
     seeds = QUICK_PROCESS_SEEDS if options.quick else PROCESS_SEEDS
-    figures["processes"] = uvloop.run(with_processes(directors, seeds, options.program))
+    figures["processes"] = uvloop.run(run_processes(directors, seeds, options.program))
     simulated = [*figures.get("sizes", {}).values(), *figures.get("routers", {}).values()]
-    fallen = sum(size["fallen"] for size in simulated)
-    fallen += sum(figures["processes"][server.value]["fallen"] for server in Server)
-    return conclude(figures, [f"{fallen} servers fell over"] if fallen else [])
+    overloaded = sum(size["fallen"] for size in simulated)
+    overloaded += sum(figures["processes"][server.value]["fallen"] for server in Server)
+    return conclude(figures, [f"{overloaded} servers fell over"] if overloaded else [])
 
 
 if __name__ == "__main__":
--- a/benchmarks/deployments.py
+++ b/benchmarks/deployments.py
@@ -1,9 +1,10 @@
-"""Generated deployments: whether any decision or send breaks a rule, and whether planted faults are found.
+"""Checks in generated deployments that no decision or send breaks a rule and planted faults are detected.
 
-`python -m benchmarks.deployments [--quick]` runs 2,000 of them, or 200, and each of them again while the wall
-clocks of its directors, caches, parents and origin are wrong or stepped. `--seed N [--steps]` makes the N-th,
-with steps or without, as small as it goes while it still breaks the same rule, and prints it. Exits with 1 if
-a rule is broken or a plant is not caught.
+`python -m benchmarks.deployments [--quick]` runs 2,000 deployments (200 with `--quick`), and each of them
+again while the wall clocks of its directors, caches, parents and origin are wrong or stepped.
+`--seed N [--steps]` reduces the deployment with this seed, with stepped clocks or without, to the smallest
+one that breaks the same rule, and prints it. Exits with 1 if a rule is broken or a planted fault is not
+detected.
 """
 
 from __future__ import annotations
@@ -23,90 +24,93 @@
 from gladelane.lab.planted import PLANTS, Plant
 from gladelane.lab.reduction import reduced
 
-LONG, QUICK = 2000, 200  # deployments
-PLANT_DEPLOYMENTS = 100  # tried for each plant, until it is caught
+DEPLOYMENT_COUNT, QUICK_DEPLOYMENT_COUNT = 2000, 200  # number of deployments
+MAX_DEPLOYMENTS_PER_PLANT = 100  # tried for each planted fault until it is detected
 
 
 Draw = Callable[[int], Deployment]
 
 
-def deployment(seed: int) -> Deployment:
-    """The deployment of this number."""
+def draw_plain_deployment(seed: int) -> Deployment:
+    """Draws the deployment of this seed."""
     return draw_deployment(random.Random(seed))
 
 
-def stepped_deployment(seed: int) -> Deployment:
-    """The same, with wall clocks that are wrong or stepped."""
+def draw_stepped_deployment(seed: int) -> Deployment:
+    """Draws the deployment of this seed with wall clocks that are wrong or stepped."""
     return draw_stepped(random.Random(seed))
 
 
-def breaks(fleet: DeployedFleet, rule: str) -> bool:
-    """Whether the run of this fleet breaks this rule."""
+def breaks_rule(fleet: DeployedFleet, rule: str) -> bool:
+    """Returns whether the run of this fleet breaks this rule."""
     return any(broken.rule == rule for broken in fleet.run().broken)
 
 
-def caught_at(plant: Plant) -> int | None:
-    """The first deployment whose run breaks the plant's rule, and no rule without the plant."""
-    for seed in range(PLANT_DEPLOYMENTS):
-        if breaks(DeployedFleet(deployment(seed), plant.make_director), plant.rule):
-            if not breaks(DeployedFleet(deployment(seed)), plant.rule):
+def first_detecting_seed(plant: Plant) -> int | None:
+    """Returns the first seed whose run breaks the rule of the plant with the plant, and not without it."""
+    for seed in range(MAX_DEPLOYMENTS_PER_PLANT):
+        if breaks_rule(DeployedFleet(draw_plain_deployment(seed), plant.make_director), plant.rule):
+            if not breaks_rule(DeployedFleet(draw_plain_deployment(seed)), plant.rule):
                 return seed
     return None
 
 
-def clock_plant_caught_at(plant: ClockPlant) -> int | None:
-    """The same among deployments whose clocks are stepped, where the plant breaks nothing without steps."""
-    for seed in range(PLANT_DEPLOYMENTS):
-        if breaks(plant.make_fleet(stepped_deployment(seed)), plant.rule):
-            sound = DeployedFleet(stepped_deployment(seed)), plant.make_fleet(deployment(seed))
-            if not any(breaks(fleet, plant.rule) for fleet in sound):
+def first_detecting_stepped_seed(plant: ClockPlant) -> int | None:
+    """Returns the first seed whose run breaks the plant's rule only with the plant and stepped clocks."""
+    for seed in range(MAX_DEPLOYMENTS_PER_PLANT):
+        if breaks_rule(plant.make_fleet(draw_stepped_deployment(seed)), plant.rule):
+            control_fleets = (
+                DeployedFleet(draw_stepped_deployment(seed)),
+                plant.make_fleet(draw_plain_deployment(seed)),
+            )
+            if not any(breaks_rule(fleet, plant.rule) for fleet in control_fleets):
                 return seed
     return None
 
 
-def run_all(count: int, draw: Draw = deployment) -> dict[str, Any]:
-    """The sums of so many deployments, by the names of the report; prints what they break."""
-    requests = sends = served = falls = steps = 0
+def run_all(count: int, draw: Draw = draw_plain_deployment) -> dict[str, Any]:
+    """Runs deployments, prints the broken rules, and returns the sums under the names of the report."""
+    requests = sends = served = cold_falls = steps = 0
     breaches: Counter[str] = Counter()
     for seed in range(count):
         drawn = draw(seed)
         outcome = DeployedFleet(drawn).run()
         requests, sends = requests + outcome.requests, sends + outcome.sends
-        served, falls = served + outcome.served, falls + outcome.falls
+        served, cold_falls = served + outcome.served, cold_falls + outcome.falls
         steps += len(drawn.clocks.steps)
         rules = {broken.rule: broken for broken in reversed(outcome.broken)}
         for rule, broken in sorted(rules.items()):
             breaches[rule] += 1
-            print(f"seed {seed}{' --steps' if draw is stepped_deployment else ''}: {broken}", flush=True)
+            print(f"seed {seed}{' --steps' if draw is draw_stepped_deployment else ''}: {broken}", flush=True)
     return {
         "deployments": count,
         "clock_steps": steps,
         "requests": requests,
         "sends": sends,
         "served": served,
-        "cold_falls": falls,
+        "cold_falls": cold_falls,
         "breaches": dict(sorted(breaches.items())),
     }
 
 
-def reduce_seed(seed: int, draw: Draw) -> int:
-    """Prints the smallest deployment that breaks the same rule; the exit code."""
+def print_reduced_deployment(seed: int, draw: Draw) -> int:
+    """Prints the smallest deployment that breaks the same rule, and returns the exit code."""
     outcome = DeployedFleet(draw(seed)).run()
     if not outcome.broken:
         print(f"seed {seed} breaks no rule")
         return 0
     rule = outcome.broken[0].rule
-    smallest = reduced(draw(seed), lambda smaller: breaks(DeployedFleet(smaller), rule))
+    smallest = reduced(draw(seed), lambda smaller: breaks_rule(DeployedFleet(smaller), rule))
     print(smallest)
     for broken in DeployedFleet(smallest).run().broken:
         print(broken)
     return 1
 
 
-def plants() -> Iterator[str]:
-    """Those that are caught."""
-    found = {name: caught_at(plant) for name, plant in PLANTS.items()}
-    found |= {name: clock_plant_caught_at(plant) for name, plant in CLOCK_PLANTS.items()}
+def run_plants() -> Iterator[str]:
+    """Runs all planted faults and yields the names of those that are detected."""
+    found = {name: first_detecting_seed(plant) for name, plant in PLANTS.items()}
+    found |= {name: first_detecting_stepped_seed(plant) for name, plant in CLOCK_PLANTS.items()}
     for name, seed in found.items():
         print(f"planted: {name}: {'not caught' if seed is None else f'caught at seed {seed}'}")
         if seed is not None:
@@ -114,21 +118,21 @@
 
 
 def main() -> int:
-    """The exit code."""
-    words = sys.argv[1:]
-    if "--seed" in words:
-        draw = stepped_deployment if "--steps" in words else deployment
-        return reduce_seed(int(words[words.index("--seed") + 1]), draw)
-    began = time.process_time()
-    quick = "--quick" in words
-    count = QUICK if quick else LONG
+    """Runs the benchmark and returns the exit code."""
+    argv = sys.argv[1:]
+    if "--seed" in argv:
+        draw = draw_stepped_deployment if "--steps" in argv else draw_plain_deployment
+        return print_reduced_deployment(int(argv[argv.index("--seed") + 1]), draw)
+    started_s = time.process_time()
+    quick = "--quick" in argv
+    count = QUICK_DEPLOYMENT_COUNT if quick else DEPLOYMENT_COUNT
     figures: dict[str, Any] = {"quick": quick, **run_all(count)}
-    figures["stepped"] = run_all(count, stepped_deployment)
-    caught, planted = list(plants()), len(PLANTS) + len(CLOCK_PLANTS)
+    figures["stepped"] = run_all(count, draw_stepped_deployment)
+    caught, planted = list(run_plants()), len(PLANTS) + len(CLOCK_PLANTS)
     figures |= {
         "planted": planted,
         "planted_caught": len(caught),
-        "seconds": round(time.process_time() - began, 1),
+        "seconds": round(time.process_time() - started_s, 1),
     }
     must_hold = {
         "rules": not figures["breaches"],
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -1,9 +1,9 @@
-"""Fuzzing of what reads bytes from outside: `python -m benchmarks.fuzz [--quick] [--seed N]`.
+"""Fuzzes the readers of external bytes: `python -m benchmarks.fuzz [--quick] [--seed N]`.
 
-Random and mutated inputs to the log's recovery, scopes, positions, purges as they travel, addresses and
-operators' files. A fault is any exception that is not the reader's own; a shortened log that does not say so
-is one too. The last line says how many inputs were tried; exits with 1 at a fault, which is printed with its
-input.
+Random and mutated inputs go to the recovery of the log, scopes, positions, encoded purges, addresses and
+operator files. A fault is any exception that is not the reader's own error type, or a recovery that drops
+bytes without a report. The last line has the number of inputs. Exits with 1 at a fault, which is printed with
+its input.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 from gladelane.sse import EventStream
 from gladelane.storage.log import CorruptLogError, recover
 
-SEEDS = {
+CORPUS = {
     "scope": [
         b"objects:7f3a* & class:page | group:3",
         b"parts:0-7 & objects:?a*1",
@@ -48,8 +48,8 @@
 }
 
 
-def log_bytes() -> bytes:
-    """A log of eight records, as it lies on disk."""
+def make_log_bytes() -> bytes:
+    """Returns the bytes of a log file with eight records."""
     disk = SimDisk()
     log, _ = recover(disk)
     for n in range(8):
@@ -58,42 +58,42 @@
     return disk.read(disk.names()[0])
 
 
-INTACT_LOG = log_bytes()
+INTACT_LOG = make_log_bytes()
 
 
-def mutated(rng: random.Random, data: bytes) -> bytes:
-    """The same bytes with a few changes."""
-    made = bytearray(data)
+def mutate(rng: random.Random, data: bytes) -> bytes:
+    """Returns the bytes with a few random changes."""
+    result = bytearray(data)
     for _ in range(rng.randrange(1, 6)):
-        place = rng.randrange(len(made) + 1)
+        position = rng.randrange(len(result) + 1)
         match rng.randrange(5):
             case 0:
-                made[place:place] = rng.randbytes(rng.randrange(1, 5))
+                result[position:position] = rng.randbytes(rng.randrange(1, 5))
             case 1:
-                del made[place : place + rng.randrange(1, 9)]
-            case 2 if place < len(made):
-                made[place] ^= 1 << rng.randrange(8)
+                del result[position : position + rng.randrange(1, 9)]
+            case 2 if position < len(result):
+                result[position] ^= 1 << rng.randrange(8)
             case 3:
-                made[place:place] = made[rng.randrange(len(made) + 1) :][: rng.randrange(1, 20)]
+                result[position:position] = result[rng.randrange(len(result) + 1) :][: rng.randrange(1, 20)]
             case _:
-                del made[place:]
-    return bytes(made)
+                del result[position:]
+    return bytes(result)
 
 
-def try_scope(data: bytes) -> None:
-    """A scope has to be read again from its own text."""
+def check_scope(data: bytes) -> None:
+    """Checks that a scope is parsed again from its own text."""
     scope = parse_scope(data.decode("utf-8", "replace"), {"a": "objects:a*", "x": "tag:x"})
     assert parse_scope(scope.text()) == scope
 
 
-def try_vector(data: bytes) -> None:
-    """So has a vector of positions."""
+def check_vector(data: bytes) -> None:
+    """Checks that a vector of positions is parsed again from its own text."""
     vector = parse_vector(data.decode("utf-8", "replace"))
     assert parse_vector(format_vector(vector)) == vector
 
 
-def try_event(data: bytes) -> None:
-    """What an event carries can be applied, stored and restored."""
+def check_event(data: bytes) -> None:
+    """Checks that the purges of an event can be applied, stored and restored."""
     event = event_decoder.decode(data)
     active = ActivePurges()
     for purge in event.purges:
@@ -101,56 +101,65 @@
     ActivePurges().restore(active.snapshot(), 1.7e12)
 
 
-def try_stream(data: bytes) -> None:
-    """Events are the same, whatever the pieces in which they come."""
-    at_once = list(EventStream().feed(data))
-    parts = EventStream()
-    assert at_once == [event for place in range(len(data)) for event in parts.feed(data[place : place + 1])]
+def check_stream(data: bytes) -> None:
+    """Checks that the events are the same whether the bytes come at once or one by one."""
+    events_of_whole = list(EventStream().feed(data))
+    stream = EventStream()
+    assert events_of_whole == [
+        event for position in range(len(data)) for event in stream.feed(data[position : position + 1])
+    ]
 
 
-def try_log(data: bytes) -> None:
-    """What recovery leaves out of a log, it has to report."""
+def check_log(data: bytes) -> None:
+    """Checks that recovery reports all bytes of a log that it drops."""
     disk = SimDisk()
     disk.put("0000000000000000.log", data)
-    found = recover(disk)[1]
-    if len(found.records) < 8 and data[: len(INTACT_LOG)] != INTACT_LOG:
+    recovered = recover(disk)[1]
+    if len(recovered.records) < 8 and data[: len(INTACT_LOG)] != INTACT_LOG:
         remaining = disk.size("0000000000000000.log") if disk.names() else 0
-        assert remaining + found.truncated_bytes == len(data), "bytes went without a word"
+        assert remaining + recovered.truncated_bytes == len(data), "recovery dropped bytes without a report"
 
 
-TRIES: dict[str, tuple[Callable[[bytes], Any], tuple[type[Exception], ...]]] = {
-    "scope": (try_scope, (InvalidScopeError,)),
-    "vector": (try_vector, (InvalidPositionError,)),
-    "event": (try_event, (msgspec.MsgspecError, InvalidPurgeError, InvalidPositionError, InvalidScopeError)),
+TARGETS: dict[str, tuple[Callable[[bytes], Any], tuple[type[Exception], ...]]] = {
+    "scope": (check_scope, (InvalidScopeError,)),
+    "vector": (check_vector, (InvalidPositionError,)),
+    "event": (
+        check_event,
+        (msgspec.MsgspecError, InvalidPurgeError, InvalidPositionError, InvalidScopeError),
+    ),
     "submit": (submit_decoder.decode, (msgspec.MsgspecError,)),
     "address": (lambda data: parse_address(data.decode("utf-8", "replace")), (InvalidAddressError,)),
     "operator": (read_operator, (OperatorFileError,)),
-    "stream": (try_stream, ()),
-    "log": (try_log, (CorruptLogError,)),
+    "stream": (check_stream, ()),
+    "log": (check_log, (CorruptLogError,)),
 }
 
 
 def main() -> int:
-    """The exit code."""
-    words = sys.argv[1:]
-    seed = int(words[words.index("--seed") + 1]) if "--seed" in words else 1
-    rng, tried, faults = random.Random(seed), dict.fromkeys(TRIES, 0), 0
-    end = time.monotonic() + (12.0 if "--quick" in words else 300.0)
-    while time.monotonic() < end:
-        for name, (call, own) in TRIES.items():
-            base = INTACT_LOG if name == "log" else rng.choice(SEEDS[name])
-            data = mutated(rng, base) if rng.random() < 0.9 else rng.randbytes(rng.randrange(60))
-            tried[name] += 1
+    """Runs the fuzzer and returns the exit code."""
+    argv = sys.argv[1:]
+    seed = int(argv[argv.index("--seed") + 1]) if "--seed" in argv else 1
+    rng, inputs_by_target, faults = random.Random(seed), dict.fromkeys(TARGETS, 0), 0
+    end_s = time.monotonic() + (12.0 if "--quick" in argv else 300.0)
+    while time.monotonic() < end_s:
+        for name, (check, expected_errors) in TARGETS.items():
+            base = INTACT_LOG if name == "log" else rng.choice(CORPUS[name])
+            data = mutate(rng, base) if rng.random() < 0.9 else rng.randbytes(rng.randrange(60))
+            inputs_by_target[name] += 1
             try:
-                call(data)
-            except own:
+                check(data)
+            except expected_errors:
                 pass
             except Exception as error:
                 faults += 1
                 print(f"{name}: {type(error).__name__} {error}: {data!r}")
                 if faults > 20:
                     return 1
-    print(json.dumps({"seed": seed, "inputs": sum(tried.values()), "faults": faults, **tried}))
+    print(
+        json.dumps(
+            {"seed": seed, "inputs": sum(inputs_by_target.values()), "faults": faults, **inputs_by_target}
+        )
+    )
     return 1 if faults else 0
 
 
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -1,7 +1,8 @@
-"""The laboratory: how fast virtual time goes, whether one seed is one run, and how cost grows with the fleet.
+"""Measures the simulation: speed, determinism for a seed, and the growth of cost with the size of the fleet.
 
-`python -m benchmarks.lab [--quick]`. Exits with 1 if runs of one seed differ between processes and hash
-seeds, a rule is broken, or a try is neither answered nor open. Paces are told, and fail nothing.
+`python -m benchmarks.lab [--quick]` exits with 1 if runs with one seed differ between processes with
+different hash seeds, a rule is broken, or an attempt is neither answered nor pending. Speeds are reported
+only.
 """
 
 from __future__ import annotations
@@ -21,11 +22,11 @@
 from gladelane.lab.virtual import Fleet, Plan
 from gladelane.routing.events import Settings
 
-RATE = 15.0  # requests a second and cache: about what a branch's caches carry
+RATE = 15.0  # requests per second for each cache: about the load of a cache in a branch location
 
 
-def settings(locations: int, directors: int) -> Settings:
-    """Settings of a director of the first location."""
+def make_settings(locations: int, directors: int) -> Settings:
+    """Returns the settings of a director of the first location."""
     raw = example_config()["settings"]
     zones = ["hub", *(f"z{n}" for n in range(locations))]
     family = {
@@ -45,11 +46,11 @@
     )
 
 
-def fleet(locations: int, caches: int, directors: int, seed: int) -> Fleet:
-    """A fleet whose load grows with its caches."""
+def make_fleet(locations: int, caches: int, directors: int, seed: int) -> Fleet:
+    """Returns a fleet whose load is proportional to the number of caches."""
     parents = max(2, locations // 2)
     plan = Plan(
-        settings(locations, directors),
+        make_settings(locations, directors),
         caches=caches,
         locations=locations,
         parents=parents,
@@ -63,17 +64,17 @@
     return Fleet(plan, seed)
 
 
-def digest() -> str:
-    """Of a short run with a crash and a restart."""
-    run = fleet(3, 3, 1, 7)
+def digest_of_run() -> str:
+    """Returns the digest of a short run with a crash and a restart."""
+    run = make_fleet(3, 3, 1, 7)
     run.line.at(2000.0, lambda: run.crash("z0c0"))
     run.line.at(5000.0, lambda: run.restart("z0c0"))
     run.run(8_000.0)
     return run.digest()
 
 
-def digests() -> set[str]:
-    """Of one seed in three processes with hash seeds of their own."""
+def digests_of_processes() -> set[str]:
+    """Returns the digests of the same run in three processes with different hash seeds."""
     return {
         subprocess.run(
             [sys.executable, "-m", "benchmarks.lab", "--digest"],
@@ -87,12 +88,12 @@
     }
 
 
-def pace(locations: int, caches: int, directors: int, virtual_ms: float) -> dict[str, Any]:
-    """How fast virtual time goes for a fleet of this size."""
-    run = fleet(locations, caches, directors, 1)
-    began = time.process_time()
+def measure_speed(locations: int, caches: int, directors: int, virtual_ms: float) -> dict[str, Any]:
+    """Runs a fleet of this size and returns its figures with the speed of the simulation."""
+    run = make_fleet(locations, caches, directors, 1)
+    started_s = time.process_time()
     run.run(virtual_ms)
-    elapsed_s = time.process_time() - began
+    elapsed_s = time.process_time() - started_s
     return {
         "servers": len(run.members),
         "directors": len(run.directors),
@@ -108,31 +109,31 @@
 
 
 def main() -> int:
-    """The exit code. `--digest` prints the digest alone."""
+    """Runs the benchmark and returns the exit code; `--digest` only prints the digest of one run."""
     if "--digest" in sys.argv[1:]:
-        print(digest())
+        print(digest_of_run())
         return 0
     quick = "--quick" in sys.argv[1:]
     sizes = [(2, 4, 1), (4, 4, 1), (8, 4, 1), (16, 4, 2)] + ([] if quick else [(64, 5, 2), (200, 5, 1)])
-    table = [pace(*size, 4_000.0) for size in sizes]
-    for row in table:
+    rows = [measure_speed(*size, 4_000.0) for size in sizes]
+    for row in rows:
         print(json.dumps(row))
-    first, last = table[0], table[-1]
-    cost = log(last["s_per_virtual_s"] / first["s_per_virtual_s"])
-    same = digests()
+    first, last = rows[0], rows[-1]
+    log_cost_growth = log(last["s_per_virtual_s"] / first["s_per_virtual_s"])
+    digests = digests_of_processes()
     figures: dict[str, Any] = {
         "quick": quick,
         "events_per_s": first["events_per_s"],
-        "requests": sum(row["requests"] for row in table),
-        "digest_same": len(same) == 1,
-        "rules_broken": sum(row["broken"] for row in table),
+        "requests": sum(row["requests"] for row in rows),
+        "digest_same": len(digests) == 1,
+        "rules_broken": sum(row["broken"] for row in rows),
         "large_servers": last["servers"],
         "large_directors": last["directors"],
         "large_rps": last["rps"],
         "large_s_per_virtual_s": last["s_per_virtual_s"],
-        "growth_exponent": round(cost / log(last["rps"] / first["rps"]), 3),
+        "growth_exponent": round(log_cost_growth / log(last["rps"] / first["rps"]), 3),
     }
-    must_hold = {"digest_same": len(same) == 1, "rules_broken": not figures["rules_broken"]}
+    must_hold = {"digest_same": len(digests) == 1, "rules_broken": not figures["rules_broken"]}
     return conclude(figures, [name for name, holds in must_hold.items() if not holds])
 
 
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -1,10 +1,10 @@
-"""One owner at a time: changes of owner under kills, pauses and lost lease servers, held against the lease
-servers' answers and the orders that servers recorded.
+"""Checks that each shard has one owner at a time while owners and lease servers are killed and paused.
 
-`python -m benchmarks.ownership [--quick]`: directors and three control servers, which are lease servers, as
-processes (`lab/fleet`). Exits with 1 if a fencing token was granted to two, an order was lost, a successor
-came late, or the search finds a fault or misses a planted one. What issue 24 wants beyond leases and orders
-is not measured yet: jobs, rollouts, effects with a fence of their own.
+The checks compare the answers of the lease servers with the orders that servers recorded.
+`python -m benchmarks.ownership [--quick]` runs directors and three control servers, which are also the lease
+servers, as processes (`lab/fleet`). Exits with 1 if a fencing token was granted to two owners, an order was
+lost, a new owner came too late, or the search of the lease state machine finds a fault or misses a planted
+one. Jobs, rollouts and effects with a fencing token of their own (issue 24) are not measured yet.
 """
 
 from __future__ import annotations
@@ -38,17 +38,20 @@
 SHARDS = 16
 LEASE_SERVERS = 3
 DIRECTORS, QUICK_DIRECTORS = 12, 6
-TURNS, QUICK_TURNS = 40, 5
-TURN_S = 2.5
-LEASE_SERVER_TURN = 4  # every so many turns a lease server is killed too
-LAST_ORDERS_S = 1.5
-PLANTED_STEPS, CLEAN_STEPS, QUICK_CLEAN_STEPS = 4, 4, 3  # how deep the search goes
-LATE_MS = 1_000.0  # after the lease's end: a successor that takes longer came late
-MOST_ORDERS, FEWEST_ORDERS_BEFORE = 2.0, 3.0  # for each purge and server, with owners and without
+ROUNDS, QUICK_ROUNDS = 40, 5
+ROUND_S = 2.5
+ROUNDS_PER_LEASE_SERVER_FAULT = 4  # in one of this many rounds a lease server is killed too
+FINAL_ORDERS_S = 1.5
+PLANTED_STEPS, CLEAN_STEPS, QUICK_CLEAN_STEPS = 4, 4, 3  # depth of the search
+MAX_SUCCESSION_MS = 1_000.0  # from the end of a lease to the next owner
+MAX_ORDERS, MIN_ORDERS_WITHOUT_OWNERS = 2.0, 3.0  # mean for each purge and server
 
 
-class Turn(NamedTuple):
-    """The faults of a turn. `is_plain`: no lease server restarts in between, so that gaps can be told."""
+class FaultRound(NamedTuple):
+    """The faults of a round.
+
+    `is_plain` says that no lease server restarts in the round: only then can gaps be measured.
+    """
 
     steps: list[Step]
     victims: list[int]
@@ -57,7 +60,10 @@
 
 @dataclass
 class RunFigures:
-    """What a run came to. `gaps_s`: how long shards had no owner; `mean_orders`: for a purge and server."""
+    """The results of a run.
+
+    `gaps_s` has the times for which shards had no owner, `mean_orders` the mean for each purge and server.
+    """
 
     changes: int = 0
     faults: int = 0
@@ -68,28 +74,28 @@
     effects: int = 0
 
 
-def draw_turn(number: int, directors: int, rng: random.Random) -> Turn:
-    """Ends or stops a third of the directors, every fourth time a lease server too."""
+def draw_round(number: int, directors: int, rng: random.Random) -> FaultRound:
+    """Draws the faults of a round: a third of the directors, and in every fourth round a lease server."""
     victims = rng.sample(range(directors), max(directors // 3, 1))
-    word, how = rng.choice((("kill", "for 3"), ("stop", "for 3"), ("term", "for 3")))
-    lines = [f"0 {word} directors:{victim} {how}" for victim in victims]
-    is_plain = number % LEASE_SERVER_TURN != LEASE_SERVER_TURN - 1
+    signal_name, duration = rng.choice((("kill", "for 3"), ("stop", "for 3"), ("term", "for 3")))
+    lines = [f"0 {signal_name} directors:{victim} {duration}" for victim in victims]
+    is_plain = number % ROUNDS_PER_LEASE_SERVER_FAULT != ROUNDS_PER_LEASE_SERVER_FAULT - 1
     if not is_plain:
         lines.append(f"0 kill feeds:{rng.randrange(LEASE_SERVERS)} {rng.choice(('empty', 'kept'))}")
     counts = {"directors": directors, "feeds": LEASE_SERVERS}
-    return Turn(read_line("; ".join(lines), counts, rng), victims, is_plain)
+    return FaultRound(read_line("; ".join(lines), counts, rng), victims, is_plain)
 
 
-async def play(directors: int, turns: int, owners: bool) -> RunFigures:
-    """Starts a fleet, plays so many turns while purges come, and ends the fleet."""
+async def run_fleet(directors: int, rounds: int, with_owners: bool) -> RunFigures:
+    """Starts a fleet, runs the rounds while purges are sent, and stops the fleet."""
     with tempfile.TemporaryDirectory(prefix="gl", dir=memory()) as name:
         world = World()
-        shape = Shape(directors, LEASE_SERVERS, 1, owners=owners, lease_ms=LEASE_MS, shards=SHARDS)
+        shape = Shape(directors, LEASE_SERVERS, 1, owners=with_owners, lease_ms=LEASE_MS, shards=SHARDS)
         fleet = Fleet(Path(name), world, shape, random.Random(8))
         try:
             await world.start()
             await fleet.start()
-            figures = await _play_at(fleet, turns, owners)
+            figures = await _run_on_fleet(fleet, rounds, with_owners)
         finally:
             await fleet.close()
             await world.close()
@@ -97,19 +103,19 @@
     return figures
 
 
-async def _play_at(fleet: Fleet, turns: int, owners: bool) -> RunFigures:
+async def _run_on_fleet(fleet: Fleet, rounds: int, with_owners: bool) -> RunFigures:
     figures, rng = RunFigures(), random.Random(7)
     load, watch = Load(fleet, random.Random(9)), Watch(fleet)
-    if owners and not await settled(watch, SHARDS):
-        raise RuntimeError("no owners")
-    purging = asyncio.create_task(load.purge(4 * turns + 5, TURN_S * turns + 1.0))
-    for number in range(turns):
-        turn = draw_turn(number, len(fleet.directors), rng)
-        figures.faults += len(turn.steps)
-        figures.gaps_s += await _play_turn(fleet, watch, turn)
+    if with_owners and not await settled(watch, SHARDS):
+        raise RuntimeError("not every shard got an owner in time")
+    purging = asyncio.create_task(load.purge(4 * rounds + 5, ROUND_S * rounds + 1.0))
+    for number in range(rounds):
+        fault_round = draw_round(number, len(fleet.directors), rng)
+        figures.faults += len(fault_round.steps)
+        figures.gaps_s += await _run_round(fleet, watch, fault_round)
     await purging
     await ordered(fleet, load)
-    await asyncio.sleep(LAST_ORDERS_S)
+    await asyncio.sleep(FINAL_ORDERS_S)
     figures.mean_orders, figures.missing_orders = orders(fleet, load)
     figures.changes = sum(len(owners_of_shard) for owners_of_shard in watch.owners().values())
     figures.reused_tokens = len(watch.reused())
@@ -117,20 +123,20 @@
     return figures
 
 
-async def _play_turn(fleet: Fleet, watch: Watch, turn: Turn) -> Sequence[float]:
-    """How long shards of the victims had no owner, s."""
-    began_s = time.time()
-    striking = [asyncio.create_task(fleet.strike(step)) for step in turn.steps]
-    await asyncio.sleep(TURN_S)
+async def _run_round(fleet: Fleet, watch: Watch, fault_round: FaultRound) -> Sequence[float]:
+    """Runs a round and returns for how many seconds the shards of the victims had no owner."""
+    started_s = time.time()
+    fault_tasks = [asyncio.create_task(fleet.strike(step)) for step in fault_round.steps]
+    await asyncio.sleep(ROUND_S)
     gaps_s: Sequence[float] = ()
-    if turn.is_plain:
-        gaps_s = watch.gaps(began_s, {f"director-{victim}" for victim in turn.victims})
-    await asyncio.gather(*striking)
+    if fault_round.is_plain:
+        gaps_s = watch.gaps(started_s, {f"director-{victim}" for victim in fault_round.victims})
+    await asyncio.gather(*fault_tasks)
     return gaps_s
 
 
-def begin_searches(quick: bool) -> PlantedSearches[int | str]:
-    """Of the state machine of leases, while the runs are played."""
+def start_searches(quick: bool) -> PlantedSearches[int | str]:
+    """Starts the searches of the lease state machine, which go on beside the runs."""
     planted = {
         plant.name: partial(explore, plant, PLANTED_STEPS, int(plant is InjectedFault.FORGETS))
         for plant in InjectedFault
@@ -143,7 +149,7 @@
 def report(
     quick: bool, run: RunFigures, without_owners: RunFigures, found: SearchResult[int | str]
 ) -> dict[str, Any]:
-    """The figures by the names of the report."""
+    """Returns the figures under the names of the report."""
     return {
         "quick": quick,
         "lease_ms": LEASE_MS,
@@ -164,19 +170,19 @@
 
 
 def main() -> int:
-    """The exit code."""
+    """Runs the benchmark and returns the exit code."""
     quick = "--quick" in sys.argv
-    searches = begin_searches(quick)
+    searches = start_searches(quick)
     directors = QUICK_DIRECTORS if quick else DIRECTORS
-    run = uvloop.run(play(directors, QUICK_TURNS if quick else TURNS, True))
-    without_owners = uvloop.run(play(directors, 0, False))
+    run = uvloop.run(run_fleet(directors, QUICK_ROUNDS if quick else ROUNDS, True))
+    without_owners = uvloop.run(run_fleet(directors, 0, False))
     found = searches.result()
     figures = report(quick, run, without_owners, found)
     broken = {
         "numbers reused": run.reused_tokens > 0,
         "steps lost": run.missing_orders > 0,
-        "a successor came late": not run.gaps_s or figures["gap_ms_p99"] > LEASE_MS + LATE_MS,
-        "orders": run.mean_orders > MOST_ORDERS or without_owners.mean_orders < FEWEST_ORDERS_BEFORE,
+        "a successor came late": not run.gaps_s or figures["gap_ms_p99"] > LEASE_MS + MAX_SUCCESSION_MS,
+        "orders": run.mean_orders > MAX_ORDERS or without_owners.mean_orders < MIN_ORDERS_WITHOUT_OWNERS,
         "search": isinstance(found.clean, str) or found.misses_any,
     }
     return conclude(figures, (name for name, is_broken in broken.items() if is_broken))
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -1,9 +1,9 @@
-"""Upgrades between two versions of the program, both ways, under load.
+"""Upgrades a director between two versions of the program, in both directions, under load.
 
 `python -m benchmarks.versions --program FOLDER [--quick]`: FOLDER is a checkout of the other version. In each
-round a process of one version serves, one of the other takes over beside it, an operator's order given to the
-new one reaches both, and the old one is sent SIGTERM. Exits with 1 if a request was lost, an order did not
-arrive, the listening socket was not handed over, or a process did not end with 0.
+round a process of one version serves, one of the other version starts beside it, an operator's order to the
+new process has to reach both, and the old process gets SIGTERM. Exits with 1 if a request was lost, an order
+did not arrive, the listening socket was not handed over, or the old process did not exit with 0.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 from gladelane.lab.processes import ROOT, Load, Processes
 
 ROUNDS, QUICK_ROUNDS = 5, 2
-LOAD_BEFORE_S = 0.5
-END_S = 8.0  # for a process to end after SIGTERM
-ORDER_S = 2.0  # for an order to reach the other process
-HANDED_OVER = "has the listening socket"
+LOAD_S = 0.5
+EXIT_TIMEOUT_S = 8.0  # until a process has ended after SIGTERM
+ORDER_TIMEOUT_S = 2.0  # until an order has reached the other process
+HANDED_OVER_LOG_TEXT = "has the listening socket"
 
 
 @dataclass
 class Direction:
-    """What one direction of upgrades measured."""
+    """The results of the upgrades in one direction."""
 
     rounds: int = 0
     served: int = 0
@@ -41,7 +41,7 @@
     broken: list[str] = field(default_factory=list)
 
     def figures(self) -> dict[str, Any]:
-        """By the names of the report."""
+        """Returns the figures under the names of the report."""
         return {
             "rounds": self.rounds,
             "served": self.served,
@@ -52,25 +52,25 @@
 
 
 async def upgrade_once(folder: Path, first: Path, second: Path, measured: Direction) -> None:
-    """A process of `first` serves and is replaced by one of `second`."""
+    """Starts a process of version `first` and replaces it by one of version `second`."""
     site = Site()
     director = await site.start(folder, first)
     load = Load(director.port, classes=site.class_names)
     try:
-        await asyncio.sleep(LOAD_BEFORE_S)
+        await asyncio.sleep(LOAD_S)
         await director.start(program=second)
         await director.serving()
         if not await order_reaches_both(director):
             measured.broken.append("an order at the new process did not reach the old one")
         director.all[0].send_signal(signal.SIGTERM)
-        status = await asyncio.wait_for(director.all[0].wait(), END_S)
+        status = await asyncio.wait_for(director.all[0].wait(), EXIT_TIMEOUT_S)
         if status != 0:
             measured.broken.append(f"the old process ended with {status}")
-        if HANDED_OVER not in director.log(0):
+        if HANDED_OVER_LOG_TEXT not in director.log(0):
             measured.broken.append("the listening socket was not handed over")
-        before = load.served
-        await asyncio.sleep(LOAD_BEFORE_S)
-        if load.served == before:
+        served_before = load.served
+        await asyncio.sleep(LOAD_S)
+        if load.served == served_before:
             measured.broken.append("nothing was served after the upgrade")
     finally:
         await load.stop()
@@ -84,10 +84,10 @@
 
 
 async def order_reaches_both(director: Processes) -> bool:
-    """Takes a cache out of service at the newest process; both count it so."""
+    """Takes a cache out of service at the newest process; returns whether both processes report it."""
     await director.call("POST", "/caches/cache-0/maint")
     try:
-        async with asyncio.timeout(ORDER_S):
+        async with asyncio.timeout(ORDER_TIMEOUT_S):
             for number in (0, 1):
                 while (await director.figures(number)).get("hosts_down", 0) != 1:
                     await asyncio.sleep(0.02)
@@ -96,8 +96,8 @@
     return True
 
 
-async def both_ways(other: Path, rounds: int) -> dict[str, Direction]:
-    """So many upgrades from the other version to this one, and as many back."""
+async def upgrade_both_ways(other: Path, rounds: int) -> dict[str, Direction]:
+    """Runs `rounds` upgrades from the other version to this one, and as many back."""
     directions = {"other_to_this": (other, ROOT), "this_to_other": (ROOT, other)}
     measured = {name: Direction() for name in directions}
     for name, (first, second) in directions.items():
@@ -108,12 +108,14 @@
 
 
 def main() -> int:
-    """The exit code."""
+    """Runs the benchmark and returns the exit code."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--program", type=Path, required=True)
     parser.add_argument("--quick", action="store_true")
     options = parser.parse_args()
-    measured = uvloop.run(both_ways(options.program.resolve(), QUICK_ROUNDS if options.quick else ROUNDS))
+    measured = uvloop.run(
+        upgrade_both_ways(options.program.resolve(), QUICK_ROUNDS if options.quick else ROUNDS)
+    )
     broken = [f"{name}: {text}" for name, direction in measured.items() for text in direction.broken]
     return conclude({name: direction.figures() for name, direction in measured.items()}, broken)
 
