--- a/benchmarks/purges/measures.py
+++ b/benchmarks/purges/measures.py
@@ -10,7 +10,7 @@
 
 
 def is_older(answer: Made, purge: Purged) -> bool:
-    """Returns whether the answer came from a copy that the purge covers."""
+    """Returns whether the answer came from a copy that is older than the purge and covered by it."""
     is_before = answer.dated_ms + SLACK_MS < purge.at_ms
     return is_before and purge.scope.covers(answer.cls, answer.group, answer.object, answer.part)
 
--- a/benchmarks/system_calls/planted.py
+++ b/benchmarks/system_calls/planted.py
@@ -64,9 +64,9 @@
         "a dial without an address ends the process",
         "import errno, os\n"
         "from gladelane.endpoints import connect\n"
-        "told = connect.Connect._finish\n"
+        "finish = connect.Connect._finish\n"
         "connect.Connect._finish = lambda self, code: "
-        "os._exit(3) if code == errno.EADDRNOTAVAIL else told(self, code)\n",
+        "os._exit(3) if code == errno.EADDRNOTAVAIL else finish(self, code)\n",
         _case("connect", errno.EADDRNOTAVAIL),
     ),
     PlantedFault(
