--- a/tests/net/test_client_reader.py
+++ b/tests/net/test_client_reader.py
@@ -1,4 +1,4 @@
-"""The reader of a client's connection: `peek` shows what is buffered and consumes nothing."""
+"""The reader of a client's connection: `peek` returns the buffered bytes without consuming them."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 @given(st.lists(st.tuples(st.binary(max_size=20), st.integers(0, 25)), max_size=12))
-def test_what_is_peeked_at_is_what_is_read_next(steps: list[tuple[bytes, int]]) -> None:
-    async def scene() -> None:
+def test_peek_returns_the_bytes_that_are_read_next(steps: list[tuple[bytes, int]]) -> None:
+    async def scenario() -> None:
         reader, expected = ClientReader(1 << 16), b""
         for data, count in steps:
             if data:
@@ -25,4 +25,4 @@
                 expected = expected[count:]
         assert reader.peek() == expected and reader.fed == sum(len(data) for data, _ in steps)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/net/test_system_call_matrix.py
+++ b/tests/net/test_system_call_matrix.py
@@ -1,4 +1,4 @@
-"""The matrix of `benchmarks.system_calls` and the sum of its cases, without any process."""
+"""The case matrix of `benchmarks.system_calls` and the tally of its results, without starting a process."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from gladelane.lab.call_faults import Verdict
 
 
-def test_the_quick_form_has_every_site_at_each_of_its_moments_and_no_case_twice() -> None:
+def test_the_quick_matrix_has_every_site_at_each_of_its_moments_and_no_duplicate_case() -> None:
     cases = matrix(quick=True)
     assert len(set(cases)) == len(cases)
-    played = {(case.site.name, case.moment) for case in cases}
-    assert played == {(site.name, moment) for site in SITES for moment in site.moments}
+    covered = {(case.site.name, case.moment) for case in cases}
+    assert covered == {(site.name, moment) for site in SITES for moment in site.moments}
     assert all(case.rate == LAST_ACCEPT_RATE for case in cases if case.site.name == "accept at the stop")
     starts = [case for case in cases if case.moment is Moment.START]
     assert len(starts) == 2 * sum(case.most >= 0 for case in starts) > 0
 
 
-def test_the_long_form_repeats_all_but_the_starts_with_each_seed() -> None:
+def test_the_long_matrix_repeats_all_cases_except_the_starts_with_each_seed() -> None:
     quick, long = matrix(quick=True), matrix(quick=False)
     assert long[: len(quick)] == quick
     repeated = [case for case in quick if case.moment is not Moment.START]
@@ -38,16 +38,16 @@
     assert INTERRUPTED_RATE < 1.0 and any(case.error == errno.EINTR for case in long)
 
 
-def test_a_case_that_injected_nothing_counts_as_broken_and_the_slowest_is_named() -> None:
+def test_a_case_that_injected_nothing_counts_as_broken_and_the_slowest_case_is_named() -> None:
     tally = Tally()
-    tally.add("sound", CaseResult(Verdict(stuck_after_ms=20.0), True))
-    tally.add("silent", CaseResult(Verdict(stuck_after_ms=10.0), False))
-    tally.add("lossy", CaseResult(Verdict(lost=["a", "b"], crashes=["c"]), True))
-    assert tally.cases == 3 and tally.slowest == "sound"
+    tally.add("passed", CaseResult(Verdict(stuck_after_ms=20.0), True))
+    tally.add("not injected", CaseResult(Verdict(stuck_after_ms=10.0), False))
+    tally.add("broken", CaseResult(Verdict(lost=["a", "b"], crashes=["c"]), True))
+    assert tally.cases == 3 and tally.slowest == "passed"
     assert tally.figures == {"lost": 2, "duplicates": 0, "unanswered": 0, "crashes": 1, "not_injected": 1}
     assert tally.broken == [
-        "silent: nothing was injected",
-        "lossy: lost: a",
-        "lossy: lost: b",
-        "lossy: crash: c",
+        "not injected: nothing was injected",
+        "broken: lost: a",
+        "broken: lost: b",
+        "broken: crash: c",
     ]
--- a/tests/net/test_system_calls.py
+++ b/tests/net/test_system_calls.py
@@ -1,5 +1,5 @@
-"""System calls that fail below a real director: the cases of the matrix (`benchmarks.system_calls`) that broke
-a rule, and the parts that stood in the way."""
+"""System calls that fail below a running director: the cases of the matrix (`benchmarks.system_calls`) that once
+broke a rule, and unit tests of the code that handles such failures."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from gladelane.net import listener
 from gladelane.net.connection_pool import ConnectionPool
 
-START_TRIES = 5  # the ports of a director may be taken by others before it listens there
+START_ATTEMPTS = 5  # another process may take a director's port before the director listens there
 
 
 @pytest.fixture(scope="module")
@@ -33,123 +33,127 @@
     return compile_library("syscalls", tmp_path_factory.mktemp("preload"))
 
 
-def case(site: str, error: int, moment: Moment) -> Case:
-    return Case(next(one for one in SITES if one.name == site), error, moment)
+def make_case(site: str, error: int, moment: Moment) -> Case:
+    return Case(next(known for known in SITES if known.name == site), error, moment)
 
 
-#: what the case broke before its mend
-BROKE = {
-    "the connection was closed and its request lost": case(
+#: Cases that failed once, by the fault that they revealed.
+CASE_BY_FAULT = {
+    "the connection was closed and its request was lost": make_case(
         "adoption of a client: setsockopt", errno.ENOBUFS, Moment.LOAD
     ),
-    "the dial was told of nothing until its time was over": case(
+    "a failed dial was noticed only when it timed out": make_case(
         "getsockopt of a dial", errno.ENOBUFS, Moment.LOAD
     ),
-    "a sweep of the pool failed and none came after it": case(
+    "a sweep of the connection pool failed and was never scheduled again": make_case(
         "write to a store", errno.ECONNRESET, Moment.LOAD
     ),
-    "a caller that had gone was logged as a fault": case(
+    "a caller of the admin endpoint that disconnected was logged as an error": make_case(
         "read at the admin endpoint", errno.ECONNRESET, Moment.LOAD
     ),
-    "the shutdown ended with an error": case("close", errno.EIO, Moment.SHUTDOWN),
-    "the new version did not start": case("socket of an upgrade", errno.EMFILE, Moment.HAND_OVER),
-    "the listening socket was not passed on": case("write of an upgrade", SHORT, Moment.HAND_OVER),
+    "the shutdown ended with an error": make_case("close", errno.EIO, Moment.SHUTDOWN),
+    "the new version did not start": make_case("socket of an upgrade", errno.EMFILE, Moment.HAND_OVER),
+    "the listening socket was not handed over": make_case("write of an upgrade", SHORT, Moment.HAND_OVER),
 }
 
 
-async def started(scene: Scene) -> None:
+async def start_with_retries(scene: Scene) -> None:
     await scene.prepare()
-    for _ in range(START_TRIES):
+    for _ in range(START_ATTEMPTS):
         if await scene.starts():
             return
         scene.director.ops.clear()
         scene.director.all.clear()
-    raise RuntimeError("no port stays free")
+    raise RuntimeError("another process took the port in each attempt")
 
 
-@pytest.mark.parametrize("broke", BROKE)
-def test_no_rule_is_broken_while_calls_fail_and_all_is_normal_after(
-    tmp_path: Path, library: Path, broke: str
+@pytest.mark.parametrize("fault", CASE_BY_FAULT)
+def test_no_rule_is_broken_while_calls_fail_and_the_director_recovers(
+    tmp_path: Path, library: Path, fault: str
 ) -> None:
-    played = BROKE[broke]
+    case = CASE_BY_FAULT[fault]
 
-    async def scene() -> None:
-        made = Scene(tmp_path, library)
+    async def scenario() -> None:
+        scene = Scene(tmp_path, library)
         try:
-            await started(made)
-            play = FRESH.get(played.moment)
+            await start_with_retries(scene)
+            run_fresh_case = FRESH.get(case.moment)
             verdict, is_injected = await (
-                play(made, played) if play is not None else play_running(made, played, FAULT_S)
+                run_fresh_case(scene, case)
+                if run_fresh_case is not None
+                else play_running(scene, case, FAULT_S)
             )
-            log = made.director.log(-1)
+            log = scene.director.log(-1)
         finally:
-            await made.close()
+            await scene.close()
         assert verdict.broken() == []
         assert is_injected
-        if played.moment is Moment.HAND_OVER and played.error == SHORT:
+        if case.moment is Moment.HAND_OVER and case.error == SHORT:
             assert "took over" in log and "gives nothing over" not in log
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_meeting_place_that_could_not_be_opened_is_opened_later(tmp_path: Path, library: Path) -> None:
-    # an upgrade found nobody for as long as the process lived
+def test_a_rendezvous_socket_that_could_not_be_opened_is_opened_later(tmp_path: Path, library: Path) -> None:
+    """After one failed bind, the socket at which an upgrade finds the running process was missing for the whole
+    life of that process."""
 
-    async def scene() -> None:
-        made = Scene(tmp_path, library)
+    async def scenario() -> None:
+        scene = Scene(tmp_path, library)
         try:
-            await made.prepare()
-            with made.faults.injecting(Fault(Call.BIND, errno.ENOMEM, scope=Scope.UNIX, most=1)):
-                await made.start()
+            await scene.prepare()
+            with scene.faults.injecting(Fault(Call.BIND, errno.ENOMEM, scope=Scope.UNIX, most=1)):
+                await scene.start()
                 assert not (tmp_path / SOCKET_NAME).exists()
             async with asyncio.timeout(LISTEN_RETRY_S + 5.0):
                 while not (tmp_path / SOCKET_NAME).exists():
                     await asyncio.sleep(0.02)
         finally:
-            await made.close()
+            await scene.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_listening_socket_is_asked_for_again_while_the_system_is_out_of_something(
+def test_opening_a_listening_socket_is_retried_while_the_system_lacks_a_resource(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    create, left = socket.create_server, [errno.ENOBUFS, errno.ENFILE]
+    create_server, remaining_errors = socket.create_server, [errno.ENOBUFS, errno.ENFILE]
 
-    def fails_first(*args: object, **kwargs: object) -> socket.socket:
-        if left:
-            raise OSError(left.pop(), "for a moment")
-        return create(*args, **kwargs)  # type: ignore[arg-type]
+    def fail_first_calls(*args: object, **kwargs: object) -> socket.socket:
+        if remaining_errors:
+            raise OSError(remaining_errors.pop(), "for a moment")
+        return create_server(*args, **kwargs)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(socket, "create_server", fails_first)
+    monkeypatch.setattr(socket, "create_server", fail_first_calls)
     monkeypatch.setattr(sockets, "OPEN_INTERVAL_S", 0.001)
     with sockets.open_listening("127.0.0.1", 0, 8) as sock:
-        assert sock.getsockname()[1] and not left
-    left.extend([errno.ENFILE] * 100)
+        assert sock.getsockname()[1] and not remaining_errors
+    remaining_errors.extend([errno.ENFILE] * 100)
     with pytest.raises(OSError, match="for a moment"):
         sockets.open_listening("127.0.0.1", 0, 8)
 
 
-def test_an_address_that_is_taken_stops_the_start_at_once() -> None:
-    with socket.create_server(("127.0.0.1", 0)) as taken, pytest.raises(OSError) as raised:
-        sockets.open_listening("127.0.0.1", taken.getsockname()[1], 8)
+def test_opening_a_listening_socket_at_an_address_in_use_fails_at_once() -> None:
+    with socket.create_server(("127.0.0.1", 0)) as occupied, pytest.raises(OSError) as raised:
+        sockets.open_listening("127.0.0.1", occupied.getsockname()[1], 8)
     assert raised.value.errno == errno.EADDRINUSE
 
 
-def test_a_socket_that_its_transport_has_closed_holds_nothing() -> None:
-    # was a ValueError, in every look beside a transport that had met an error a turn before
+def test_a_socket_closed_by_its_transport_has_no_unread_or_unsent_bytes() -> None:
+    """Reading them used to raise ValueError when the transport had closed its socket one iteration of the event loop earlier, after an
+    error."""
     sock = socket.socket()
     sock.close()
     assert (sockets.unread_bytes(sock), sockets.unsent_bytes(sock)) == (0, 0)
     assert not sockets.has_unread(sock) and sockets.has_ended(sock)
 
 
-def test_a_sweep_that_fails_is_not_the_last(monkeypatch: pytest.MonkeyPatch) -> None:
-    planned: list[object] = []
+def test_a_failed_sweep_of_the_pool_is_scheduled_again(monkeypatch: pytest.MonkeyPatch) -> None:
+    scheduled: list[object] = []
 
     class Wheel:
         def schedule(self, due_ms: float, call: object) -> None:
-            planned.append(call)
+            scheduled.append(call)
 
     class Failing:
         attempts = SimpleNamespace(answered_ms=0.0)
@@ -159,17 +163,17 @@
 
     pool = ConnectionPool(None, 4, lambda: 0.0, Wheel(), None)  # type: ignore[arg-type]
     pool._pool["c0"] = [Failing()]  # type: ignore[list-item]
-    planned.clear()
+    scheduled.clear()
     with pytest.raises(ValueError, match="closed"):
         pool.sweep()
-    assert planned == [pool.sweep]
+    assert scheduled == [pool.sweep]
 
 
 @trial
-async def test_a_dial_that_a_signal_interrupts_goes_on() -> None:
-    # it was given up as unreachable, and its address passed over
+async def test_a_dial_interrupted_by_a_signal_continues() -> None:
+    """The dial used to fail as unreachable, and its address was skipped."""
     with socket.create_server(("127.0.0.1", 0)) as server:
-        ended: asyncio.Future[tuple[socket.socket | None, DialEnd | None]] = (
+        dial_result: asyncio.Future[tuple[socket.socket | None, DialEnd | None]] = (
             asyncio.get_running_loop().create_future()
         )
 
@@ -180,30 +184,31 @@
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(socket.socket, "connect_ex", connect_ex, raising=False)
             address = parse(f"127.0.0.1:{server.getsockname()[1]}")
-            dial = Connect(address, lambda sock, end: ended.set_result((sock, end)))
-        sock, end = await asyncio.wait_for(ended, 5.0)
+            dial = Connect(address, lambda sock, end: dial_result.set_result((sock, end)))
+        sock, end = await asyncio.wait_for(dial_result, 5.0)
         dial.cancel()
         assert sock is not None and end is None
         sock.close()
 
 
-class LeavingFirst(socket.socket):
-    """A listener of which the first calls of accept fail: their newcomers have gone."""
+class FailingAccepts(socket.socket):
+    """A listening socket whose first accept calls fail, by default as if the connecting clients had disconnected."""
 
-    failures = 2
+    remaining_failures = 2
     error = errno.ECONNABORTED
 
     def accept(self) -> tuple[socket.socket, object]:
-        if self.failures:
-            self.failures -= 1
+        if self.remaining_failures:
+            self.remaining_failures -= 1
             raise OSError(self.error, "for a moment")
         return super().accept()
 
 
 @trial
-async def test_the_accept_before_the_close_outlasts_a_moment_without_descriptors() -> None:
-    # the queue was reset with what clients had sent
-    with LeavingFirst() as sock, socket.socket() as client:
+async def test_the_last_accept_before_the_close_is_retried_when_descriptors_run_out_briefly() -> None:
+    """When the last accept ran out of descriptors, closing the listening socket reset the connections that were
+    still in the accept queue, together with the requests that they had sent."""
+    with FailingAccepts() as sock, socket.socket() as client:
         sock.error = errno.ENFILE
         sock.bind(("127.0.0.1", 0))
         sock.listen()
@@ -217,24 +222,28 @@
 
 
 @trial
-async def test_a_newcomer_that_has_gone_holds_up_none_behind_it() -> None:
-    # those behind it waited 5 ms, and at the stop, which accepts once more and closes, were reset
-    with LeavingFirst() as sock, socket.socket() as one, socket.socket() as other:
+async def test_an_aborted_connection_in_the_accept_queue_does_not_delay_the_next_one() -> None:
+    """Connections behind an aborted one waited 5 ms, and at the shutdown, which accepts once more and then closes
+    the socket, they were reset."""
+    with FailingAccepts() as sock, socket.socket() as first_client, socket.socket() as second_client:
         sock.bind(("127.0.0.1", 0))
         sock.listen()
         accepted: list[socket.socket] = []
         listening = listener.Listener(sock, False, lambda: True, accepted.append)
-        for client in (one, other):
+        for client in (first_client, second_client):
             client.connect(sock.getsockname())
         listening.accept_all()
         assert len(accepted) == 2
         listening.close()
-        for taken in accepted:
-            taken.close()
+        for accepted_sock in accepted:
+            accepted_sock.close()
 
 
-def test_the_stop_goes_on_where_newcomers_cannot_be_steered_away(monkeypatch: pytest.MonkeyPatch) -> None:
-    # ctypes is loaded from files: out of descriptors that is an ImportError, and ended the shutdown
+def test_the_shutdown_continues_when_new_connections_cannot_be_steered_away(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """ctypes is loaded from files, so without free descriptors its import raises ImportError, which ended the
+    shutdown."""
     monkeypatch.setitem(sys.modules, "ctypes", None)
     with socket.create_server(("127.0.0.1", 0)) as sock:
         listener.steer_away(sock)
