--- a/tests/net/test_deadlines.py
+++ b/tests/net/test_deadlines.py
@@ -1,6 +1,6 @@
-"""What a cache is told to wait (`max`) is at most what the client has left, wherever the request lay before.
+"""A cache is given (`max`) at most the time left until the client's deadline, wherever the request waited.
 
-Each test holds a request up for at least so long, and allows the slack of the operators' page beyond that.
+Each test delays a request for at least DELAY_MS and allows SLACK_MS of inaccuracy, as the operators specify.
 """
 
 from __future__ import annotations
@@ -26,206 +26,219 @@
 from gladelane.sockets import last_data_ms, unsent_bytes
 
 REFUSED_ADDRESS = "127.0.0.1:1"
-WAIT_MS, HELD_UP_MS, SLACK_MS = 1500, 400, 150
-ANSWERED_S = 20.0  # many times what any answer takes
-LATEST_S = 0.5  # after its deadline an answer only earns nothing; later the request is lost
-BODY = 200_000  # more than a narrow cache and the system between take at once
+DEADLINE_MS, DELAY_MS, SLACK_MS = 1500, 400, 150
+ANSWERED_S = 20.0  # far longer than any answer takes
+MAX_LATENESS_S = 0.5  # a later answer counts as a lost request, an earlier one only as worthless
+BODY_BYTES = 200_000  # more than the buffers between the director and a cache with a small window hold
 
 
-def stated_ms(command: Command) -> int:
+def stated_time_ms(command: Command) -> int:
     return int(command[1]["max"])
 
 
-def is_honest(command: Command) -> bool:
-    return stated_ms(command) <= WAIT_MS - HELD_UP_MS + SLACK_MS
+def states_remaining_time(command: Command) -> bool:
+    return stated_time_ms(command) <= DEADLINE_MS - DELAY_MS + SLACK_MS
 
 
 @pytest.mark.parametrize("runner", [asyncio.run, uvloop.run])
-def test_the_time_in_the_queue_for_room_counts(runner: Callable[[Any], None]) -> None:
-    # it was counted from the accept, however long the connection had waited in the system's queue
-    async def scene() -> None:
+def test_the_time_in_the_accept_queue_counts_for_the_deadline(runner: Callable[[Any], None]) -> None:
+    """The deadline used to be counted from the accept, however long the connection had waited in the kernel's
+    accept queue."""
+
+    async def scenario() -> None:
         cache = Cache(lambda command: hit(command) if command[0] == f"{2:016x}" else None)
         async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
             client.ask(1)
             await until(lambda: cache.seen)
             node.front.cap = 1
             raw = Raw(node)
-            raw.send(request(2, d=str(WAIT_MS)))
-            await asyncio.sleep(HELD_UP_MS / 1000.0)
+            raw.send(request(2, d=str(DEADLINE_MS)))
+            await asyncio.sleep(DELAY_MS / 1000.0)
             client.send(Type.GONE, 1)
             node.front.cap = 9
             await until(lambda: len(cache.seen) == 2)
-            assert is_honest(cache.seen[1])
-            late = Raw(node)  # nobody waits any more: nothing is taken off
-            conn = await connected(node, late)
+            assert states_remaining_time(cache.seen[1])
+            later_client = Raw(node)  # no connection waits any more, so no time is subtracted
+            conn = await connected(node, later_client)
             assert conn._queued_ms == 0.0
-            late.sock.close()
+            later_client.sock.close()
             raw.sock.close()
 
-    runner(scene())
+    runner(scenario())
 
 
-@pytest.mark.parametrize("read_bytes", [65_536, 100])  # in one read, in a later one
-def test_the_time_behind_what_the_same_client_sent_before_counts(read_bytes: int) -> None:
+@pytest.mark.parametrize("read_bytes", [65_536, 100])  # all frames in one read, the request in a later read
+def test_the_time_behind_earlier_frames_of_the_client_counts_for_the_deadline(read_bytes: int) -> None:
     @trial
-    async def scene() -> None:
+    async def scenario() -> None:
         cache = Cache(hit)
         async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
             raw = Raw(node)
             conn = await connected(node, raw)
-            handle = conn._handle_all
+            real_handle_all = conn._handle_all
 
-            def handled(frames: list[Any]) -> None:
-                time.sleep(HELD_UP_MS / 20_000.0)
-                handle(frames)
+            def handle_slowly(frames: list[Any]) -> None:
+                time.sleep(DELAY_MS / 20_000.0)
+                real_handle_all(frames)
 
-            conn._handle_all = handled  # type: ignore[method-assign]
+            conn._handle_all = handle_slowly  # type: ignore[method-assign]
             ping = encode_frame(Type.ASK_READY, 0, encode_fields({}))
-            raw.send(ping * 20 + request(1, d=str(WAIT_MS)))
+            raw.send(ping * 20 + request(1, d=str(DEADLINE_MS)))
             await until(lambda: cache.seen)
-            assert is_honest(cache.seen[0])
+            assert states_remaining_time(cache.seen[0])
             raw.sock.close()
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(client_module, "FRAMES_AT_ONCE", 1)
         patch.setattr(client_module, "READ_BYTES", read_bytes)
-        scene()
+        scenario()
 
 
 @trial
-async def test_the_time_of_a_loop_that_was_held_up_counts() -> None:
+async def test_the_time_in_which_the_event_loop_was_blocked_counts_for_the_deadline() -> None:
     cache = Cache(hit)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(front_module, "SHED_MS", 1e9)  # else so late a request is refused at sight
+        patch.setattr(front_module, "SHED_MS", 1e9)  # otherwise a request read this late is refused at once
         async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
             del node.timers.lag, node.timers.margin  # type: ignore[misc]
             raw = Raw(node)
             await connected(node, raw)
-            raw.send(request(1, d=str(WAIT_MS)))
-            time.sleep(HELD_UP_MS / 1000.0)
+            raw.send(request(1, d=str(DEADLINE_MS)))
+            time.sleep(DELAY_MS / 1000.0)
             await until(lambda: cache.seen)
-            assert is_honest(cache.seen[0])
+            assert states_remaining_time(cache.seen[0])
             raw.sock.close()
 
 
 @trial
-async def test_the_time_of_a_dial_counts() -> None:
+async def test_the_time_of_a_dial_counts_for_the_deadline() -> None:
     cache = Cache(hit)
     async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, _):
         raw = Raw(node)
 
-        async def waits(attempt: Attempt) -> None:
-            await asyncio.sleep(HELD_UP_MS / 1000.0)
+        async def delay_dial(attempt: Attempt) -> None:
+            await asyncio.sleep(DELAY_MS / 1000.0)
 
-        waits_for_a_dial(node, waits)
-        raw.send(request(1, d=str(WAIT_MS)))
+        waits_for_a_dial(node, delay_dial)
+        raw.send(request(1, d=str(DEADLINE_MS)))
         await until(lambda: cache.seen)
-        assert is_honest(cache.seen[0])
+        assert states_remaining_time(cache.seen[0])
         raw.sock.close()
 
 
-@pytest.mark.parametrize("hedge", [False, True])
-def test_the_time_before_a_further_attempt_counts(hedge: bool) -> None:
+@pytest.mark.parametrize("is_hedge", [False, True])
+def test_the_time_before_a_retry_or_hedge_counts_for_the_deadline(is_hedge: bool) -> None:
     @trial
-    async def scene() -> None:
+    async def scenario() -> None:
         caches = [Cache(mute) for _ in range(2)]
-        listed = {f"c{n}": await cache.start() for n, cache in enumerate(caches)}
-        listed["r0"] = REFUSED_ADDRESS
-        async with running(config(listed, may_duplicate=hedge)) as (node, _):
-            if hedge:
+        addresses = {f"c{n}": await cache.start() for n, cache in enumerate(caches)}
+        addresses["r0"] = REFUSED_ADDRESS
+        async with running(config(addresses, may_duplicate=is_hedge)) as (node, _):
+            if is_hedge:
                 node.director.router.budgets.hedges = 5.0
-            attempts, send = list[Attempt](), node.upstream.send
+            attempts, real_send = list[Attempt](), node.upstream.send
 
-            def sends(attempt: Attempt) -> None:
+            def record_and_send(attempt: Attempt) -> None:
                 attempts.append(attempt)
-                send(attempt)
+                real_send(attempt)
 
-            node.upstream.send = sends  # type: ignore[method-assign]
+            node.upstream.send = record_and_send  # type: ignore[method-assign]
             raw = Raw(node)
-            raw.send(request(1, d=str(WAIT_MS)))
+            raw.send(request(1, d=str(DEADLINE_MS)))
             await until(lambda: any(cache.seen for cache in caches))
-            (first,) = (cache for cache in caches if cache.seen)
-            if not hedge:
-                await asyncio.sleep(HELD_UP_MS / 1000.0)
-                first.conns[0].write(b"%016x overload - 0\r\n\r\n" % 1)
+            (first_cache,) = (cache for cache in caches if cache.seen)
+            if not is_hedge:
+                await asyncio.sleep(DELAY_MS / 1000.0)
+                first_cache.conns[0].write(b"%016x overload - 0\r\n\r\n" % 1)
             await until(lambda: all(cache.seen for cache in caches))
-            (second,) = (cache for cache in caches if cache is not first)
-            # by the moments of writing: what this loop was late by when it looked is in neither
-            waited_ms = attempts[1].written_ms - attempts[0].written_ms
-            assert waited_ms >= (0.0 if hedge else HELD_UP_MS)
-            assert stated_ms(second.seen[0]) <= WAIT_MS - waited_ms + SLACK_MS
+            (second_cache,) = (cache for cache in caches if cache is not first_cache)
+            # measured between the writes, so that delays of the test's own polling do not count
+            between_attempts_ms = attempts[1].written_ms - attempts[0].written_ms
+            assert between_attempts_ms >= (0.0 if is_hedge else DELAY_MS)
+            assert stated_time_ms(second_cache.seen[0]) <= DEADLINE_MS - between_attempts_ms + SLACK_MS
             raw.sock.close()
 
-    scene()
+    scenario()
 
 
 @trial
-async def test_a_request_that_a_cache_does_not_take_lies_in_no_buffer_until_its_time_is_wrong() -> None:
-    # it lay in the system's buffer with the time it had when it was written, and left when the cache read on
-    peer = Peer(takes=4096)
+async def test_a_request_that_a_cache_does_not_read_is_not_sent_later_with_an_outdated_time() -> None:
+    """The request used to wait in the kernel's send buffer with the time that was left when it was written, and was
+    sent with that outdated time when the cache resumed reading."""
+    cache = Peer(takes=4096)
     with pytest.MonkeyPatch.context() as patch:
-        async with running(config({"c0": peer.address, "r0": REFUSED_ADDRESS})) as (node, client):
-            client.ask(9, body=b"x" * BODY, d="20000")
-            slow = await peer.accepted()
+        async with running(config({"c0": cache.address, "r0": REFUSED_ADDRESS})) as (node, client):
+            client.ask(9, body=b"x" * BODY_BYTES, d="20000")
+            slow_cache_sock = await cache.accepted()
             conn = only(node, "c0")
             await until(lambda: conn.sock is not None and unsent_bytes(conn.sock))
-            raw, look = Raw(node), outgoing_module.unsent_bytes
-
-            def looks(sock: Any) -> int:
-                """As if the cache had taken all until the second was written, and no more from then on."""
-                latest = conn.attempts.queue.out.latest if conn.attempts.queue.out is not None else None
-                return look(sock) if latest is not None and latest.exchange.ask.id == f"{1:016x}" else 0
-
-            patch.setattr(outgoing_module, "unsent_bytes", looks)
-            raw.send(request(1, d=str(WAIT_MS)))
+            raw, real_unsent_bytes = Raw(node), outgoing_module.unsent_bytes
+
+            def fake_unsent_bytes(sock: Any) -> int:
+                """Reports an empty send buffer until the second request is written, then the real one."""
+                last_attempt = conn.attempts.queue.out.latest if conn.attempts.queue.out is not None else None
+                return (
+                    real_unsent_bytes(sock)
+                    if last_attempt is not None and last_attempt.exchange.ask.id == f"{1:016x}"
+                    else 0
+                )
+
+            patch.setattr(outgoing_module, "unsent_bytes", fake_unsent_bytes)
+            raw.send(request(1, d=str(DEADLINE_MS)))
             await until(lambda: len(conn.open) == 2)
-            await asyncio.sleep(HELD_UP_MS / 1000.0)
-            came = b""
+            await asyncio.sleep(DELAY_MS / 1000.0)
+            received = b""
             with contextlib.suppress(ConnectionError, TimeoutError):
-                while data := await asyncio.wait_for(asyncio.get_running_loop().sock_recv(slow, 65_536), 0.3):
-                    came += data
-            assert came.count(b"fetch") == 1 and b"%016x" % 1 not in came
-            fresh = await peer.accepted()
-            assert b"fetch" in await heard(fresh, b"\r\n")  # it is tried on another connection
+                while data := await asyncio.wait_for(
+                    asyncio.get_running_loop().sock_recv(slow_cache_sock, 65_536), 0.3
+                ):
+                    received += data
+            assert received.count(b"fetch") == 1 and b"%016x" % 1 not in received
+            new_cache_sock = await cache.accepted()
+            assert b"fetch" in await heard(new_cache_sock, b"\r\n")  # it is retried on another connection
             raw.sock.close()
-            fresh.close()
-            slow.close()
+            new_cache_sock.close()
+            slow_cache_sock.close()
 
 
-@pytest.mark.parametrize("dials", [False, True])
-@pytest.mark.parametrize("wait_ms", ["0.5", "1", "3", "6", "10", "20", "40", "60"])
-def test_a_request_with_very_little_time_is_answered_once_and_never_sent_with_more(
-    wait_ms: str, dials: bool
+@pytest.mark.parametrize("must_dial", [False, True])
+@pytest.mark.parametrize("deadline_ms", ["0.5", "1", "3", "6", "10", "20", "40", "60"])
+def test_a_request_with_very_little_time_is_answered_once_and_never_sent_with_more_time(
+    deadline_ms: str, must_dial: bool
 ) -> None:
     @trial
-    async def scene() -> None:
+    async def scenario() -> None:
         cache = Cache(mute)
         async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
-            if not dials:
+            if not must_dial:
                 client.ask(9, d="300")
                 await until(lambda: cache.seen)
             raw = Raw(node)
             await connected(node, raw)
             loop = asyncio.get_running_loop()
-            began = loop.time() - waited_for_core_s()
-            raw.send(request(1, d=wait_ms))
+            started_s = loop.time() - waited_for_core_s()
+            raw.send(request(1, d=deadline_ms))
             frame = await asyncio.wait_for(loop.sock_recv(raw.sock, 65_536), ANSWERED_S)
-            took_s = loop.time() - waited_for_core_s() - began
-            assert took_s <= float(wait_ms) / 1000.0 + LATEST_S
+            elapsed_s = loop.time() - waited_for_core_s() - started_s
+            assert elapsed_s <= float(deadline_ms) / 1000.0 + MAX_LATENESS_S
             assert frame[4] == Type.ANSWER and frame[9] in (AnswerCode.REFUSED, AnswerCode.FAILED)
-            await until(lambda: not any(e.ask.id == f"{1:016x}" for e in node.director.live.values()))
+            await until(
+                lambda: not any(exchange.ask.id == f"{1:016x}" for exchange in node.director.live.values())
+            )
             assert all(
-                stated_ms(command) <= float(wait_ms) for command in cache.seen if command[0] == f"{1:016x}"
+                stated_time_ms(command) <= float(deadline_ms)
+                for command in cache.seen
+                if command[0] == f"{1:016x}"
             )
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(loop.sock_recv(raw.sock, 65_536), 0.05)
             raw.sock.close()
 
-    scene()
+    scenario()
 
 
 @trial
-async def test_the_system_tells_how_long_ago_bytes_came() -> None:
+async def test_the_kernel_reports_how_long_ago_bytes_arrived() -> None:
     async with running(config({"r0": REFUSED_ADDRESS})) as (node, _):
         raw = Raw(node)
         conn = await connected(node, raw)
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Shares of the descriptors, and a real process under a small limit whose clients, callers and caches want more."""
+"""Shares of the file descriptors, and a director process with too few for its clients, admin callers and caches."""
 
 from __future__ import annotations
 
@@ -21,71 +21,77 @@
 from gladelane.net import descriptors
 from gladelane.net.descriptors import Shares, lingering_most, share_descriptors
 
-OWN = descriptors.EVENT_LOOP + descriptors.SERVING + descriptors.ADMIN + descriptors.IN_MOTION
-CACHES, CROWD, CALLERS = 32, 120, 8
+OWN_DESCRIPTORS = descriptors.EVENT_LOOP + descriptors.SERVING + descriptors.ADMIN + descriptors.IN_MOTION
+CACHES, CROWD_CLIENTS, ADMIN_CALLERS = 32, 120, 8
 
 
 @pytest.mark.parametrize(
-    ("limit", "inherited", "feeds", "shares"),
+    ("limit", "inherited", "purge_servers", "shares"),
     [
-        (4096, 3, 0, Shares(2457, 1024, 24)),  # as they were: what the process needs is in the rest
+        (4096, 3, 0, Shares(2457, 1024, 24)),  # unscaled: the rest covers what the process itself needs
         (1024, 3, 0, Shares(614, 256, 24)),
         (384, 3, 0, Shares(224, 93, 8)),
-        (128, 3, 0, Shares(56, 23, 7)),  # were 76 and 32: 6 to 11 over the limit with the admin endpoint
-        (128, 20, 0, Shares(44, 18, 8)),  # what the start leaves open counts
+        # 76 clients and 32 upstream connections exceeded the limit by 6 to 11 with the admin endpoint in use
+        (128, 3, 0, Shares(56, 23, 7)),
+        (128, 20, 0, Shares(44, 18, 8)),  # inherited descriptors count
         (128, 3, 3, Shares(50, 20, 7)),
         (0, 3, 0, Shares(4, 2, 6)),
     ],
 )
-def test_shares_by_limit(limit: int, inherited: int, feeds: int, shares: Shares) -> None:
-    assert share_descriptors(limit, inherited, feeds) == shares
+def test_shares_of_the_descriptors_by_limit(
+    limit: int, inherited: int, purge_servers: int, shares: Shares
+) -> None:
+    assert share_descriptors(limit, inherited, purge_servers) == shares
 
 
 @given(st.integers(64, 100_000), st.integers(3, 12), st.integers(0, 3))
-def test_shares_and_what_the_process_needs_stay_within_the_limit(
-    limit: int, inherited: int, feeds: int
+def test_shares_and_the_needs_of_the_process_stay_within_the_limit(
+    limit: int, inherited: int, purge_servers: int
 ) -> None:
-    shares = share_descriptors(limit, inherited, feeds)
-    own = OWN + inherited + descriptors.PER_PURGE_SERVER * feeds
-    held = shares.clients + lingering_most(shares.clients) + shares.upstream + shares.callers
-    # the least of each is given whatever the limit
-    assert held + own <= max(limit, own + held if shares.upstream == descriptors.UPSTREAM_LEAST else 0)
+    shares = share_descriptors(limit, inherited, purge_servers)
+    own_descriptors = OWN_DESCRIPTORS + inherited + descriptors.PER_PURGE_SERVER * purge_servers
+    shared_descriptors = shares.clients + lingering_most(shares.clients) + shares.upstream + shares.callers
+    # each part gets its minimum whatever the limit is
+    assert shared_descriptors + own_descriptors <= max(
+        limit, own_descriptors + shared_descriptors if shares.upstream == descriptors.UPSTREAM_LEAST else 0
+    )
 
 
-def test_a_dial_waits_until_the_connection_that_makes_room_for_it_is_really_closed(
+def test_a_dial_waits_until_the_connection_that_makes_room_for_it_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # a connection that was told to close counted as gone, and was open when the next one was dialled
-    cap, dialled, open_at_dial = 2, [], []
+    """A connection that was asked to close used to count as closed while its socket was still open, so the next
+    dial exceeded the cap."""
+    max_connections, dialed_socks, open_at_dial = 2, [], []
 
-    class Counted(connect.Connect):
+    class CountingConnect(connect.Connect):
         def __init__(self, address: Address, done: connect.OnDone) -> None:
-            open_at_dial.append(sum(sock.fileno() >= 0 for sock in dialled))
+            open_at_dial.append(sum(sock.fileno() >= 0 for sock in dialed_socks))
             super().__init__(address, done)
             if self.sock is not None:
-                dialled.append(self.sock)
+                dialed_socks.append(self.sock)
 
-    monkeypatch.setattr(dialer, "Connect", Counted)
-    monkeypatch.setattr(health_check, "Connect", Counted)
+    monkeypatch.setattr(dialer, "Connect", CountingConnect)
+    monkeypatch.setattr(health_check, "Connect", CountingConnect)
 
     @trial
-    async def scene() -> None:
+    async def scenario() -> None:
         caches = [Cache(hit) for _ in range(8)]
-        listed = {f"c{n}": await cache.start() for n, cache in enumerate(caches)}
-        async with running(config(listed)) as (node, client):
-            node.upstream.cap = cap
+        addresses = {f"c{n}": await cache.start() for n, cache in enumerate(caches)}
+        async with running(config(addresses)) as (node, client):
+            node.upstream.cap = max_connections
             for number in range(1, 41):
                 client.ask(number, o=f"{number * 7919:016x}", m="1")
                 assert (await client.next())[2] == 0
-        assert len(dialled) > cap  # else none had to make room
-        assert max(open_at_dial) < cap
+        assert len(dialed_socks) > max_connections  # otherwise no connection had to make room
+        assert max(open_at_dial) < max_connections
 
-    scene()
+    scenario()
 
 
-class ReturningBoard(FakeDiscovery):
-    """Discovery at one port, down and back. The port is its own from the start: a socket that does not listen
-    refuses calls, and nobody else is given its port meanwhile."""
+class LateDiscovery(FakeDiscovery):
+    """Discovery that starts listening later on a port that it holds from the beginning: a bound socket that does
+    not listen refuses connections, and no other process can get the port."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -93,12 +99,12 @@
         self._sock.bind(("127.0.0.1", 0))
         self.port = int(self._sock.getsockname()[1])
 
-    async def come(self) -> None:
+    async def start_listening(self) -> None:
         self._server = await asyncio.start_server(self._serve, sock=self._sock)
 
 
-async def crowd(port: int, text: bytes) -> None:
-    """Holds a connection, says no more than that, and comes again whenever it is closed."""
+async def hold_connections(port: int, text: bytes) -> None:
+    """Holds a connection on which it sends only `text`, and reconnects whenever it is closed."""
     while True:
         with suppress(OSError):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -114,40 +120,50 @@
     return list(json.loads(config(caches))["known"]["notices"][0]["pool"]["instances"])
 
 
-@pytest.mark.parametrize(("told", "allowed"), [(128, 128), (1024, 128)])
-def test_a_crowd_beyond_the_descriptors_starves_neither_discovery_nor_dials_nor_the_admin_endpoint(
-    tmp_path: Path, told: int, allowed: int
+@pytest.mark.parametrize(("configured_limit", "process_limit"), [(128, 128), (1024, 128)])
+def test_too_many_clients_starve_neither_discovery_nor_dials_nor_the_admin_endpoint(
+    tmp_path: Path, configured_limit: int, process_limit: int
 ) -> None:
-    # at 128 all of them failed with EMFILE, and the director ended with 1 at SIGTERM: its last step opens a file
-
-    async def scene() -> None:
-        board, caches = ReturningBoard(), [Cache(hit) for _ in range(CACHES + 1)]
-        addresses = [await cache.start() for cache in caches]
-        listed = {f"c{n}": address for n, address in enumerate(addresses[:-1])}
-        raw = json.loads(config({**listed, "r0": "127.0.0.1:1"}, board=f"127.0.0.1:{board.port}"))
-        raw["limits"]["sockets"] = told
+    """With 128 descriptors all three used to fail with EMFILE, and the director exited with 1 at SIGTERM, because
+    its last step opens a file."""
+
+    async def scenario() -> None:
+        discovery, caches = LateDiscovery(), [Cache(hit) for _ in range(CACHES + 1)]
+        cache_addresses = [await cache.start() for cache in caches]
+        addresses = {f"c{n}": address for n, address in enumerate(cache_addresses[:-1])}
+        raw = json.loads(config({**addresses, "r0": "127.0.0.1:1"}, board=f"127.0.0.1:{discovery.port}"))
+        raw["limits"]["sockets"] = configured_limit
         director, tasks = Processes(tmp_path, raw), []
         try:
-            await director.start(descriptors=allowed)
+            await director.start(descriptors=process_limit)
             await director.serving()
             load = Load(director.port, clients=6)
-            tasks = [asyncio.create_task(crowd(director.port, b"")) for _ in range(CROWD)]
-            tasks += [asyncio.create_task(crowd(director.ops[0], b"GET /he")) for _ in range(CALLERS)]
-            # every cache has been dialled, all callers have come, and more clients than there is room for
+            tasks = [asyncio.create_task(hold_connections(director.port, b"")) for _ in range(CROWD_CLIENTS)]
+            tasks += [
+                asyncio.create_task(hold_connections(director.ops[0], b"GET /he"))
+                for _ in range(ADMIN_CALLERS)
+            ]
+            # until half of the caches are dialed, all admin callers are connected, and clients wait for room
             await until(lambda: sum(bool(cache.conns) for cache in caches) >= 16, wait=20.0)
             await until(lambda: "clients wait for room" in director.log() or load.served > 300, wait=20.0)
             for _ in range(5):
                 assert (await director.call("GET", "/healthcheck"))[0] == 200
 
-            board.notices = [*raw["known"]["notices"]]
-            board.tell(
-                {"pool": {"generation": 2, "reset": False, "instances": instances({"c99": addresses[-1]})}}
+            discovery.notices = [*raw["known"]["notices"]]
+            discovery.tell(
+                {
+                    "pool": {
+                        "generation": 2,
+                        "reset": False,
+                        "instances": instances({"c99": cache_addresses[-1]}),
+                    }
+                }
             )
-            await board.come()
-            await until(lambda: caches[-1].seen, wait=20.0)  # the list is followed, and its cache dialled
+            await discovery.start_listening()
+            await until(lambda: caches[-1].seen, wait=20.0)  # the new list was received and its cache dialed
             assert (await director.call("GET", "/healthcheck"))[0] == 200
             await load.stop()
-            # a request of the load may be cut off by its own stop, and a kept one cross a close
+            # stopping the load may cut off a request, and a request on a reused connection may cross its close
             assert not [lost for lost in load.lost if lost.endswith(": 2")] and load.served > 100
             director.all[0].send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(director.all[0].wait(), 20.0) == 0
@@ -157,6 +173,6 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
             await director.end()
-            await board.close()
+            await discovery.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/net/test_final_answers.py
+++ b/tests/net/test_final_answers.py
@@ -1,4 +1,4 @@
-"""Whatever servers and other clients do, each request that was taken has one final answer in its time."""
+"""Each accepted request gets exactly one final answer in time, whatever servers and other clients do."""
 
 from __future__ import annotations
 
@@ -20,122 +20,122 @@
 from gladelane.net.client_protocol import Type, encode_fields, encode_frame
 from gladelane.server import Server
 
-WAIT_MS = 600
-LATEST_S = WAIT_MS / 1000.0 + 0.5  # later, the request is lost
-HONEST, REQUESTS = 4, 6
+DEADLINE_MS = 600
+MAX_ANSWER_S = DEADLINE_MS / 1000.0 + 0.5  # a request without an answer by then is lost
+CLIENTS, REQUESTS_PER_CLIENT = 4, 6
 PING = encode_frame(Type.ASK_READY, 0, encode_fields({}))
 FLOODS = {
     "pings": PING * 3000,
-    "requests that cannot be used": b"".join(request(n, c="nothing") for n in range(1, 300)),
-    "one stream again and again": request(1, d="1") * 300,
-    "more requests than may be open": b"".join(request(n) for n in range(1, 200)),
+    "invalid requests": b"".join(request(n, c="nothing") for n in range(1, 300)),
+    "repeated use of one stream": request(1, d="1") * 300,
+    "too many open requests": b"".join(request(n) for n in range(1, 200)),
     "half a frame": request(1)[:30],
-    "no framing": b"\xff" * 60_000,
-    "cancels of nothing": struct.pack(">IBI", 5, Type.GONE, 77) * 3000,
+    "bytes without framing": b"\xff" * 60_000,
+    "cancels of unknown streams": struct.pack(">IBI", 5, Type.GONE, 77) * 3000,
 }
 
 
-def trouble(kind: str) -> Callable[[Command], tuple[str, bytes] | None]:
-    """What a cache says to all it is asked."""
-    said = {
+def failing_script(kind: str) -> Callable[[Command], tuple[str, bytes] | None]:
+    """The script of a cache that answers every request in the same way."""
+    reply_by_kind = {
         "hangs": None,
-        "is full": ("overload -", b""),
+        "is overloaded": ("overload -", b""),
         "fails": ("crashed -", b""),
-        "has nothing": ("not_here -", b""),
+        "lacks the object": ("not_here -", b""),
     }
-    return lambda command: said[kind]
+    return lambda command: reply_by_kind[kind]
 
 
-async def asks(node: Server, number: int, answered: list[tuple[str, float]]) -> None:
-    """An honest client: some requests of both classes at once, and nothing comes twice."""
+async def run_client(node: Server, number: int, answered: list[tuple[str, float]]) -> None:
+    """A well-behaved client sends several requests of both classes at once, and gets no answer twice."""
     loop = asyncio.get_running_loop()
     client = await Client.to(node.port)
-    began = loop.time() - waited_for_core_s()
-    for stream in range(1, REQUESTS + 1):
+    started_s = loop.time() - waited_for_core_s()
+    for stream in range(1, REQUESTS_PER_CLIENT + 1):
         id_ = f"{number * 100 + stream:016x}"
-        keyed = {"c": "sheet", "k": id_} if stream % 2 else {}
-        client.ask(stream, i=id_, d=str(WAIT_MS), o=id_, **keyed)
-    for _ in range(REQUESTS):
-        type_, stream, *_ = await client.next(LATEST_S + 5.0)
+        write_fields = {"c": "sheet", "k": id_} if stream % 2 else {}
+        client.ask(stream, i=id_, d=str(DEADLINE_MS), o=id_, **write_fields)
+    for _ in range(REQUESTS_PER_CLIENT):
+        type_, stream, *_ = await client.next(MAX_ANSWER_S + 5.0)
         assert type_ == Type.ANSWER
-        answered.append((f"{number} {stream}", loop.time() - waited_for_core_s() - began))
+        answered.append((f"{number} {stream}", loop.time() - waited_for_core_s() - started_s))
     assert await client.silent(0.3)
     client.writer.close()
 
 
-async def each_is_answered_once_in_time(node: Server) -> None:
+async def assert_each_answered_once_in_time(node: Server) -> None:
     answered: list[tuple[str, float]] = []
-    await asyncio.gather(*(asks(node, number, answered) for number in range(1, HONEST + 1)))
+    await asyncio.gather(*(run_client(node, number, answered) for number in range(1, CLIENTS + 1)))
     assert set(Counter(name for name, _ in answered).values()) == {1}
-    assert len(answered) == HONEST * REQUESTS
-    assert max(after for _, after in answered) <= LATEST_S
+    assert len(answered) == CLIENTS * REQUESTS_PER_CLIENT
+    assert max(elapsed_s for _, elapsed_s in answered) <= MAX_ANSWER_S
     await until(lambda: not node.director.live)
 
 
 @pytest.mark.parametrize("runner", [asyncio.run, uvloop.run])
-@pytest.mark.parametrize("kind", ["hangs", "is full", "fails", "has nothing"])
-def test_each_request_has_one_answer_in_time_while_all_servers_are_in_trouble(
+@pytest.mark.parametrize("kind", ["hangs", "is overloaded", "fails", "lacks the object"])
+def test_each_request_gets_one_answer_in_time_while_all_servers_fail(
     kind: str, runner: Callable[[Any], None]
 ) -> None:
-    async def scene() -> None:
-        servers = {name: await Cache(trouble(kind)).start() for name in ("c0", "c1", "p0", "r0")}
+    async def scenario() -> None:
+        servers = {name: await Cache(failing_script(kind)).start() for name in ("c0", "c1", "p0", "r0")}
         async with running(config(servers)) as (node, _):
-            await each_is_answered_once_in_time(node)
+            await assert_each_answered_once_in_time(node)
 
-    runner(scene())
+    runner(scenario())
 
 
-@pytest.mark.parametrize("ends", ["reset", "close", "half an answer", "garbage", "takes nothing"])
-def test_each_request_has_one_answer_in_time_while_connections_to_servers_break(ends: str) -> None:
-    async def breaks(peer: Peer) -> None:
+@pytest.mark.parametrize("failure", ["reset", "close", "half an answer", "garbage", "reads nothing"])
+def test_each_request_gets_one_answer_in_time_while_connections_to_servers_break(failure: str) -> None:
+    async def break_connections(peer: Peer) -> None:
         loop, held = asyncio.get_running_loop(), list[socket.socket]()
         while True:
             sock = await loop.sock_accept(peer.listener)
             held.append(sock[0])
-            if ends == "takes nothing":
+            if failure == "reads nothing":
                 continue
             await loop.sock_recv(sock[0], 65_536)
-            if ends == "half an answer":
+            if failure == "half an answer":
                 await loop.sock_sendall(sock[0], b"%016x served digest=aa,dated=1,remark=h 90\r\nx" % 101)
                 continue
-            if ends == "garbage":
+            if failure == "garbage":
                 await loop.sock_sendall(sock[0], b"\xff\xff\r\n")
-            if ends == "reset":
+            if failure == "reset":
                 sock[0].setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             sock[0].close()
 
-    async def scene() -> None:
+    async def scenario() -> None:
         peers = {name: Peer(takes=4096) for name in ("c0", "c1", "p0", "r0")}
-        tasks = [asyncio.create_task(breaks(peer)) for peer in peers.values()]
+        tasks = [asyncio.create_task(break_connections(peer)) for peer in peers.values()]
         async with running(config({name: peer.address for name, peer in peers.items()})) as (node, _):
-            await each_is_answered_once_in_time(node)
+            await assert_each_answered_once_in_time(node)
         for task in tasks:
             task.cancel()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("name", FLOODS)
-def test_each_request_has_one_answer_in_time_while_other_clients_flood(name: str) -> None:
-    async def floods(node: Server, over: asyncio.Event) -> None:
-        """Sends on and on, takes nothing, and comes back when it is cut off."""
+def test_each_request_gets_one_answer_in_time_while_other_clients_flood(name: str) -> None:
+    async def flood(node: Server, stop: asyncio.Event) -> None:
+        """Keeps sending without reading, and reconnects when it is disconnected."""
         loop = asyncio.get_running_loop()
-        while not over.is_set():
+        while not stop.is_set():
             with Raw(node, takes=4096).sock as sock, contextlib.suppress(OSError, TimeoutError):
-                while not over.is_set():
+                while not stop.is_set():
                     async with asyncio.timeout(0.2):
                         await loop.sock_sendall(sock, FLOODS[name])
                     await asyncio.sleep(0.01)
             await asyncio.sleep(0.01)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         servers = {"c0": await Cache(lambda _: None).start(), "c1": await Cache(hit).start()}
         async with running(config({**servers, "r0": await Cache(hit).start()})) as (node, _):
-            over = asyncio.Event()
-            tasks = [asyncio.create_task(floods(node, over)) for _ in range(3)]
+            stop = asyncio.Event()
+            tasks = [asyncio.create_task(flood(node, stop)) for _ in range(3)]
             await asyncio.sleep(0.05)
-            await each_is_answered_once_in_time(node)
-            over.set()
+            await assert_each_answered_once_in_time(node)
+            stop.set()
             await asyncio.gather(*tasks)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
