--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -1,4 +1,4 @@
-"""Tables of cases for what reads bytes: frames, fields, requests, answers of caches, events, configuration."""
+"""Tables of cases for the parsers: frames, fields, requests, replies of caches, events and the configuration."""
 
 from __future__ import annotations
 
@@ -37,22 +37,31 @@
 from gladelane.sse import EventStream
 
 SETTINGS = settings_from_wire(settings())
-GOOD = {"c": "film", "i": "9b1f03aa5c7e2d41", "d": "1500", "o": "7f3a9c21e0b4d655", "chunk": "3", "tag": "17"}
+VALID_FIELDS = {
+    "c": "film",
+    "i": "9b1f03aa5c7e2d41",
+    "d": "1500",
+    "o": "7f3a9c21e0b4d655",
+    "chunk": "3",
+    "tag": "17",
+}
 
 
 @given(st.lists(st.tuples(st.integers(0, 255), st.integers(0, 2**32 - 1), st.binary(max_size=40))), st.data())
-def test_frames_survive_any_cut(frames: list[tuple[int, int, bytes]], data: st.DataObject) -> None:
+def test_frames_are_decoded_wherever_the_bytes_are_split(
+    frames: list[tuple[int, int, bytes]], data: st.DataObject
+) -> None:
     wire = b"".join(encode_frame(*frame) for frame in frames)  # type: ignore[arg-type]
-    decoder, found, at = FrameDecoder(), [], 0
-    while at < len(wire):
+    decoder, decoded, position = FrameDecoder(), [], 0
+    while position < len(wire):
         step = data.draw(st.integers(1, len(wire)))
-        found += [tuple(f) for f in decoder.feed(wire[at : at + step])]
-        at += step
-    assert found == frames
+        decoded += [tuple(f) for f in decoder.feed(wire[position : position + step])]
+        position += step
+    assert decoded == frames
 
 
 @pytest.mark.parametrize("length", [0, 4, 262_145, 2**32 - 1])
-def test_a_length_that_cannot_be_right_loses_the_framing(length: int) -> None:
+def test_an_invalid_frame_length_is_a_framing_error(length: int) -> None:
     with pytest.raises(FramingError):
         list(FrameDecoder().feed(raw_frame(length, 16, 1)))
 
@@ -61,7 +70,7 @@
     b"", b"\x01", b"\x01\x01c", b"\x01\x01c\x00\x09film", b"\x01\x01\xff\x00\x01a", b"\x01\x01c\x00\x01\xff",
     b"\x02\x01c\x00\x01a\x01c\x00\x01b",
 ])  # fmt: skip
-def test_unreadable_fields(payload: bytes) -> None:
+def test_unreadable_fields_are_an_invalid_request(payload: bytes) -> None:
     with pytest.raises(InvalidRequestError):
         decode_fields(payload)
 
@@ -69,7 +78,9 @@
 @given(
     st.dictionaries(st.text(min_size=1, max_size=9), st.text(max_size=99), max_size=9), st.binary(max_size=9)
 )
-def test_fields_come_back_as_they_were(fields: dict[str, str], body: bytes) -> None:
+def test_decoding_encoded_fields_returns_the_same_fields_and_body(
+    fields: dict[str, str], body: bytes
+) -> None:
     assert decode_fields(encode_fields(fields) + body) == (fields, body)
 
 
@@ -79,18 +90,30 @@
     {"chunk": "-1"}, {"chunk": "1.5"}, {"chunk": "²"}, {"tag": None}, {"tag": "256"}, {"m": "big"},
     {"known": "a b"}, {"known": "a,b=c"}, {"known": ""}, {"c": "sheet"}, {"c": "sheet", "k": "a\r\nabort"},
 ])  # fmt: skip
-def test_a_request_with_a_missing_or_unusable_field_goes_nowhere(change: dict[str, str | None]) -> None:
-    fields = {name: value for name, value in {**GOOD, **change}.items() if value is not None}
+def test_a_request_with_a_missing_or_invalid_field_is_rejected(change: dict[str, str | None]) -> None:
+    fields = {name: value for name, value in {**VALID_FIELDS, **change}.items() if value is not None}
     with pytest.raises(InvalidRequestError):
         decode_request(encode_fields(fields), SETTINGS)
 
 
-def test_a_request_is_taken_as_worded() -> None:
-    ask = decode_request(
-        encode_fields({**GOOD, "o": "7F3a9c21e0b4d655", "k": "5c0f", "known": "4be0"}) + b"x", SETTINGS
+def test_all_fields_of_a_request_are_decoded() -> None:
+    request = decode_request(
+        encode_fields({**VALID_FIELDS, "o": "7F3a9c21e0b4d655", "k": "5c0f", "known": "4be0"}) + b"x",
+        SETTINGS,
+    )
+    assert (request.id, request.object, request.part, request.group) == (
+        VALID_FIELDS["i"],
+        "7F3a9c21e0b4d655",
+        3,
+        17,
+    )
+    assert (request.key, request.known, request.body, request.wait_ms, request.size_kb) == (
+        "5c0f",
+        "4be0",
+        b"x",
+        1500.0,
+        0.0,
     )
-    assert (ask.id, ask.object, ask.part, ask.group) == (GOOD["i"], "7F3a9c21e0b4d655", 3, 17)
-    assert (ask.key, ask.known, ask.body, ask.wait_ms, ask.size_kb) == ("5c0f", "4be0", b"x", 1500.0, 0.0)
 
 
 @pytest.mark.parametrize(("final", "payload"), [
@@ -100,11 +123,11 @@
     (FinalAnswer(AnswerCode.REFUSED, retry_after_ms=0.4), b"\x01\x00"),
     (FinalAnswer(AnswerCode.FAILED), b"\x02\x00"),
 ])  # fmt: skip
-def test_answers_on_the_wire(final: FinalAnswer, payload: bytes) -> None:
+def test_final_answers_are_encoded(final: FinalAnswer, payload: bytes) -> None:
     assert encode_answer(7, final) == encode_frame(17, 7, payload)  # type: ignore[arg-type]
 
 
-LINES = [
+REPLIES = [
     (
         b"a1 served digest=x,dated=5,remark=f,first=12.5,report=inflight:7;util:0.61 3\r\nab\n\r\n",
         ("a1", AttemptOutcome.SERVED, Note.PARENT_HELD, 12.5, b"ab\n", 5.0, {"inflight": 7.0, "util": 0.61}),
@@ -122,12 +145,12 @@
 ]
 
 
-@pytest.mark.parametrize(("line", "reply"), LINES)
-def test_answers_of_caches(line: bytes, reply: tuple[Any, ...]) -> None:
-    whole = ReplyDecoder()
-    assert [tuple(r) for r in whole.feed(line * 2)] == [reply, reply]
-    bytewise = ReplyDecoder()
-    assert [tuple(r) for byte in line for r in bytewise.feed(bytes([byte]))] == [reply]
+@pytest.mark.parametrize(("line", "reply"), REPLIES)
+def test_replies_of_caches_are_decoded_whole_and_byte_by_byte(line: bytes, reply: tuple[Any, ...]) -> None:
+    decoder = ReplyDecoder()
+    assert [tuple(r) for r in decoder.feed(line * 2)] == [reply, reply]
+    bytewise_decoder = ReplyDecoder()
+    assert [tuple(r) for byte in line for r in bytewise_decoder.feed(bytes([byte]))] == [reply]
 
 
 @pytest.mark.parametrize("line", [
@@ -136,17 +159,17 @@
     b"a1 served - +3\r\nabc\r\n", b"a1 served - 1_0\r\n", b"a1 served - 3000000000\r\n", b"a1 served - " + b"9" * 4000 + b"\r\n", b"x" * 5000, b"x" * 5000 + b"\r\n",
     b"a1 \xff - 0\r\n\r\n", b"a1 served - \xb2\r\n", b"a1 served  0\r\n\r\n", b"a1 served - - 0\r\n\r\n", b"a1 served remark=h j 0\r\n\r\n",
 ])  # fmt: skip
-def test_garbled_answers(line: bytes) -> None:
+def test_invalid_replies_are_rejected_as_malformed(line: bytes) -> None:
     with pytest.raises(MalformedReplyError):
         list(ReplyDecoder().feed(line))
 
 
 @pytest.mark.parametrize("letter,note", zip("hfojsrblnx", list(Note)[1:], strict=True))
-def test_every_letter_of_a_remark_is_its_note(letter: str, note: Note) -> None:
+def test_every_remark_letter_is_decoded_to_its_note(letter: str, note: Note) -> None:
     assert [r.note for r in ReplyDecoder().feed(f"a1 crashed remark={letter} 0\r\n\r\n".encode())] == [note]
 
 
-TORN = [
+UNREADABLE_FIELDS = [
     b"remark=q", b"remark=hh", b"remark=H", b"remark=h,j", b"remark=\xff", b"remark==",
     b"first=x", b"first=nan", b"first=-1", b"first=inf", b"first=1_0", b"first=1e3", b"first=5,5", b"first=1234567890",
     b"dated=x", b"dated=-5", b"dated=1_0", b"dated=\xb2",
@@ -156,35 +179,35 @@
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize("torn", TORN)
-def test_a_field_that_cannot_be_read_is_left_out_and_the_answer_is_used(torn: bytes) -> None:
-    whole = b"a1 served digest=x," + torn + b" 2\r\nok\r\n"
-    bare = Reply("a1", AttemptOutcome.SERVED, body=b"ok")
-    assert list(ReplyDecoder().feed(whole * 2)) == [bare, bare]
+@pytest.mark.parametrize("field", UNREADABLE_FIELDS)
+def test_an_unreadable_field_is_ignored_and_the_reply_is_used(field: bytes) -> None:
+    line = b"a1 served digest=x," + field + b" 2\r\nok\r\n"
+    reply_without_field = Reply("a1", AttemptOutcome.SERVED, body=b"ok")
+    assert list(ReplyDecoder().feed(line * 2)) == [reply_without_field, reply_without_field]
 
 
-def test_what_stands_beside_an_unreadable_field_is_read() -> None:
+def test_the_fields_next_to_an_unreadable_field_are_decoded() -> None:
     line = b"a1 served remark=?,first=7,dated=9,report=util:0.5 0\r\n\r\n"
     assert list(ReplyDecoder().feed(line)) == [
         Reply("a1", AttemptOutcome.SERVED, Note.NOT_REPORTED, 7.0, b"", 9.0, {"util": 0.5})
     ]
 
 
-# what keeps the form of a line: no space, which parts its words, and no end of line
+# values that leave the format of a reply line intact: no space, which separates its parts, and no line end
 VALUES = st.tuples(st.binary(max_size=60), st.sampled_from([b"\r", b"\n"])).map(
     lambda drawn: drawn[0].replace(b" ", b"").replace(drawn[1], b"")
 )
 
 
 @given(VALUES, VALUES, VALUES, VALUES, st.binary(max_size=40), st.sampled_from(sorted(WORDS)))
-def test_no_bytes_in_the_fields_of_an_answer_end_a_connection_or_lose_the_answer(
-    remark: bytes, first: bytes, report: bytes, dated: bytes, body: bytes, word: str
+def test_no_bytes_in_the_fields_of_a_reply_raise_an_error_or_lose_the_reply(
+    remark: bytes, first: bytes, report: bytes, dated: bytes, body: bytes, outcome_word: str
 ) -> None:
     fields = b"remark=%b,first=%b,report=%b,dated=%b" % (remark, first, report, dated)
-    line = b"7f %b %b %d\r\n%b\r\n" % (word.encode(), fields, len(body), body)
+    line = b"7f %b %b %d\r\n%b\r\n" % (outcome_word.encode(), fields, len(body), body)
     replies = list(ReplyDecoder().feed(line + b"80 not_here - 0\r\n\r\n"))
     assert [(r.id, r.outcome, r.body) for r in replies] == [
-        ("7f", WORDS[word], body),
+        ("7f", WORDS[outcome_word], body),
         ("80", AttemptOutcome.NOT_HERE, b""),
     ]
     for reply in replies:
@@ -192,7 +215,7 @@
         assert all(0.0 <= value < 1e120 for value in (reply.report or {}).values())
 
 
-def test_a_connection_full_of_unreadable_fields_costs_a_few_lines_of_log(
+def test_a_connection_with_only_unreadable_fields_logs_a_few_lines(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     decoder = ReplyDecoder()
@@ -202,7 +225,7 @@
     assert all(record.getMessage().isascii() for record in caplog.records)
 
 
-def test_commands_to_caches() -> None:
+def test_a_fetch_command_is_encoded() -> None:
     assert encode_fetch("a1", {"max": "5", "got": "x"}, b"\r\n") == b"fetch a1 max=5,got=x 2\r\n\r\n\r\n"
 
 
@@ -212,17 +235,17 @@
     ([b":\n\n", b": still here\n\n"], []),
     ([b"da", b"ta:a\n", b"\ndata:b\n\n"], ["a", "b"]),
 ])  # fmt: skip
-def test_server_sent_events(chunks: list[bytes], events: list[str]) -> None:
+def test_server_sent_events_are_decoded(chunks: list[bytes], events: list[str]) -> None:
     stream = EventStream()
     assert [event for chunk in chunks for event in stream.feed(chunk)] == events
 
 
-def test_every_end_has_a_status_and_only_what_never_left_is_proved_not_to_have_run() -> None:
+def test_every_outcome_has_a_status_and_only_unsent_attempts_are_known_not_to_have_run() -> None:
     assert set(STATUS) == set(AttemptOutcome)
-    ran = {end for end in AttemptOutcome if STATUS[end] not in NEVER_RAN}
-    assert ran == {AttemptOutcome.SERVED, AttemptOutcome.STILL_GOOD, AttemptOutcome.CRASHED, AttemptOutcome.RESET, AttemptOutcome.CLOSED, AttemptOutcome.GARBLED, AttemptOutcome.CUT_SHORT, AttemptOutcome.SILENT, AttemptOutcome.TIMED_OUT,
-                   AttemptOutcome.CANCELLED, AttemptOutcome.IDLE, AttemptOutcome.OUTDATED, AttemptOutcome.WITHHELD}  # fmt: skip
-    assert {end for end in AttemptOutcome if STATUS[end] is Status.OK} == {
+    may_have_run = {outcome for outcome in AttemptOutcome if STATUS[outcome] not in NEVER_RAN}
+    assert may_have_run == {AttemptOutcome.SERVED, AttemptOutcome.STILL_GOOD, AttemptOutcome.CRASHED, AttemptOutcome.RESET, AttemptOutcome.CLOSED, AttemptOutcome.GARBLED, AttemptOutcome.CUT_SHORT, AttemptOutcome.SILENT, AttemptOutcome.TIMED_OUT,
+                            AttemptOutcome.CANCELLED, AttemptOutcome.IDLE, AttemptOutcome.OUTDATED, AttemptOutcome.WITHHELD}  # fmt: skip
+    assert {outcome for outcome in AttemptOutcome if STATUS[outcome] is Status.OK} == {
         AttemptOutcome.SERVED,
         AttemptOutcome.STILL_GOOD,
     }
@@ -232,7 +255,7 @@
     {"name": None}, {"listen": "4100"}, {"listen": "a:b"}, {"seed": "xyz"}, {"limits": {}}, {"known": {"rev": "a"}},
     {"settings": {}}, {"settings": {**settings(), "limits": {"max_attempts": 3, "max_open": 9, "dial_timeout_ms": 1}}},
 ])  # fmt: skip
-def test_a_bad_configuration_is_told_in_one_line(change: dict[str, Any]) -> None:
+def test_an_invalid_configuration_is_reported_in_one_line(change: dict[str, Any]) -> None:
     raw = json.loads(config({"c0": "127.0.0.1:9"}))
     raw.update(change)
     with pytest.raises(ConfigError) as caught:
@@ -240,16 +263,16 @@
     assert len(str(caught.value).splitlines()) == 1
 
 
-def test_addresses() -> None:
+def test_host_and_port_are_parsed() -> None:
     assert host_port("127.0.0.1:80") == ("127.0.0.1", 80) and host_port("[::1]:80")[1] == 80
     for bad in ("", ":80", "a", "a:70000", "a:-1"):
         with pytest.raises(ValueError):
             host_port(bad)
 
 
-def test_the_example_configuration_is_a_good_one() -> None:
-    told = read_config((Path(__file__).parent.parent / "example" / "config.json").read_bytes())
-    assert [i.instance_id for n in told.known.notices if n.pool for i in n.pool.instances] == [
+def test_the_example_configuration_is_valid() -> None:
+    configuration = read_config((Path(__file__).parent.parent / "example" / "config.json").read_bytes())
+    assert [i.instance_id for n in configuration.known.notices if n.pool for i in n.pool.instances] == [
         "cache-1",
         "depot-1",
         "bank",
