--- a/tests/endpoints/test_sockets.py
+++ b/tests/endpoints/test_sockets.py
@@ -19,7 +19,7 @@
 
 import pytest
 from harness import Client, config, running, trial, until
-from test_net_rules import REFUSED, notice, outcomes, ready, told
+from test_net_rules import REFUSED_ADDRESS, make_pool_event, outcomes, record_events, wait_for_port
 
 from gladelane.discovery.events import WatchEvent
 from gladelane.endpoints import connect as connect_module
@@ -60,9 +60,9 @@
     """A director with one origin at several addresses; `sheet` goes straight there. Its `hostPort` is the
     first of them, or the last, which is dialled last."""
     standin, listed = await listening("r0", families)
-    told = listed[::-1] if host_port_is_last else listed
+    record_events = listed[::-1] if host_port_is_last else listed
     try:
-        async with running(fleet({"r0": told, "c0": [REFUSED]}, **limits)) as (node, client):
+        async with running(fleet({"r0": record_events, "c0": [REFUSED_ADDRESS]}, **limits)) as (node, client):
             yield standin, listed, node, client
     finally:
         await standin.close()
@@ -78,7 +78,7 @@
 ):
     async with origin(V6_FIRST) as (standin, listed, node, client):
         await standin.set(listed[0], Fault.STALL)
-        events = told(node.director)
+        events = record_events(node.director)
         submit(client, 1)
         assert (await client.next())[:3] == (17, 1, 0)
         assert [
@@ -127,7 +127,9 @@
     standins = {f"c{n}": await listening(f"c{n}", V6_FIRST) for n in range(8)}
     for standin, listed in standins.values():
         await standin.set(listed[0], Fault.BLACK_HOLE)
-    async with running(fleet({n: listed for n, (_, listed) in standins.items()} | {"r0": [REFUSED]})) as (
+    async with running(
+        fleet({n: listed for n, (_, listed) in standins.items()} | {"r0": [REFUSED_ADDRESS]})
+    ) as (
         node,
         client,
     ):
@@ -156,7 +158,7 @@
 def test_a_dial_that_fails_costs_the_module_no_attempt(fault: Fault, family: Family) -> None:
     async def scene() -> None:
         async with origin(ALL[ALL.index(family) :]) as (standin, listed, node, client):
-            events = told(node.director)
+            events = record_events(node.director)
             await standin.set(listed[0], fault)
             submit(client, 1)
             assert (await client.next())[:3] == (17, 1, 0)
@@ -211,7 +213,7 @@
 @trial
 async def test_all_addresses_bad_at_once_end_before_the_dial_timeout_and_prove_that_nothing_ran() -> None:
     async with origin(ALL) as (standin, listed, node, client):
-        events = told(node.director)
+        events = record_events(node.director)
         for address in listed:
             await standin.set(address, Fault.REFUSED)
         submit(client, 1)
@@ -302,7 +304,7 @@
 
             with pytest.MonkeyPatch.context() as patch:
                 patch.setattr(connection_module, "open_stream", slowly)
-                events = told(node.director)
+                events = record_events(node.director)
                 submit(client, 1)
                 assert (await client.next())[:3] == (17, 1, code)
                 assert [o[2] for o in outcomes(events)] == [status]
@@ -318,7 +320,7 @@
         async with origin(V6_FIRST) as (standin, listed, node, client):
             for address in listed:
                 await standin.set(address, Fault.BLACK_HOLE)
-            events = told(node.director)
+            events = record_events(node.director)
             submit(client, 1)
             await until(
                 lambda: [c.dialling for conns in node.upstream._pool.values() for c in conns if c.dialling]
@@ -330,7 +332,7 @@
                 "zone": "hub",
                 "machineType": "root",
             }
-            node.director.apply_watch_event(notice(2, leaving))
+            node.director.apply_watch_event(make_pool_event(2, leaving))
             assert (await client.next(0.2))[:3] == (17, 1, 1)
             assert outcomes(events)[0][1:3] == ("r0", Status.MOOT) and not node.upstream._sockets_in_use()
 
@@ -340,7 +342,7 @@
 def relisted(rev: int, host_port: str, addresses: list[str]) -> WatchEvent:
     """The origin again, with so many addresses beside its own."""
     instance = {"instanceId": "r0", "hostPort": host_port, "lifecycle": "in_service", "zone": "hub"}
-    return notice(rev, {**instance, "machineType": "root", "addresses": addresses})
+    return make_pool_event(rev, {**instance, "machineType": "root", "addresses": addresses})
 
 
 @trial
@@ -383,7 +385,7 @@
         assert (await client.next())[:3] == (17, 1, 0)
         node.endpoints.health.stalled("r0", parse(listed[0]), node.clock.now())
         other = {"instanceId": "c1", "hostPort": listed[0], "lifecycle": "in_service", "startedAtMs": 5.0}
-        node.director.apply_watch_event(notice(2, other))
+        node.director.apply_watch_event(make_pool_event(2, other))
         assert node.endpoints.registry.owner(parse(listed[0])) == "c1"
         assert not node.endpoints.health.is_avoided("c1", parse(listed[0]))
         await until(lambda: standin.open(listed[0]) == 0)
@@ -439,13 +441,13 @@
         file = tmp_path / "operator.json5"
         rule = f"{{endpoints: {{rules: [{{name: 'box', match: {{id: 'r*'}}, add: ['{unix}']}}]}}}}"
         file.write_text("{}")
-        (tmp_path / "config.json").write_bytes(config({"r0": plain, "c0": REFUSED}))
+        (tmp_path / "config.json").write_bytes(config({"r0": plain, "c0": REFUSED_ADDRESS}))
         env = {**os.environ, "GW_CONFIG": str(tmp_path / "config.json"), "GW_OPERATOR": str(file)}
         process = subprocess.Popen(
             [sys.executable, "-m", "gladelane"], cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True
         )
         try:
-            client = await Client.to(await ready(process))
+            client = await Client.to(await wait_for_port(process))
             stream = 0
 
             async def burst(count: int) -> None:
--- a/tests/purges/test_director.py
+++ b/tests/purges/test_director.py
@@ -12,7 +12,7 @@
 
 import pytest
 from harness import Cache, Client, Command, config, trial, until
-from test_net_rules import REFUSED, notice_flush, outcomes, told
+from test_net_rules import REFUSED_ADDRESS, make_flush, outcomes, record_events
 from test_purge_log import running_server, send, tokens
 
 from gladelane.discovery.events import WatchEvent
@@ -49,7 +49,7 @@
 
 @asynccontextmanager
 async def director(cache: str, op: Operator) -> AsyncIterator[tuple[Server, Client]]:
-    node = Server(read_config(config({"c0": cache, "r0": REFUSED})), op)
+    node = Server(read_config(config({"c0": cache, "r0": REFUSED_ADDRESS})), op)
     client = await Client.to(await node.start())
     try:
         yield node, client
@@ -96,12 +96,12 @@
         return f"served digest=aa,dated={int(copy_date_ms[0])},remark=h", b"\x00bytes"
 
     cache = Cache(serve_dated_copy)
-    node = Server(read_config(config({"c0": await cache.start(), "r0": REFUSED})))
+    node = Server(read_config(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})))
     client = await Client.to(await node.start())
-    events = told(node.director)
+    events = record_events(node.director)
     now = node.clock.now()
     node.director.apply_watch_event(
-        WatchEvent(2, flush=notice_flush(asset="7f3a9c21e0b4d655", ms=now - 1000.0))
+        WatchEvent(2, flush=make_flush(asset="7f3a9c21e0b4d655", ms=now - 1000.0))
     )
     for stream, age, served in ((1, 900.0, True), (2, 1004.0, True), (3, 1200.0, False)):
         copy_date_ms[0] = now - age
@@ -172,7 +172,7 @@
 ) -> None:
     async def scenario() -> None:
         disk, server_disk = SimDisk(), SimDisk()
-        node = Server(read_config(config({"r0": REFUSED})))
+        node = Server(read_config(config({"r0": REFUSED_ADDRESS})))
         async with running_server(tmp_path, disk=server_disk) as purge_server:
             for n in range(300):
                 await send(purge_server.port, f"object:{n:016x}")
@@ -210,7 +210,7 @@
                        ({"delay_ms": 100}, "purges.delay_ms: 100; expected a number from 2000"), ({"dirr": "x"}, "purges.dirr: unknown key")):  # fmt: skip
         with pytest.raises(OperatorFileError, match=message):
             operator(tmp_path, 1, **more)
-    config_ = read_config(config({"r0": REFUSED}))
+    config_ = read_config(config({"r0": REFUSED_ADDRESS}))
     with pytest.raises(ConfigError, match="purges.strict: 'song'; expected classes"):
         Server(config_, operator(tmp_path, 1, strict=["song"]))
     valid = operator(tmp_path, 1)
--- a/tests/purges/test_hard_cases.py
+++ b/tests/purges/test_hard_cases.py
@@ -16,7 +16,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import NameOID
 from harness import Client, config, running, trial, until
-from test_net_rules import notice_flush, outcomes, told
+from test_net_rules import make_flush, outcomes, record_events
 from test_purge_log import TOKEN, ServedLog, tokens, unix_ms
 
 from gladelane.control_plane.http import fetch
@@ -53,12 +53,12 @@
     addresses = {name: await fake_server.listen(Family.V4) for name, fake_server in fake_servers.items()}
     async with running(config(addresses)) as (node, client):
         hub.copies[object_id, 3] = now_ms() - 5000.0  # the old copy
-        events = told(node.director)
+        events = record_events(node.director)
         other_client = await Client.to(node.port)
         client.ask(1, d="3000")
         await until(lambda: cache.filling)  # the fill has read the old copy, and is in progress
         purged_ms = now_ms()
-        node.director.apply_watch_event(WatchEvent(2, flush=notice_flush(asset=object_id, ms=purged_ms)))
+        node.director.apply_watch_event(WatchEvent(2, flush=make_flush(asset=object_id, ms=purged_ms)))
         await asyncio.sleep(0.05)
         other_client.ask(2, d="3000")  # joins that fill
         answers = [await client.next(), await other_client.next()]
--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -1,4 +1,4 @@
-"""One test a rule, on real sockets: a whole node between a client and scripted caches."""
+"""One test for each rule of a whole director, over sockets between a client and scripted caches."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from harness import Cache, Client, Command, config, hit, mute, raw_frame, running, trial, until
 
 from gladelane import shutdown
-from gladelane.discovery import client as board_module
+from gladelane.discovery import client as discovery_client_module
 from gladelane.discovery.client import DiscoveryClient
 from gladelane.discovery.events import WatchEvent, watch_event_decoder
 from gladelane.logs import MAX_LINES_PER_S, Flood
@@ -36,21 +36,21 @@
 from gladelane.timer_wheel import TimerWheel
 
 ROOT = Path(__file__).parent.parent
-REFUSED = "127.0.0.1:1"  # nothing listens there
-SPEC = read_config(config({"r0": REFUSED})).settings.classes["film"]
-SERVED = (17, 1, 0, {}, b"\x00bytes of 7f3a9c21e0b4d655")
+REFUSED_ADDRESS = "127.0.0.1:1"  # no process listens there
+CLASS_SPEC = read_config(config({"r0": REFUSED_ADDRESS})).settings.classes["film"]
+SERVED_FRAME = (17, 1, 0, {}, b"\x00bytes of 7f3a9c21e0b4d655")
 
 
-def told(director: Any) -> list[Event]:
-    """Every event the module is given from here on."""
+def record_events(director: Any) -> list[Event]:
+    """Records every event that the router handles from now on."""
     events: list[Event] = []
     handle = director.router.handle
 
-    def spy(now: float, event: Event) -> Any:
+    def record_and_handle(now: float, event: Event) -> Any:
         events.append(event)
         return handle(now, event)
 
-    director.router.handle = spy
+    director.router.handle = record_and_handle
     return events
 
 
@@ -59,11 +59,14 @@
 
 
 @trial
-async def test_a_request_goes_up_unaltered_and_its_bytes_come_back_whole() -> None:
+async def test_a_request_is_forwarded_unaltered_and_its_answer_is_returned_whole() -> None:
     cache = Cache(hit)
-    async with running(config({"c0": await cache.start(), "p0": REFUSED, "r0": REFUSED})) as (node, client):
+    async with running(config({"c0": await cache.start(), "p0": REFUSED_ADDRESS, "r0": REFUSED_ADDRESS})) as (
+        node,
+        client,
+    ):
         client.ask(1, i="9B1f03aa5c7e2d41", k="5c0f6e1a", body=b"\r\nabort\x00")
-        assert await client.next() == SERVED
+        assert await client.next() == SERVED_FRAME
         ((id_, fields, body),) = cache.seen
         assert (id_, body) == ("9B1f03aa5c7e2d41", b"\r\nabort\x00")
         assert 1 <= int(fields.pop("max")) <= 2000
@@ -73,52 +76,58 @@
 
 
 @trial
-async def test_a_write_goes_straight_to_the_origin() -> None:
+async def test_a_write_goes_directly_to_the_origin() -> None:
     origin = Cache(hit)
-    async with running(config({"c0": REFUSED, "r0": await origin.start()})) as (_, client):
+    async with running(config({"c0": REFUSED_ADDRESS, "r0": await origin.start()})) as (_, client):
         client.ask(1, c="sheet", k="5c0f6e1a", body=b"answers")
-        assert await client.next() == SERVED
+        assert await client.next() == SERVED_FRAME
         ((_, fields, body),) = origin.seen
         assert fields["replay"] == "5c0f6e1a" and "parent" not in fields and body == b"answers"
 
 
 @trial
-async def test_a_silent_cache_ends_in_one_answer_in_time_an_abort_and_a_time_out_told() -> None:
-    # the module gives up in the tick of the time-out; told 'cancelled' it would never learn of the silence
+async def test_an_unresponsive_cache_causes_one_answer_in_time_an_abort_and_a_timeout_outcome() -> None:
+    """The router ends the request in the same tick in which the attempt times out. If the outcome were reported as
+    canceled, the router would never learn that the cache did not respond."""
     cache = Cache(mute)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
-        events = told(node.director)
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
+        events = record_events(node.director)
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_s = loop.time()
         client.ask(1, d="200")
         assert (await client.next())[:3] == (17, 1, 1)
-        assert loop.time() - began >= 0.15
+        assert loop.time() - started_s >= 0.15
         await until(lambda: cache.aborted == ["0000000000000001"])
         assert outcomes(events) == [(0, "c0", Status.TIMEOUT, True)]
-        cache.conns[0].write(b"0000000000000001 served - 2\r\nxx\r\n")  # crosses the abort
+        cache.conns[0].write(b"0000000000000001 served - 2\r\nxx\r\n")  # a reply that crosses the abort
         assert await client.silent() and not node.director.live and not node.director.router.lingering
 
 
 @trial
-async def test_every_attempt_is_told_once_and_in_order_also_after_the_answer() -> None:
-    slow, quick = Cache(mute), Cache(hit)
-    first = {"c0": await slow.start(), "c1": await quick.start(), "r0": REFUSED}
-    async with running(config(first)) as (node, client):
+async def test_the_outcome_of_every_attempt_is_reported_once_and_in_order_also_after_the_answer() -> None:
+    unresponsive_cache, other_cache = Cache(mute), Cache(hit)
+    addresses = {
+        "c0": await unresponsive_cache.start(),
+        "c1": await other_cache.start(),
+        "r0": REFUSED_ADDRESS,
+    }
+    async with running(config(addresses)) as (node, client):
         node.director.router.budgets.hedges = 5.0
-        events = told(node.director)
+        events = record_events(node.director)
         stream = 0
-        while not slow.seen:  # until an object's home is the silent one: a second copy then brings the answer
+        # until the unresponsive cache is the first choice for an object, and a hedge brings the answer
+        while not unresponsive_cache.seen:
             stream += 1
             client.ask(stream, o=f"{stream:016x}", m="1")
             assert (await client.next())[:3] == (17, stream, 0)
         assert outcomes(events)[-2:] == [(1, "c1", Status.OK, True), (0, "c0", Status.CANCELLED, True)]
-        await until(lambda: slow.aborted and not node.director.live)
+        await until(lambda: unresponsive_cache.aborted and not node.director.live)
 
 
 @trial
-async def test_a_client_that_left_is_owed_nothing_and_its_attempt_is_aborted() -> None:
+async def test_a_client_that_canceled_or_disconnected_gets_no_answer_and_its_attempt_is_aborted() -> None:
     cache = Cache(mute)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
         client.ask(1)
         await until(lambda: len(cache.seen) == 1)
         client.send(18, 1)
@@ -131,47 +140,53 @@
 
 
 @trial
-async def test_what_was_written_and_reset_may_have_run_and_what_was_refused_never_did() -> None:
+async def test_an_attempt_that_was_written_and_reset_may_have_run_and_a_refused_one_never_did() -> None:
     broken = Cache(hit)
 
     def reset(command: Command) -> None:
         broken.conns[-1].transport.abort()
 
     broken.script = reset
-    for address, status in ((await broken.start(), Status.RESET), (REFUSED, Status.CONNECT_FAILED)):
+    for address, status in ((await broken.start(), Status.RESET), (REFUSED_ADDRESS, Status.CONNECT_FAILED)):
         async with running(config({"r0": address}, max_attempts=1)) as (node, client):
-            events = told(node.director)
+            events = record_events(node.director)
             client.ask(1, c="sheet", k="5c")
             assert (await client.next())[:3] == (17, 1, 1)
             assert outcomes(events)[0] == (0, "r0", status, False)
 
 
 @trial
-async def test_a_connection_that_ended_takes_nothing_from_the_turn_on_in_which_its_end_is_read() -> None:
-    # a turn later a request would have been written into the end, and may have run for all the module knows
+async def test_a_closed_connection_takes_no_request_from_the_loop_iteration_in_which_its_end_is_read() -> (
+    None
+):
+    """One iteration of the loop later, a request would have been written to the closed connection, and the router
+    would have to assume that it may have run."""
     cache = Cache(hit)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
         client.ask(1)
         await client.next()
         ((conn,),) = node.upstream._pool.values()
-        told_: list[tuple[bool, bool]] = []
+        recorded: list[tuple[bool, bool]] = []
         remove = node.upstream.remove
 
-        def seen(one: Any) -> None:
-            told_.append((conn.task.done(), one.takes("id")))
-            remove(one)
+        def record_and_remove(removed: Any) -> None:
+            recorded.append((conn.task.done(), removed.takes("id")))
+            remove(removed)
 
-        node.upstream.remove = seen  # type: ignore[method-assign]
+        node.upstream.remove = record_and_remove  # type: ignore[method-assign]
         cache.conns[0].close()
-        await until(lambda: conn.task.done() and told_)
-        assert told_ == [(False, False)] and not node.upstream._sockets_in_use()
+        await until(lambda: conn.task.done() and recorded)
+        assert recorded == [(False, False)] and not node.upstream._sockets_in_use()
 
 
 @trial
-async def test_a_garbled_answer_is_passed_to_nobody() -> None:
+async def test_an_invalid_reply_is_not_passed_to_the_client() -> None:
     cache = Cache(lambda c: ("still_good digest=aa", b""))
-    async with running(config({"c0": await cache.start(), "r0": REFUSED}, max_attempts=1)) as (_, client):
-        client.ask(1)  # offered no copy
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS}, max_attempts=1)) as (
+        _,
+        client,
+    ):
+        client.ask(1)  # the client offers no copy, so `still_good` is invalid
         assert (await client.next())[:3] == (17, 1, 1)
         client.ask(2, known="aa")
         assert await client.next() == (17, 2, 0, {"valid": "1"}, b"")
@@ -179,16 +194,17 @@
 
 
 @trial
-async def test_an_answer_cut_short_costs_its_connection_at_once_and_a_slow_one_does_not() -> None:
-    # a connection that stays open behind it would hold all its requests until their time is over
+async def test_a_truncated_reply_closes_its_connection_at_once_and_a_slow_one_does_not() -> None:
+    """A connection that stays open after a truncated reply would block all its requests until their deadlines."""
     cache = Cache(mute)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
-        events = told(node.director)
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
+        events = record_events(node.director)
         client.ask(1)
         client.ask(2)
         await until(lambda: len(cache.seen) == 2)
         cache.conns[0].write(b"0000000000000001 served - 900\r\nhalf")
-        await until(lambda: len(cache.seen) == 4 and len(cache.conns) == 2)  # both are asked again, elsewhere
+        # both requests are retried on another connection
+        await until(lambda: len(cache.seen) == 4 and len(cache.conns) == 2)
         assert [s for _, _, s, _ in outcomes(events)] == [Status.RESET, Status.RESET]
         for part in (b"0000000000000001 served", b" - 4\r\nsl", b"ow\r\n"):
             await asyncio.sleep(0.02)
@@ -197,24 +213,28 @@
 
 
 @trial
-async def test_a_connection_that_went_silent_is_left_and_what_hangs_on_it_is_asked_again() -> None:
-    # rate+silent+leave: each such connection swallowed some fifty requests until their time was over
+async def test_a_connection_that_stopped_responding_is_abandoned_and_its_requests_are_retried() -> None:
+    """In the scenario rate+silent+leave each unresponsive connection used to hold about fifty requests until their
+    deadlines."""
     cache = Cache(lambda command: None if len(cache.conns) == 1 else hit(command))
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
-        events = told(node.director)
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
+        events = record_events(node.director)
         for stream in range(1, 6):
             client.ask(stream, d="5000")
         await until(lambda: len(cache.seen) == 5)
         await asyncio.sleep(response_monitor.QUIET_MS / 1000 + 0.05)
-        client.ask(6, d="5000")  # on a connection of its own, and answered there
+        client.ask(6, d="5000")  # sent and answered on a new connection
         assert (await client.next())[:3] == (17, 6, 0)
         while [s for _, _, s, _ in outcomes(events)].count(Status.RESET) < 5:
             client.ask(stream := stream + 2, d="5000")
             await asyncio.sleep(0.05)
         assert len(cache.conns) == 2
-        # not before an answer would have been late anyway: on a day of many fills all on it may just be slow
-        aim = node.director.settings.classes["film"].aim_ms
-        assert min(e.latency_ms for e in events if isinstance(e, Outcome) and e.status is Status.RESET) >= aim
+        # not before an answer would be late anyway: if many of them are fills, the attempts may just be slow
+        objective_ms = node.director.settings.classes["film"].aim_ms
+        assert (
+            min(e.latency_ms for e in events if isinstance(e, Outcome) and e.status is Status.RESET)
+            >= objective_ms
+        )
         answered: set[tuple[int, int]] = set()
         while not {1, 2, 3, 4, 5} <= {stream for stream, _ in answered}:
             answered.add((await client.next())[1:3])
@@ -222,13 +242,13 @@
 
 
 @trial
-async def test_many_attempts_at_a_store_are_spread_so_that_a_silent_connection_takes_few() -> None:
-    # incident rc6e763: each connection that fell silent held up some twenty requests
+async def test_attempts_at_a_store_are_spread_so_that_an_unresponsive_connection_holds_few() -> None:
+    """In incident rc6e763 each connection that stopped responding delayed about twenty requests."""
     cache = Cache(mute)
     with pytest.MonkeyPatch.context() as patch:
-        # a mute server's connections are left after QUIET_MS, and on a busy machine the requests take longer
+        # new requests avoid an unresponsive connection after QUIET_MS; on a busy machine sending them takes longer
         patch.setattr(response_monitor, "QUIET_MS", 60_000.0)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+        async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
             for stream in range(1, 33):
                 client.ask(stream, d="5000")
                 await until(lambda: len(cache.seen) == stream)  # noqa: B023
@@ -238,7 +258,7 @@
 
 
 @trial
-async def test_a_second_copy_of_an_answer_is_not_taken_for_the_answer_to_the_next_attempt() -> None:
+async def test_a_duplicate_reply_is_not_taken_for_the_reply_to_the_next_attempt() -> None:
     cache = Cache(lambda command: ("crashed -", b"") if len(cache.seen) == 1 else None)
     async with running(config({"r0": await cache.start()})) as (_, client):
         client.ask(1, c="sheet", k="5c", d="1000")
@@ -250,9 +270,12 @@
 
 
 @trial
-async def test_open_attempts_of_one_id_use_connections_of_their_own_and_streams_are_bounded() -> None:
+async def test_open_attempts_with_one_id_use_separate_connections_and_streams_are_bounded() -> None:
     cache = Cache(mute)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED}, max_streams=2)) as (_, client):
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS}, max_streams=2)) as (
+        _,
+        client,
+    ):
         client.ask(1, i="00000000000000aa")
         client.ask(2, i="00000000000000aa")
         await until(lambda: len(cache.conns) == 2 and len(cache.seen) == 2)
@@ -265,9 +288,12 @@
 
 
 @trial
-async def test_idle_connections_are_closed_before_the_peer_does() -> None:
+async def test_idle_connections_are_closed_before_the_peer_closes_them() -> None:
     cache = Cache(hit)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED}, conn_idle_ms=300.0)) as (_, client):
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS}, conn_idle_ms=300.0)) as (
+        _,
+        client,
+    ):
         client.ask(1)
         await client.next()
         await until(lambda: cache.closed == 1)
@@ -276,36 +302,37 @@
 
 
 @trial
-async def test_a_mute_peer_loses_its_connection_and_one_slow_answer_does_not() -> None:
+async def test_repeated_timeouts_close_a_connection_and_a_single_one_does_not() -> None:
     cache = Cache(mute)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
-        for stream, dialled in ((1, 1), (2, 1), (3, 2)):
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
+        for stream, expected_conns in ((1, 1), (2, 1), (3, 2)):
             client.ask(stream, d="400")
             assert (await client.next())[:3] == (17, stream, 1)
             await until(lambda: len(cache.seen) == stream)  # noqa: B023
-            assert len(cache.conns) == dialled
-            node.director.router.stores["c0"].close()
+            assert len(cache.conns) == expected_conns
+            node.director.router.stores["c0"].reset_failures()
 
 
 @trial
-async def test_a_loop_held_up_over_a_deadline_leaves_the_last_word_to_the_module() -> None:
-    # the sweep for requests that the module forgot came first, and failed what could be refused
+async def test_the_router_decides_the_answer_when_the_loop_is_blocked_past_a_deadline() -> None:
+    """The sweep for requests that the router forgot used to run first, and failed a request that the router could
+    still refuse."""
     cache = Cache(mute)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (_, client):
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (_, client):
         client.ask(1, d="200")
         await until(lambda: cache.seen)
-        time.sleep(0.4)  # past the deadline, in one turn
+        time.sleep(0.4)  # past the deadline, in one iteration of the loop
         assert (await client.next())[:3] == (17, 1, 1)
 
 
 @trial
-async def test_nothing_new_goes_to_a_drained_cache_also_when_its_dial_was_under_way() -> None:
+async def test_a_draining_cache_gets_no_new_request_even_if_its_dial_was_in_progress() -> None:
     cache = Cache(hit)
     address = await cache.start()
-    async with running(config({"c0": address, "r0": REFUSED})) as (node, client):
-        events = told(node.director)
-        leaving = notice(2, {"instanceId": "c0", "hostPort": address, "lifecycle": "terminating"})
-        during_the_dial(node, lambda: node.director.apply_watch_event(leaving))
+    async with running(config({"c0": address, "r0": REFUSED_ADDRESS})) as (node, client):
+        events = record_events(node.director)
+        draining = make_pool_event(2, {"instanceId": "c0", "hostPort": address, "lifecycle": "terminating"})
+        run_during_dial(node, lambda: node.director.apply_watch_event(draining))
         client.ask(1)
         assert (await client.next())[:3] == (17, 1, 1)
         client.ask(2)
@@ -314,67 +341,71 @@
 
 
 @trial
-async def test_a_purge_bounds_the_age_asked_for_also_of_a_send_that_waited() -> None:
+async def test_a_purge_limits_the_accepted_age_also_of_a_request_that_waited_for_a_dial() -> None:
     cache = Cache(hit)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
         now = node.clock.now()
-        purge = WatchEvent(2, flush=notice_flush(asset="7f3a9c21e0b4d655", ms=now - 50.0))
-        during_the_dial(node, lambda: node.director.apply_watch_event(purge))
+        purge = WatchEvent(2, flush=make_flush(asset="7f3a9c21e0b4d655", ms=now - 50.0))
+        run_during_dial(node, lambda: node.director.apply_watch_event(purge))
         client.ask(1)
         await client.next()
         assert 1 <= int(cache.seen[0][1]["accept"]) <= node.clock.now() - now + 50.0
-        heard = node.clock.now()
-        # an age is at most what discovery's own dates show, whatever our clock says: none by one date alone,
-        # and none against a date that shows a step of its clock
+        purges_received_ms = node.clock.now()
+        # Beyond the time since a purge was received, the accepted age includes at most what discovery's own dates
+        # show, whatever our clock says. A single date shows nothing, and neither does a date that reveals a step
+        # of discovery's clock.
         for rev, group, dated in (
             (3, 9, now - 500.0),
             (4, 10, now - 3_600_000.0),
             (5, 11, now + 3_600_000.0),
         ):
-            node.director.apply_watch_event(WatchEvent(rev, flush=notice_flush(collection=group, ms=dated)))
+            node.director.apply_watch_event(WatchEvent(rev, flush=make_flush(collection=group, ms=dated)))
         for stream, tag, bounded in ((2, "8", False), (3, "9", True), (4, "10", True), (5, "11", True)):
             client.ask(stream, o=f"{stream:016x}", tag=tag)
             await client.next()
             age = int(cache.seen[-1][1].get("accept", 0))
-            most = node.clock.now() - heard + (500.0 if tag == "9" else 0.0) + 1.0
-            assert (1 <= age <= most) if bounded else age == 0
+            max_age_ms = node.clock.now() - purges_received_ms + (500.0 if tag == "9" else 0.0) + 1.0
+            assert (1 <= age <= max_age_ms) if bounded else age == 0
 
 
-def during_the_dial(node: Server, happens: Callable[[], None]) -> None:
-    send = node.upstream.send
+def run_during_dial(node: Server, action: Callable[[], None]) -> None:
+    real_send = node.upstream.send
 
-    def sends(attempt: Attempt) -> None:
-        send(attempt)
-        happens()
+    def send_and_run(attempt: Attempt) -> None:
+        real_send(attempt)
+        action()
 
-    node.upstream.send = sends  # type: ignore[method-assign]
+    node.upstream.send = send_and_run  # type: ignore[method-assign]
 
 
-def notice_flush(**fields: Any) -> Any:
+def make_flush(**fields: Any) -> Any:
     return watch_event_decoder.decode(json.dumps({"rev": 0, "flush": fields})).flush
 
 
-def notice(rev: int, instance: dict[str, Any]) -> WatchEvent:
+def make_pool_event(rev: int, instance: dict[str, Any]) -> WatchEvent:
     full = {"zone": "edge", "machineType": "box", **instance}
     return watch_event_decoder.decode(json.dumps({"rev": rev, "pool": {"instances": [full]}}))
 
 
-def test_ages_are_whole_and_never_nothing() -> None:
+def test_accepted_ages_are_whole_numbers_of_at_least_one() -> None:
     exchange = Exchange(
-        ClientRequest("1", "film", 1.0, "2", 0, 0), Request(1, "film", 2, 100.0), lambda final: None, SPEC, 8
+        ClientRequest("1", "film", 1.0, "2", 0, 0),
+        Request(1, "film", 2, 100.0),
+        lambda final: None,
+        CLASS_SPEC,
+        8,
     )
-    for told_age, sent in ((0.0, None), (0.3, "1"), (1.9, "1"), (20.99, "20")):
-        attempt = Attempt(exchange, 0, "c0", 0.0, 100.0, max_age_ms=told_age)
-        assert attempt.fields(0.0).get("accept") == sent
+    for max_age_ms, expected in ((0.0, None), (0.3, "1"), (1.9, "1"), (20.99, "20")):
+        attempt = Attempt(exchange, 0, "c0", 0.0, 100.0, max_age_ms=max_age_ms)
+        assert attempt.fields(0.0).get("accept") == expected
 
 
 @trial
-async def test_sends_past_the_end_or_beyond_the_most_attempts_are_moot() -> None:
-    async with running(config({"c0": REFUSED, "c1": REFUSED, "r0": REFUSED}, max_attempts=1)) as (
-        node,
-        client,
-    ):
-        events = told(node.director)
+async def test_attempts_beyond_the_maximum_are_moot() -> None:
+    async with running(
+        config({"c0": REFUSED_ADDRESS, "c1": REFUSED_ADDRESS, "r0": REFUSED_ADDRESS}, max_attempts=1)
+    ) as (node, client):
+        events = record_events(node.director)
         node.director.router.settings = replace(node.director.settings, max_attempts=6)
         client.ask(1)
         assert (await client.next())[:3] == (17, 1, 1)
@@ -385,10 +416,10 @@
 
 
 @trial
-async def test_malformed_frames_get_an_error_answer_and_the_connection_lives_while_framing_holds() -> None:
+async def test_malformed_frames_get_an_error_answer_and_only_a_framing_error_closes_the_connection() -> None:
     cache = Cache(hit)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
-        owner = {1: 1, 2: 2, 4: 0, 5: 0, 6: 0}
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
+        error_stream_by_request = {1: 1, 2: 2, 4: 0, 5: 0, 6: 0}
         client.ask(1, drop="o")
         client.ask(2, c="song")
         client.ask(3)
@@ -396,9 +427,9 @@
         client.send(99, 5)
         client.send(16, 0, encode_fields({}))
         answers = [await client.next() for _ in range(6)]
-        assert sorted(a[1] for a in answers if a[2] == 2) == sorted(owner.values())
-        assert [a for a in answers if a[2] == 0] == [(17, 3, *SERVED[2:])]
-        client.ask(3)  # a stream is new on its connection
+        assert sorted(a[1] for a in answers if a[2] == 2) == sorted(error_stream_by_request.values())
+        assert [a for a in answers if a[2] == 0] == [(17, 3, *SERVED_FRAME[2:])]
+        client.ask(3)  # a stream may not be reused on its connection
         assert (await client.next())[:3] == (17, 0, 2)
         client.writer.write(raw_frame(300_000, 16, 9))
         assert (await client.next())[:3] == (17, 0, 2)
@@ -408,9 +439,9 @@
 
 
 @trial
-async def test_more_than_32_open_requests_are_an_error_each() -> None:
+async def test_each_request_beyond_32_open_ones_gets_an_error() -> None:
     cache = Cache(mute)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
         for stream in range(1, 36):
             client.ask(stream)
         errors = [(await client.next())[:3] for _ in range(3)]
@@ -419,17 +450,17 @@
 
 
 @trial
-async def test_a_fault_in_the_module_fails_its_own_request_only() -> None:
+async def test_an_exception_in_the_router_fails_only_its_own_request() -> None:
     cache = Cache(hit)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
         handle = node.director.router.on_request
 
-        def faulty(request: Request) -> None:
+        def fail_for_part_13(request: Request) -> None:
             if request.part == 13:
-                raise RuntimeError("made for the test")
+                raise RuntimeError("injected by the test")
             handle(request)
 
-        node.director.router.on_request = faulty
+        node.director.router.on_request = fail_for_part_13
         client.ask(1, chunk="13")
         assert (await client.next())[:3] == (17, 1, 2)
         client.ask(2)
@@ -438,8 +469,8 @@
 
 
 @trial
-async def test_readiness_is_told_and_taken_back_when_draining() -> None:
-    async with running(config({"r0": REFUSED})) as (node, client):
+async def test_readiness_is_reported_and_withdrawn_while_draining() -> None:
+    async with running(config({"r0": REFUSED_ADDRESS})) as (node, client):
         client.send(32, 5, encode_fields({}))
         assert (await client.next())[:3] == (33, 5, 0)
         node.front.drain.fail(1.0)
@@ -450,9 +481,9 @@
 
 
 @trial
-async def test_clients_beyond_their_share_of_descriptors_and_memory_are_turned_away() -> None:
+async def test_requests_beyond_the_limit_of_buffered_bytes_are_refused() -> None:
     cache = Cache(mute)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
         client.ask(1, body=b"x" * 40_000)
         await until(lambda: cache.seen)
         node.front.max_buffered_bytes = 30_000
@@ -461,95 +492,98 @@
 
 
 @trial
-async def test_a_crowd_beyond_the_share_of_descriptors_waits_and_is_served_by_and_by() -> None:
-    # incident rcd43eb: hundreds came at once, and those past the cap were reset with their first request
+async def test_clients_beyond_the_connection_cap_wait_and_are_served_later() -> None:
+    """In incident rcd43eb hundreds of clients connected at once, and those beyond the cap were reset together with
+    their first request."""
     cache = Cache(lambda command: hit(command) if command[1]["nth"] == "7" else None)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
         client.ask(1)
         await until(lambda: cache.seen)
         node.front.cap = 1
         crowd = [await Client.to(node.port) for _ in range(8)]
-        for n, one in enumerate(crowd):
-            one.ask(1, chunk="7", i=f"{n + 16:016x}")
+        for n, waiting in enumerate(crowd):
+            waiting.ask(1, chunk="7", i=f"{n + 16:016x}")
         assert await crowd[-1].silent()
         client.send(18, 1)
-        for one in crowd:
-            assert (await one.next())[:3] == (17, 1, 0)
+        for waiting in crowd:
+            assert (await waiting.next())[:3] == (17, 1, 0)
 
 
 @trial
-async def test_a_crowd_that_holds_connections_keeps_nobody_out_who_asks() -> None:
-    # churn: clients that had asked once held all there were, and who came next was turned away
+async def test_idle_clients_are_closed_to_make_room_for_new_ones() -> None:
+    """Under client churn, clients that had sent a single request used to occupy all connections, and new clients were
+    rejected."""
     cache = Cache(hit)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
         node.front.cap = 4
         client.ask(1)
         assert (await client.next())[:3] == (17, 1, 0)
-        first, *others = [await Client.to(node.port) for _ in range(3)]
+        unused, *others = [await Client.to(node.port) for _ in range(3)]
         with pytest.raises((EOFError, ConnectionError)):
-            for one in others:
-                one.ask(1)
-                assert (await one.next())[:3] == (17, 1, 0)
-            await first.next()  # who never asked goes first, though others are idle for longer
+            for other in others:
+                other.ask(1)
+                assert (await other.next())[:3] == (17, 1, 0)
+            # a client that never sent a request is closed first, though others are idle for longer
+            await unused.next()
         cache.script = mute
         others.append(await Client.to(node.port))
-        for one in others:
-            one.ask(2)
+        for other in others:
+            other.ask(2)
         with pytest.raises((EOFError, ConnectionError)):
-            await client.next()  # then who has asked for nothing for longest
+            await client.next()  # then the client that is idle for longest
         await until(lambda: len(cache.seen) == 6)
         for _ in range(3):
             await Client.to(node.port)
-        assert all([await one.silent() and not one.reader.at_eof() for one in others])
+        assert all([await other.silent() and not other.reader.at_eof() for other in others])
 
 
 @trial
-async def test_a_client_that_says_nothing_whole_gets_an_end_in_time_and_one_that_pauses_does_not() -> None:
+async def test_clients_without_a_complete_frame_are_closed_before_idle_ones() -> None:
     cache = Cache(hit)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, good):
-        good.ask(1)
-        assert (await good.next())[:3] == (17, 1, 0)
-        quiet, half = await Client.to(node.port), await Client.to(node.port)
-        half.writer.write(raw_frame(50_000, 16, 1, b"x" * 30_000))
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, active_client):
+        active_client.ask(1)
+        assert (await active_client.next())[:3] == (17, 1, 0)
+        silent_client, partial_client = await Client.to(node.port), await Client.to(node.port)
+        partial_client.writer.write(raw_frame(50_000, 16, 1, b"x" * 30_000))
         await until(lambda: sum(c.buffered_bytes() for c in node.front.connections) > 30_000)
         now = node.clock.now()
-        ends = {c: (c.proven, bool(c.partial_ms)) for c in node.front.connections}
-        assert sorted(ends.values()) == [(False, False), (False, True), (True, False)]
-        for after, closed in (
+        state_by_conn = {c: (c.proven, bool(c.partial_ms)) for c in node.front.connections}
+        assert sorted(state_by_conn.values()) == [(False, False), (False, True), (True, False)]
+        for elapsed_ms, closed in (
             (1500.0, []),
             (2600.0, [(False, False), (False, True)]),
             (4100.0, []),
             (5000.0, [(True, False)]),
         ):
-            for conn in list(ends):
-                conn.sweep(now + after)
-            assert sorted(v for c, v in ends.items() if c.shut_ms) == closed
-            for conn in [c for c in ends if c.shut_ms]:
-                del ends[conn]
-        assert (await half.next())[:3] == (17, 0, 2)
-        for one in (quiet, half, good):
+            for conn in list(state_by_conn):
+                conn.sweep(now + elapsed_ms)
+            assert sorted(v for c, v in state_by_conn.items() if c.shut_ms) == closed
+            for conn in [c for c in state_by_conn if c.shut_ms]:
+                del state_by_conn[conn]
+        assert (await partial_client.next())[:3] == (17, 0, 2)
+        for closed_client in (silent_client, partial_client, active_client):
             with pytest.raises((EOFError, ConnectionError)):
-                await one.next()
+                await closed_client.next()
 
 
-def test_a_flood_of_lines_of_one_wording_is_bounded_and_counted() -> None:
+def test_repeated_log_lines_of_one_template_are_limited_and_counted() -> None:
     flood = Flood()
 
-    def line(second: float, wording: str, *args: object) -> str:
-        record = logging.LogRecord("x", logging.INFO, "", 0, wording, args, None)
+    def filtered_line(second: float, template: str, *args: object) -> str:
+        record = logging.LogRecord("x", logging.INFO, "", 0, template, args, None)
         record.created = second
         return record.getMessage() if flood.filter(record) else ""
 
-    told_ = [line(1.1, "bad stream=%d", n) for n in range(40)]
-    assert len([x for x in told_ if x]) == MAX_LINES_PER_S and line(1.2, "other") == "other"
-    assert line(2.0, "bad stream=%d", 40) == f"bad stream=40 (and {40 - MAX_LINES_PER_S} like it)"
-    assert line(2.1, "bad stream=%d", 41) == "bad stream=41"
+    recorded = [filtered_line(1.1, "bad stream=%d", n) for n in range(40)]
+    assert len([x for x in recorded if x]) == MAX_LINES_PER_S and filtered_line(1.2, "other") == "other"
+    assert filtered_line(2.0, "bad stream=%d", 40) == f"bad stream=40 (and {40 - MAX_LINES_PER_S} like it)"
+    assert filtered_line(2.1, "bad stream=%d", 41) == "bad stream=41"
 
 
 @trial
-async def test_an_open_id_with_another_object_is_an_error_and_goes_to_no_cache() -> None:
+async def test_an_open_id_with_another_object_is_an_error_and_is_sent_to_no_cache() -> None:
     cache = Cache(mute)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
         client.ask(1, i="00000000000000aa")
         client.ask(2, i="00000000000000aa", o="1111111111111111")
         assert (await client.next())[:3] == (17, 2, 2)
@@ -557,14 +591,14 @@
         assert len(cache.seen) == 1
         client.send(18, 1)
         await until(lambda: not node.director.live)
-        client.ask(3, i="00000000000000aa", o="1111111111111111")  # no longer open
+        client.ask(3, i="00000000000000aa", o="1111111111111111")  # the id is no longer open
         await until(lambda: len(cache.seen) == 2)
 
 
 @trial
-async def test_a_client_that_takes_none_of_its_answers_is_cut_off() -> None:
+async def test_a_client_that_reads_none_of_its_answers_is_disconnected() -> None:
     cache = Cache(lambda command: ("served digest=aa,dated=1", bytes(240_000)))
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
         for stream in range(1, 33):
             client.ask(stream, chunk=str(stream))
         await until(lambda: any(c.unsent() for c in node.front.connections))
@@ -579,12 +613,12 @@
 
 
 @trial
-async def test_the_upstream_cap_gives_up_idle_connections_first() -> None:
+async def test_at_the_upstream_cap_idle_connections_are_closed_first() -> None:
     first, second = Cache(hit), Cache(mute)
     stores = {"c0": await first.start(), "r0": await second.start()}
     async with running(config(stores)) as (node, client):
         node.upstream.cap = 1
-        events = told(node.director)
+        events = record_events(node.director)
         client.ask(1)
         assert (await client.next())[2] == 0
         client.ask(2, c="sheet", k="5c")
@@ -594,12 +628,12 @@
         assert (0, "c0", Status.FULL, False) in outcomes(events)
 
 
-class Feed:
-    """A notice board that plays one list of chunks a connection."""
+class ScriptedDiscovery:
+    """A discovery server that sends one list of chunks on each connection."""
 
-    def __init__(self, *plays: list[bytes]) -> None:
-        self.plays = list(plays)
-        self.asked: list[str] = []
+    def __init__(self, *scripts: list[bytes]) -> None:
+        self.scripts = list(scripts)
+        self.last_event_id_headers: list[str] = []
 
     async def start(self) -> tuple[str, int]:
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -608,71 +642,81 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
-        self.asked.append(next(x for x in head.split("\r\n") if x.lower().startswith("last-event-id")))
+        self.last_event_id_headers.append(
+            next(x for x in head.split("\r\n") if x.lower().startswith("last-event-id"))
+        )
         writer.write(b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n")
-        for chunk in self.plays.pop(0) if self.plays else []:
+        for chunk in self.scripts.pop(0) if self.scripts else []:
             writer.write(chunk)
         await asyncio.sleep(0.05)
-        if self.plays:
+        if self.scripts:
             writer.close()
 
 
 @trial
-async def test_the_board_is_resumed_after_breaks_silence_and_bad_events() -> None:
+async def test_the_discovery_stream_is_resumed_after_disconnects_silence_and_invalid_events() -> None:
     def event(rev: int) -> bytes:
         return b'id: %d\ndata: {"rev":%d,"flush":{"collection":1,"ms":1}}\n\n' % (rev, rev)
 
-    feed = Feed([event(2), b"data: {broken\n\n", event(3)], [event(3), event(4)[:20]], [event(4)], [])
+    server = ScriptedDiscovery(
+        [event(2), b"data: {broken\n\n", event(3)], [event(3), event(4)[:20]], [event(4)], []
+    )
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(board_module, "SILENT_S", 0.5)
-        patch.setattr(board_module, "BACKOFF_S", 0.01)
-        async with running(config({"r0": REFUSED})) as (node, _):
-            events = told(node.director)
-            board = DiscoveryClient(
-                *await feed.start(),
+        patch.setattr(discovery_client_module, "SILENT_S", 0.5)
+        patch.setattr(discovery_client_module, "BACKOFF_S", 0.01)
+        async with running(config({"r0": REFUSED_ADDRESS})) as (node, _):
+            events = record_events(node.director)
+            discovery_client = DiscoveryClient(
+                *await server.start(),
                 lambda: node.director.rev,
                 node.director.apply_watch_event,
                 random.Random(1),
             )
-            task = asyncio.create_task(board.run())
-            await until(lambda: len(feed.asked) >= 5)
+            task = asyncio.create_task(discovery_client.run())
+            await until(lambda: len(server.last_event_id_headers) >= 5)
             task.cancel()
-            assert [line.split(": ")[1] for line in feed.asked[:5]] == ["1", "3", "3", "4", "4"]
+            assert [line.split(": ")[1] for line in server.last_event_id_headers[:5]] == [
+                "1",
+                "3",
+                "3",
+                "4",
+                "4",
+            ]
             assert len([e for e in events if isinstance(e, Purge)]) == 3
 
 
 @trial
-async def test_a_cache_that_takes_over_an_address_inherits_no_connection() -> None:
+async def test_a_cache_that_takes_over_an_address_gets_new_connections() -> None:
     cache = Cache(mute)
     address = await cache.start()
-    async with running(config({"c0": address, "r0": REFUSED})) as (node, client):
+    async with running(config({"c0": address, "r0": REFUSED_ADDRESS})) as (node, client):
         client.ask(1)
         await until(lambda: cache.seen)
         node.director.apply_watch_event(
-            notice(2, {"instanceId": "c0", "hostPort": address, "lifecycle": "terminated"})
+            make_pool_event(2, {"instanceId": "c0", "hostPort": address, "lifecycle": "terminated"})
         )
         node.director.apply_watch_event(
-            notice(3, {"instanceId": "c9", "hostPort": address, "lifecycle": "in_service"})
+            make_pool_event(3, {"instanceId": "c9", "hostPort": address, "lifecycle": "in_service"})
         )
         client.ask(2)
         await until(lambda: len(cache.conns) == 2)
-        # told of before the old one's end: the list comes late
+        # the new owner of the address is listed before the old one ends, because the list is late
         node.director.apply_watch_event(
-            notice(4, {"instanceId": "c8", "hostPort": address, "lifecycle": "in_service"})
+            make_pool_event(4, {"instanceId": "c8", "hostPort": address, "lifecycle": "in_service"})
         )
         stream = 2
         while len(cache.conns) == 2:
             stream += 1
             client.ask(stream, o=f"{stream:016x}")
             await until(lambda: len(cache.seen) == stream)  # noqa: B023
-        assert cache.seen[-1][0] == f"{stream:016x}" and not cache.aborted  # what was open runs on
+        assert cache.seen[-1][0] == f"{stream:016x}" and not cache.aborted  # open requests continue
 
 
 @trial
-async def test_an_id_aborted_on_a_connection_is_not_sent_on_it_again() -> None:
-    # the answer to the first would be taken for the answer to the second
+async def test_an_id_aborted_on_a_connection_is_not_reused_on_it() -> None:
+    """The answer to the first request would be taken for the answer to the second."""
     cache = Cache(mute)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
         client.ask(1, i="00000000000000aa")
         await until(lambda: cache.seen)
         client.send(18, 1)
@@ -688,33 +732,33 @@
     return subprocess.Popen(command, cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True)
 
 
-def test_sigterm_serves_what_still_arrives_and_ends_clean(tmp_path: Path) -> None:
-    async def scene() -> None:
+def test_after_sigterm_arriving_requests_are_served_and_the_process_exits_with_0(tmp_path: Path) -> None:
+    async def scenario() -> None:
         cache = Cache(hit)
-        process = start_process(config({"c0": await cache.start(), "r0": REFUSED}), tmp_path)
+        process = start_process(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS}), tmp_path)
         try:
-            port = await ready(process)
+            port = await wait_for_port(process)
             client = await Client.to(port)
             client.ask(1)
             assert (await client.next())[:3] == (17, 1, 0)
             process.send_signal(signal.SIGTERM)
             assert (await client.next())[:2] == (48, 0)
             await asyncio.sleep(0.1)
-            late = await Client.to(port)
-            for one, stream in ((client, 2), (late, 1)):
-                one.ask(stream)
-                assert (await one.next())[:2] == (17, stream)
+            late_client = await Client.to(port)
+            for sender, stream in ((client, 2), (late_client, 1)):
+                sender.ask(stream)
+                assert (await sender.next())[:2] == (17, stream)
             assert await asyncio.to_thread(process.wait, 20) == 0
         finally:
             with contextlib.suppress(ProcessLookupError):
                 process.kill()
             process.communicate()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-async def ready(process: subprocess.Popen[str]) -> int:
-    """The port of a started director."""
+async def wait_for_port(process: subprocess.Popen[str]) -> int:
+    """Waits until the director listens. Returns its port."""
     assert process.stderr is not None
     line = ""
     while "listen=" not in line:
@@ -723,12 +767,12 @@
 
 
 @trial
-async def test_a_restart_waits_for_what_is_owed_no_longer_than_it_may_and_answers_the_rest() -> None:
+async def test_a_shutdown_waits_for_open_requests_up_to_its_limit_and_then_fails_them() -> None:
     cache = Cache(mute)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(shutdown, "LINGER_S", 0.05)
         patch.setattr(shutdown, "LAST_MOST_S", 0.3)
-        async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+        async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
             client.ask(1, d="4000")
             await until(lambda: cache.seen)
             await node.drain()
@@ -737,16 +781,18 @@
             assert not node.director.has_pending()
 
 
-def test_sighup_moves_to_the_new_board_at_once_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    async def scene() -> None:
-        boards = [Feed([], []), Feed([], []), Feed([], [])]
-        addresses = ["{}:{}".format(*await board.start()) for board in boards]
-        stores = {"r0": REFUSED}
+def test_sighup_switches_to_the_new_discovery_address_and_an_invalid_file_changes_nothing(
+    tmp_path: Path,
+) -> None:
+    async def scenario() -> None:
+        discovery_servers = [ScriptedDiscovery([], []), ScriptedDiscovery([], []), ScriptedDiscovery([], [])]
+        addresses = ["{}:{}".format(*await server.start()) for server in discovery_servers]
+        stores = {"r0": REFUSED_ADDRESS}
         process = start_process(config(stores, addresses[0]), tmp_path)
         file = tmp_path / "config.json"
         try:
-            port = await ready(process)
-            await until(lambda: boards[0].asked)
+            port = await wait_for_port(process)
+            await until(lambda: discovery_servers[0].last_event_id_headers)
             file.write_bytes(b"{")
             process.send_signal(signal.SIGHUP)
             assert process.stderr is not None
@@ -754,12 +800,12 @@
                 pass
             file.write_bytes(config(stores, addresses[1]))
             process.send_signal(signal.SIGHUP)
-            await until(lambda: boards[1].asked)
+            await until(lambda: discovery_servers[1].last_event_id_headers)
             file.write_bytes(config(stores, addresses[2]))
-            process.send_signal(signal.SIGHUP)  # twice in a row
+            process.send_signal(signal.SIGHUP)  # a second signal follows at once
             process.send_signal(signal.SIGHUP)
-            await until(lambda: boards[2].asked)
-            assert boards[2].asked[0].split(": ")[1] == "1"  # the revision goes on
+            await until(lambda: discovery_servers[2].last_event_id_headers)
+            assert discovery_servers[2].last_event_id_headers[0].split(": ")[1] == "1"  # the revision is kept
             client = await Client.to(port)
             client.send(32, 5, encode_fields({}))
             assert (await client.next())[:3] == (33, 5, 0)
@@ -771,18 +817,18 @@
                 process.kill()
             process.communicate()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_bad_configuration_ends_the_start_with_one_line(tmp_path: Path) -> None:
+def test_an_invalid_configuration_ends_the_start_with_one_line(tmp_path: Path) -> None:
     process = start_process(b'{"name": 1}', tmp_path)
     _, err = process.communicate(timeout=30)
     assert process.returncode == 1 and len(err.splitlines()) == 1 and "name" in err
 
 
 @trial
-async def test_a_request_that_the_module_forgets_is_ended_when_it_is_overdue() -> None:
-    async with running(config({"r0": REFUSED})) as (node, client):
+async def test_a_request_that_the_router_forgot_is_failed_when_it_is_overdue() -> None:
+    async with running(config({"r0": REFUSED_ADDRESS})) as (node, client):
         node.director.router.on_request = lambda request: None
         client.ask(1, d="100")
         assert (await client.next())[:3] == (17, 1, 2)
@@ -790,10 +836,11 @@
 
 
 @trial
-async def test_a_loop_far_behind_turns_new_requests_away_and_spares_its_lag_in_deadlines() -> None:
-    # fleet seed 11: requests read half a second late were answered after their client had gone
+async def test_a_lagging_loop_refuses_new_requests_and_subtracts_its_lag_from_deadlines() -> None:
+    """In a simulated fleet (seed 11), requests that were read half a second late were answered after their clients
+    had disconnected."""
     cache = Cache(mute)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
         del node.timers.margin
         node.timers.lag = lambda: 100.0  # type: ignore[method-assign]
         client.ask(1, d="2000")
@@ -804,7 +851,7 @@
         assert (await client.next())[:3] == (17, 2, 1) and len(cache.seen) == 1
 
 
-def test_the_wheel_fires_in_order_never_early_and_once_after_a_jump() -> None:
+def test_the_timer_wheel_fires_in_order_never_early_and_once_after_a_clock_jump() -> None:
     now = [1000.0]
     wheel = TimerWheel(lambda: now[0])
     fired: list[str] = []
@@ -813,73 +860,79 @@
     wheel.schedule(1013.0, lambda: fired.append("never")).cancel()
     wheel.schedule(90_000.0, lambda: fired.append("late"))
     wheel.schedule(0.0, lambda: fired.append("past"))
-    for at, due in ((1004.9, ""), (1005.0, "past"), (1011.9, "past"), (1015.0, "past a b"), (89_999.0, "past a b"),
+    for now_ms, expected_fired in ((1004.9, ""), (1005.0, "past"), (1011.9, "past"), (1015.0, "past a b"), (89_999.0, "past a b"),
                     (1_000_000.0, "past a b late"), (2_000_000.0, "past a b late")):  # fmt: skip
-        now[0] = at
+        now[0] = now_ms
         wheel.advance()
-        assert " ".join(fired) == due
+        assert " ".join(fired) == expected_fired
 
 
 @trial
-async def test_what_a_notice_tells_wrong_costs_itself_only() -> None:
+async def test_an_invalid_part_of_an_event_is_ignored_and_the_rest_is_applied() -> None:
     cache = Cache(hit)
     address = await cache.start()
-    async with running(config({"r0": REFUSED})) as (node, client):
-        events = told(node.director)
-        good = {"instanceId": "c0", "hostPort": address, "lifecycle": "in_service"}
-        odd = notice(2, {**good, "instanceId": "c9", "zone": "moon"})
-        assert odd.pool is not None
-        odd.pool.instances += notice(2, good).pool.instances  # type: ignore[union-attr]
-        node.director.apply_watch_event(odd)
+    async with running(config({"r0": REFUSED_ADDRESS})) as (node, client):
+        events = record_events(node.director)
+        valid_instance = {"instanceId": "c0", "hostPort": address, "lifecycle": "in_service"}
+        invalid_event = make_pool_event(2, {**valid_instance, "instanceId": "c9", "zone": "moon"})
+        assert invalid_event.pool is not None
+        invalid_event.pool.instances += make_pool_event(2, valid_instance).pool.instances  # type: ignore[union-attr]
+        node.director.apply_watch_event(invalid_event)
         for rev, purge in (
             (3, {"asset": "x"}),
             (4, {}),
             (5, {"asset": "7f3a9c21e0b4d655"}),
             (6, {"collection": 0}),
         ):
-            node.director.apply_watch_event(WatchEvent(rev, flush=notice_flush(ms=1, **purge)))
+            node.director.apply_watch_event(WatchEvent(rev, flush=make_flush(ms=1, **purge)))
         assert [(e.object, e.group) for e in events if isinstance(e, Purge)] == [
             (0x7F3A9C21E0B4D656, 0),
             (0, 0),
         ]
         client.ask(1)
-        assert await client.next() == SERVED
+        assert await client.next() == SERVED_FRAME
 
 
 @trial
-async def test_a_whole_list_without_a_usable_store_leaves_the_last_good_one() -> None:
-    # told to all directors at once, such a list would stop the fleet
+async def test_a_full_list_without_a_usable_store_does_not_replace_the_last_valid_one() -> None:
+    """Such a list is sent to all directors at once, so applying it would stop the whole fleet."""
     cache = Cache(hit)
     address = await cache.start()
-    async with running(config({"c0": address, "r0": REFUSED})) as (node, client):
-        odd = {
+    async with running(config({"c0": address, "r0": REFUSED_ADDRESS})) as (node, client):
+        unknown_zone = {
             "instanceId": "c0",
             "hostPort": address,
             "zone": "moon",
             "machineType": "box",
             "lifecycle": "in_service",
         }
-        draining = {**odd, "zone": "edge", "lifecycle": "terminating"}
-        for rev, instances in ((2, []), (3, [odd]), (4, [odd, {**odd, "lifecycle": "asleep"}])):
+        draining = {**unknown_zone, "zone": "edge", "lifecycle": "terminating"}
+        for rev, instances in (
+            (2, []),
+            (3, [unknown_zone]),
+            (4, [unknown_zone, {**unknown_zone, "lifecycle": "asleep"}]),
+        ):
             pool = {"reset": True, "instances": instances}
             node.director.apply_watch_event(
                 watch_event_decoder.decode(json.dumps({"rev": rev, "pool": pool}))
             )
         assert set(node.director.router.stores) == {"c0", "r0"} and node.director.rev == 4
         client.ask(1)
-        assert await client.next() == SERVED
+        assert await client.next() == SERVED_FRAME
         pool = {"reset": True, "instances": [draining]}
         node.director.apply_watch_event(watch_event_decoder.decode(json.dumps({"rev": 5, "pool": pool})))
+        # a list in which all stores drain is valid and applied
         assert not node.director.endpoint_list.is_ready("c0") and not node.director.endpoint_list.is_ready(
             "r0"
-        )  # that all drain is news
+        )
 
 
 @trial
-async def test_the_connections_to_one_store_are_bounded_also_when_all_of_them_are_quiet() -> None:
-    # forty directors each open so many at most to a hub or the origin, whose table holds few
+async def test_the_connections_to_one_store_are_bounded_even_if_none_of_them_responds() -> None:
+    """Each of forty directors may open this many connections to a hub or the origin, whose connection table is
+    small."""
     cache = Cache(mute)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED})) as (node, client):
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (node, client):
         for stream in range(1, 33):
             client.ask(stream, d="5000")
             await until(lambda: len(cache.seen) >= stream)  # noqa: B023
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -13,7 +13,7 @@
 from harness import Cache, Command, config, hit, running, trial
 from hypothesis import given
 from hypothesis import strategies as st
-from test_net_rules import during_the_dial, notice
+from test_net_rules import make_pool_event, run_during_dial
 from test_rules import RuleChecker
 
 from gladelane.routing.events import (
@@ -235,9 +235,9 @@
     cache = Cache(hit)
     addresses = {"c0": await cache.start(), "p0": "127.0.0.1:9", "r0": REFUSED}
     async with running(second_deployment_config(addresses)) as (node, client):
-        draining = notice(2, {"instanceId": "p0", "hostPort": addresses["p0"], "zone": "hub", "machineType": "mid",
+        draining = make_pool_event(2, {"instanceId": "p0", "hostPort": addresses["p0"], "zone": "hub", "machineType": "mid",
                               "lifecycle": "terminating"})  # fmt: skip
-        during_the_dial(node, lambda: node.director.apply_watch_event(draining))
+        run_during_dial(node, lambda: node.director.apply_watch_event(draining))
         client.ask(1)
         assert (await client.next())[:2] == (17, 1)
         client.ask(2)
--- a/tests/test_settings_files.py
+++ b/tests/test_settings_files.py
@@ -18,7 +18,7 @@
 from harness import Client
 from hypothesis import given
 from hypothesis import strategies as st
-from test_net_rules import ready, start_process
+from test_net_rules import start_process, wait_for_port
 
 from gladelane.deployment.checks import MISSING, BadSetting
 from gladelane.net.client_protocol import encode_fields
@@ -271,7 +271,7 @@
         valid = json.dumps({**VALID, "listen": "127.0.0.1:0", "board": "127.0.0.1:1"}).encode()
         process = start_process(valid, tmp_path)
         try:
-            port = await ready(process)
+            port = await wait_for_port(process)
             (tmp_path / "config.json").write_bytes(file_with(path, value))
             process.send_signal(signal.SIGHUP)
             assert process.stderr is not None
