--- a/tests/net/test_answers_before_close.py
+++ b/tests/net/test_answers_before_close.py
@@ -90,10 +90,10 @@
 @trial
 async def test_requests_read_together_with_the_shutdown_of_the_write_side_are_refused() -> None:
     cache = Cache(hit)
-    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (_, node_client):
+    async with running(config({"c0": await cache.start(), "r0": REFUSED_ADDRESS})) as (_, client):
         raw = Raw.__new__(Raw)
         raw.sock = socket.socket()
-        port = node_client.writer.get_extra_info("peername")[1]
+        port = client.writer.get_extra_info("peername")[1]
         raw.sock.connect(("127.0.0.1", port))
         raw.sock.setblocking(False)
         raw.send(request(1) + request(2) + request(1) + GONE + request(3))
@@ -115,8 +115,8 @@
 def test_a_connection_whose_socket_was_just_closed_does_not_break_the_drain(
     runner: Callable[[Any], None],
 ) -> None:
-    """Reading the number of unread bytes of a closed socket raised an exception, which ended the process while
-    answers to other clients were still outstanding."""
+    """Reading the number of unread bytes of a closed socket used to raise an exception, which ended the process
+    while answers to other clients were still pending."""
 
     async def scenario() -> None:
         async with running(config({"r0": REFUSED_ADDRESS})) as (node, _):
--- a/tests/net/test_client_disconnects.py
+++ b/tests/net/test_client_disconnects.py
@@ -128,8 +128,8 @@
             await until(lambda: any(cache.seen for cache in caches))
             pause_reading(conn)
             disconnect_client(raw, method)
-            (asked,) = (cache for cache in caches if cache.seen)
-            asked.conns[0].write(OVERLOAD_REPLY % 1)
+            (requested_cache,) = (cache for cache in caches if cache.seen)
+            requested_cache.conns[0].write(OVERLOAD_REPLY % 1)
             await assert_no_further_attempt(node, caches, 1)
             raw.sock.close()
 
--- a/tests/net/test_control_server_clock_steps.py
+++ b/tests/net/test_control_server_clock_steps.py
@@ -177,9 +177,9 @@
         assert not accepted["again"]
         assert accepted["at_ms"] >= purged_ms - 1.0, f"{phase}: dated before it was requested"
         for node in self.directors:
-            held = node.purges
-            assert held is not None
-            await until(lambda held=held: len(held.active) >= self.purges, START_S)
+            purges = node.purges
+            assert purges is not None
+            await until(lambda purges=purges: len(purges.active) >= self.purges, START_S)
         # as if another cache's fill, started before the purge, had just ended
         self.cache.copies[object_id, 3] = purged_ms - OLD_COPY_AGE_MS
         async with self.connect_clients() as clients:
@@ -358,9 +358,9 @@
             purged_ms = now_ms()
             await purging_server.purge(f"object:{object_id}")
             for node in site.directors:
-                held = node.purges
-                assert held is not None
-                await until(lambda held=held: len(held.active) == 1, START_S)
+                purges = node.purges
+                assert purges is not None
+                await until(lambda purges=purges: len(purges.active) == 1, START_S)
             async with site.connect_clients() as clients:
                 for client in clients:
                     # only the date shows the director that the copy is older than the purge
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -103,7 +103,7 @@
         self._server = await asyncio.start_server(self._serve, sock=self._sock)
 
 
-async def hold_connections(port: int, text: bytes) -> None:
+async def hold_connection(port: int, text: bytes) -> None:
     """Holds a connection on which it sends only `text`, and reconnects whenever it is closed."""
     while True:
         with suppress(OSError):
@@ -138,12 +138,12 @@
             await director.start(descriptors=process_limit)
             await director.serving()
             load = Load(director.port, clients=6)
-            tasks = [asyncio.create_task(hold_connections(director.port, b"")) for _ in range(CROWD_CLIENTS)]
+            tasks = [asyncio.create_task(hold_connection(director.port, b"")) for _ in range(CROWD_CLIENTS)]
             tasks += [
-                asyncio.create_task(hold_connections(director.ops[0], b"GET /he"))
+                asyncio.create_task(hold_connection(director.ops[0], b"GET /he"))
                 for _ in range(ADMIN_CALLERS)
             ]
-            # until half of the caches are dialed, all admin callers are connected, and clients wait for room
+            # half of the caches are dialed and clients wait for room; all admin callers are connected by then
             await until(lambda: sum(bool(cache.conns) for cache in caches) >= 16, wait=20.0)
             await until(lambda: "clients wait for room" in director.log() or load.served > 300, wait=20.0)
             for _ in range(5):
--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -802,8 +802,8 @@
             process.send_signal(signal.SIGHUP)
             await until(lambda: discovery_servers[1].last_event_id_headers)
             file.write_bytes(config(stores, addresses[2]))
-            process.send_signal(signal.SIGHUP)  # a second signal follows at once
             process.send_signal(signal.SIGHUP)
+            process.send_signal(signal.SIGHUP)  # a second signal at once changes nothing
             await until(lambda: discovery_servers[2].last_event_id_headers)
             assert discovery_servers[2].last_event_id_headers[0].split(": ")[1] == "1"  # the revision is kept
             client = await Client.to(port)
