--- a/tests/endpoints/test_dialing.py
+++ b/tests/endpoints/test_dialing.py
@@ -20,7 +20,7 @@
 
 import pytest
 from harness import Client, async_test, config, running_director, wait_until
-from test_net_rules import REFUSED, notice, outcomes, ready, told
+from test_net_rules import REFUSED_ADDRESS, make_pool_event, outcomes, record_events, wait_for_port
 
 from gladelane.discovery.events import WatchEvent
 from gladelane.endpoints import connect as connect_module
@@ -63,7 +63,7 @@
     fake_server, listed = await start_fake_server("r0", families)
     addresses = listed[::-1] if host_port_is_last else listed
     try:
-        async with running_director(fleet_config({"r0": addresses, "c0": [REFUSED]}, **limits)) as (
+        async with running_director(fleet_config({"r0": addresses, "c0": [REFUSED_ADDRESS]}, **limits)) as (
             node,
             client,
         ):
@@ -82,7 +82,7 @@
     attempt within the window of its key, and never the dialer."""
     async with origin(V6_FIRST) as (fake_server, listed, node, client):
         await fake_server.set(listed[0], Fault.STALL)
-        events = told(node.director)
+        events = record_events(node.director)
         submit(client, 1)
         assert (await client.next())[:3] == (17, 1, 0)
         assert [seen.address for seen in fake_server.seen] == listed  # the retry avoids the stalled address
@@ -134,7 +134,7 @@
     for fake_server, listed in fake_servers.values():
         await fake_server.set(listed[0], Fault.BLACK_HOLE)
     async with running_director(
-        fleet_config({n: listed for n, (_, listed) in fake_servers.items()} | {"r0": [REFUSED]})
+        fleet_config({n: listed for n, (_, listed) in fake_servers.items()} | {"r0": [REFUSED_ADDRESS]})
     ) as (node, client):
         dialled_v6_first = []
         for name in fake_servers:
@@ -166,7 +166,7 @@
 
     async def run() -> None:
         async with origin(ALL[ALL.index(family) :]) as (fake_server, listed, node, client):
-            events = told(node.director)
+            events = record_events(node.director)
             await fake_server.set(listed[0], fault)
             submit(client, 1)
             assert (await client.next())[:3] == (17, 1, 0)
@@ -226,7 +226,7 @@
 async def test_refusal_by_all_addresses_fails_early_and_proves_that_nothing_ran() -> None:
     """The client gets an answer that allows a retry, before the timeout of the connect."""
     async with origin(ALL) as (fake_server, listed, node, client):
-        events = told(node.director)
+        events = record_events(node.director)
         for address in listed:
             await fake_server.set(address, Fault.REFUSED)
         submit(client, 1)
@@ -323,7 +323,7 @@
 
             with pytest.MonkeyPatch.context() as patch:
                 patch.setattr(connection_module, "open_stream", slow_open_stream)
-                events = told(node.director)
+                events = record_events(node.director)
                 submit(client, 1)
                 assert (await client.next())[:3] == (17, 1, code)
                 assert [outcome[2] for outcome in outcomes(events)] == [status]
@@ -344,7 +344,7 @@
         async with origin(V6_FIRST) as (fake_server, listed, node, client):
             for address in listed:
                 await fake_server.set(address, Fault.BLACK_HOLE)
-            events = told(node.director)
+            events = record_events(node.director)
             submit(client, 1)
             await wait_until(
                 lambda: [c.dialer for conns in node.upstream._pool.values() for c in conns if c.dialer]
@@ -356,7 +356,7 @@
                 "zone": "hub",
                 "machineType": "root",
             }
-            node.director.apply_watch_event(notice(2, leaving))
+            node.director.apply_watch_event(make_pool_event(2, leaving))
             assert (await client.next(0.2))[:3] == (17, 1, 1)
             assert outcomes(events)[0][1:3] == ("r0", Status.MOOT) and not node.upstream._sockets_in_use()
 
@@ -366,7 +366,7 @@
 def relisted(rev: int, host_port: str, addresses: list[str]) -> WatchEvent:
     """An event that lists the origin with `addresses` as its further addresses."""
     instance = {"instanceId": "r0", "hostPort": host_port, "lifecycle": "in_service", "zone": "hub"}
-    return notice(rev, {**instance, "machineType": "root", "addresses": addresses})
+    return make_pool_event(rev, {**instance, "machineType": "root", "addresses": addresses})
 
 
 @async_test
@@ -414,7 +414,7 @@
         assert (await client.next())[:3] == (17, 1, 0)
         node.endpoints.health.record_stall("r0", parse(listed[0]), node.clock.now())
         other = {"instanceId": "c1", "hostPort": listed[0], "lifecycle": "in_service", "startedAtMs": 5.0}
-        node.director.apply_watch_event(notice(2, other))
+        node.director.apply_watch_event(make_pool_event(2, other))
         assert node.endpoints.registry.owner(parse(listed[0])) == "c1"
         assert not node.endpoints.health.is_avoided("c1", parse(listed[0]))
         await wait_until(lambda: fake_server.open(listed[0]) == 0)
@@ -478,13 +478,13 @@
         file = tmp_path / "operator.json5"
         rule = f"{{endpoints: {{rules: [{{name: 'box', match: {{id: 'r*'}}, add: ['{unix}']}}]}}}}"
         file.write_text("{}")
-        (tmp_path / "config.json").write_bytes(config({"r0": tcp, "c0": REFUSED}))
+        (tmp_path / "config.json").write_bytes(config({"r0": tcp, "c0": REFUSED_ADDRESS}))
         env = {**os.environ, "GW_CONFIG": str(tmp_path / "config.json"), "GW_OPERATOR": str(file)}
         process = subprocess.Popen(
             [sys.executable, "-m", "gladelane"], cwd=ROOT, env=env, stderr=subprocess.PIPE, text=True
         )
         try:
-            client = await Client.connect(await ready(process))
+            client = await Client.connect(await wait_for_port(process))
             stream = 0
 
             async def burst(count: int) -> None:
