--- a/tests/golden/test_admin_endpoint.py
+++ b/tests/golden/test_admin_endpoint.py
@@ -1,4 +1,4 @@
-"""Golden bytes of the admin endpoint: each request that operators send, and the whole response to it."""
+"""Golden bytes of the admin endpoint: every request that an operator can send, and the complete response."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     "director.inflight=0\ndirector.backend_calls=0\ndirector.hosts_listed=2\ndirector.hosts_down=0\n"
     "director.reconfig_ok=0\ndirector.reconfig_failed=0\ndirector.withdrawn=0\ndirector.unusable=0\n"
 )
-#: method and target -> status and text; the order is that in which they are sent to one director
-CALLS: dict[tuple[str, str], tuple[int, str]] = {
+#: method and target -> status and text of the response; one director receives the requests in this order
+REQUESTS: dict[tuple[str, str], tuple[int, str]] = {
     ("GET", "/healthcheck"): (200, "takes clients\n"),
     ("GET", "/stats"): (200, STATS),
     ("GET", "/stats?format=text"): (200, STATS),
@@ -45,63 +45,65 @@
 
 
 def send(port: int, data: bytes) -> bytes:
-    with socket.create_connection(("127.0.0.1", port), timeout=10.0) as caller:
-        caller.sendall(data)
-        answer = b""
-        while part := caller.recv(4096):
-            answer += part
-        return answer
+    with socket.create_connection(("127.0.0.1", port), timeout=10.0) as sock:
+        sock.sendall(data)
+        received = b""
+        while chunk := sock.recv(4096):
+            received += chunk
+        return received
 
 
-def request(method: str, target: str) -> bytes:
+def encode_request(method: str, target: str) -> bytes:
     return f"{method} {target} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".encode()
 
 
-def response(status: int, text: str) -> bytes:
+def encode_response(status: int, text: str) -> bytes:
     head = f"HTTP/1.1 {status} \r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: {len(text)}\r\n"
     return f"{head}Connection: close\r\n\r\n{text}".encode()
 
 
-def answers(calls: list[bytes]) -> list[bytes]:
-    """Of one director with two caches, to calls that come one after the other."""
+def collect_responses(requests: list[bytes]) -> list[bytes]:
+    """Sends the requests one after another to one director with two caches and returns its responses."""
 
     async def run() -> list[bytes]:
-        platform = {**json.loads(config(CACHES)), "ops": "127.0.0.1:0"}
-        async with running_director(json.dumps(platform).encode()) as (node, _):
+        platform_config = {**json.loads(config(CACHES)), "ops": "127.0.0.1:0"}
+        async with running_director(json.dumps(platform_config).encode()) as (node, _):
             assert node.admin_endpoint is not None
-            return [await asyncio.to_thread(send, node.admin_endpoint.port, call) for call in calls]
+            return [await asyncio.to_thread(send, node.admin_endpoint.port, request) for request in requests]
 
     return asyncio.run(run())
 
 
 @pytest.fixture(scope="module")
-def seen(tmp_path_factory: pytest.TempPathFactory) -> dict[tuple[str, str], bytes]:
+def responses(tmp_path_factory: pytest.TempPathFactory) -> dict[tuple[str, str], bytes]:
     with pytest.MonkeyPatch.context() as patch:
         patch.setenv("TMPDIR", str(tmp_path_factory.mktemp("director")))
-        got = answers([request(*call) for call in CALLS])
-    return dict(zip(CALLS, got, strict=True))
+        received = collect_responses([encode_request(*request) for request in REQUESTS])
+    return dict(zip(REQUESTS, received, strict=True))
 
 
-@pytest.mark.parametrize("call", CALLS, ids=" ".join)
-def test_the_whole_response_to_a_call(call: tuple[str, str], seen: dict[tuple[str, str], bytes]) -> None:
-    assert seen[call] == response(*CALLS[call])
+@pytest.mark.parametrize("request_line", REQUESTS, ids=" ".join)
+def test_each_request_gets_the_expected_response_bytes(
+    request_line: tuple[str, str], responses: dict[tuple[str, str], bytes]
+) -> None:
+    assert responses[request_line] == encode_response(*REQUESTS[request_line])
 
 
-def test_what_a_call_changes_shows_in_the_next_answers(
+def test_maintenance_of_a_cache_changes_hosts_down_in_the_next_statistics(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     targets = ("/caches/r1/maint", "/stats", "/caches/r1/ready", "/stats")
-    calls = [request("GET" if target == "/stats" else "POST", target) for target in targets]
-    assert answers(calls) == [
-        response(200, "done\n"),
-        response(200, STATS.replace("hosts_down=0", "hosts_down=1")),
-        response(200, "done\n"),
-        response(200, STATS),
+    requests = [encode_request("GET" if target == "/stats" else "POST", target) for target in targets]
+    assert collect_responses(requests) == [
+        encode_response(200, "done\n"),
+        encode_response(200, STATS.replace("hosts_down=0", "hosts_down=1")),
+        encode_response(200, "done\n"),
+        encode_response(200, STATS),
     ]
 
 
-def test_the_lines_of_figures_with_those_of_further_parts() -> None:
+def test_statistics_end_with_the_metrics_of_optional_components() -> None:
     metrics = Metrics()
     metrics.add_classes(["film"])
     metrics.answered("film", 0)
