--- a/tests/golden/test_discovery_events.py
+++ b/tests/golden/test_discovery_events.py
@@ -1,4 +1,4 @@
-"""Golden bytes of discovery: the request for the list, its events, and the same events in GW_CONFIG's `known`."""
+"""Golden bytes of discovery: the request for the endpoint list, its events in the stream and in GW_CONFIG."""
 
 from __future__ import annotations
 
@@ -19,19 +19,32 @@
     '{"instanceId":"cache-1","hostPort":"127.0.0.1:5001","zone":"edge","machineType":"box",'
     '"lifecycle":"in_service","cell":3,"weight":2.5,"startedAtMs":1764667245123.5,"addresses":["[::1]:5001"]}'
 )
-BARE_INSTANCE = (
+MINIMAL_INSTANCE = (
     '{"instanceId":"cache-2","hostPort":"127.0.0.1:5002","zone":"hub","machineType":"mid","lifecycle":"gone"}'
 )
-FULL = ("cache-1", "127.0.0.1:5001", "edge", "box", "in_service", 3, 2.5, 1764667245123.5, ["[::1]:5001"])
-BARE = ("cache-2", "127.0.0.1:5002", "hub", "mid", "gone", 0, 1.0, 0.0, [])
-#: the text of an event, and its values in the order of the declaration
+FULL_VALUES = (
+    "cache-1",
+    "127.0.0.1:5001",
+    "edge",
+    "box",
+    "in_service",
+    3,
+    2.5,
+    1764667245123.5,
+    ["[::1]:5001"],
+)
+MINIMAL_VALUES = ("cache-2", "127.0.0.1:5002", "hub", "mid", "gone", 0, 1.0, 0.0, [])
+#: JSON of an event, and its decoded values in the order in which the struct declares its fields
 EVENTS: dict[str, tuple[str, Any]] = {
     "nothing": ('{"rev":7}', (7, None, None)),
     "whole_list": (
-        f'{{"rev":8,"pool":{{"generation":4,"reset":true,"instances":[{INSTANCE},{BARE_INSTANCE}]}}}}',
-        (8, ([FULL, BARE], True), None),
+        f'{{"rev":8,"pool":{{"generation":4,"reset":true,"instances":[{INSTANCE},{MINIMAL_INSTANCE}]}}}}',
+        (8, ([FULL_VALUES, MINIMAL_VALUES], True), None),
+    ),
+    "change": (
+        f'{{"rev":9,"pool":{{"instances":[{MINIMAL_INSTANCE}]}}}}',
+        (9, ([MINIMAL_VALUES], False), None),
     ),
-    "change": (f'{{"rev":9,"pool":{{"instances":[{BARE_INSTANCE}]}}}}', (9, ([BARE], False), None)),
     "flush_of_an_object": (
         '{"rev":10,"flush":{"ms":1764667245123.5,"asset":"7f3a9c21e0b4d655"}}',
         (10, None, (1764667245123.5, "7f3a9c21e0b4d655", None)),
@@ -49,29 +62,29 @@
 )
 
 
-def plain(value: Any) -> Any:
-    """A decoded value as tuples, without the names of its fields."""
+def to_tuples(value: Any) -> Any:
+    """Converts structs, also those inside lists, to tuples of their field values."""
     if isinstance(value, list):
-        return [plain(one) for one in value]
+        return [to_tuples(item) for item in value]
     names = getattr(value, "__struct_fields__", None)
-    return value if names is None else tuple(plain(getattr(value, name)) for name in names)
+    return value if names is None else tuple(to_tuples(getattr(value, name)) for name in names)
 
 
 @pytest.mark.parametrize("name", EVENTS)
-def test_an_event_is_read_so(name: str) -> None:
+def test_an_event_is_decoded_to_the_expected_values(name: str) -> None:
     text, values = EVENTS[name]
-    assert plain(watch_event_decoder.decode(text)) == values
+    assert to_tuples(watch_event_decoder.decode(text)) == values
 
 
 @pytest.mark.parametrize("name", EVENTS)
-def test_an_event_is_read_so_in_known(name: str) -> None:
+def test_an_event_in_the_known_list_of_the_configuration_is_decoded(name: str) -> None:
     text, values = EVENTS[name]
-    platform = json.loads(config({}))
-    platform["known"] = {"rev": 12, "notices": [json.loads(text)]}
-    assert plain(read_config(json.dumps(platform).encode()).known) == (12, [values])
+    platform_config = json.loads(config({}))
+    platform_config["known"] = {"rev": 12, "notices": [json.loads(text)]}
+    assert to_tuples(read_config(json.dumps(platform_config).encode()).known) == (12, [values])
 
 
-@pytest.mark.parametrize("path,missing", [
+@pytest.mark.parametrize("key,missing_path", [
     ("rev", "known.notices[0].rev"), ("instances", "known.notices[0].pool.instances"),
     ("instanceId", "known.notices[0].pool.instances[0].instanceId"),
     ("hostPort", "known.notices[0].pool.instances[0].hostPort"),
@@ -79,47 +92,49 @@
     ("machineType", "known.notices[0].pool.instances[0].machineType"),
     ("lifecycle", "known.notices[0].pool.instances[0].lifecycle"),
 ])  # fmt: skip
-def test_a_key_that_known_may_not_lack_is_named_by_its_path(path: str, missing: str) -> None:
+def test_a_missing_required_key_in_the_known_list_is_reported_by_its_path(
+    key: str, missing_path: str
+) -> None:
     notice = json.loads(EVENTS["whole_list"][0])
-    for part in (notice, notice["pool"], notice["pool"]["instances"][0]):
-        part.pop(path, None)
-    platform = json.loads(config({}))
-    platform["known"] = {"rev": 8, "notices": [notice]}
+    for json_object in (notice, notice["pool"], notice["pool"]["instances"][0]):
+        json_object.pop(key, None)
+    platform_config = json.loads(config({}))
+    platform_config["known"] = {"rev": 8, "notices": [notice]}
     with pytest.raises(Exception, match="is missing") as caught:
-        read_config(json.dumps(platform).encode())
-    assert str(caught.value).split(" ")[0] == missing
+        read_config(json.dumps(platform_config).encode())
+    assert str(caught.value).split(" ")[0] == missing_path
 
 
-def test_the_stream_is_server_sent_events() -> None:
+def test_the_stream_is_parsed_as_server_sent_events() -> None:
     body = RESPONSE.partition(b"\r\n\r\n")[2]
     assert list(EventStream().feed(body)) == ['{"rev":42}', '{"rev":\n43}']
 
 
 @async_test
-async def test_the_request_for_the_stream_and_what_is_heard_of_it() -> None:
-    asked: list[bytes] = []
-    heard: list[Any] = []
-    done = asyncio.Event()
+async def test_the_client_requests_the_stream_and_delivers_its_events() -> None:
+    requests: list[bytes] = []
+    events: list[Any] = []
+    both_received = asyncio.Event()
 
-    async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        asked.append(await reader.readuntil(b"\r\n\r\n"))
+    async def serve_stream(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        requests.append(await reader.readuntil(b"\r\n\r\n"))
         writer.write(RESPONSE)
         await writer.drain()
         writer.close()
 
-    def tell(event: Any) -> None:
-        heard.append(plain(event))
-        if len(heard) == 2:
-            done.set()
+    def record_event(event: Any) -> None:
+        events.append(to_tuples(event))
+        if len(events) == 2:
+            both_received.set()
 
-    server = await asyncio.start_server(answer, "127.0.0.1", 0)
+    server = await asyncio.start_server(serve_stream, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    following = asyncio.create_task(
-        DiscoveryClient("127.0.0.1", port, lambda: 41, tell, random.Random(1)).run()
+    client_task = asyncio.create_task(
+        DiscoveryClient("127.0.0.1", port, lambda: 41, record_event, random.Random(1)).run()
     )
     async with asyncio.timeout(5.0):
-        await done.wait()
-    following.cancel()
+        await both_received.wait()
+    client_task.cancel()
     server.close()
-    assert asked[0] == REQUEST % port
-    assert heard[:2] == [(42, None, None), (43, None, None)]
+    assert requests[0] == REQUEST % port
+    assert events[:2] == [(42, None, None), (43, None, None)]
