--- a/tests/golden/test_upgrade_channel.py
+++ b/tests/golden/test_hot_restart_channel.py
@@ -1,4 +1,4 @@
-"""Golden bytes of an upgrade: the messages between the old process and the new one, and the hand-over's file."""
+"""Golden bytes of a hot restart: the messages between the old and the new process, and the handover file."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from gladelane.hot_restart.rendezvous_socket import SOCKET_NAME
 
 NAME = "n0 127.0.0.1:4100"
-#: a message, and its line
+#: a message, and the line that it is encoded to
 MESSAGES: dict[str, tuple[Message, bytes]] = {
     "hello": (
         Message("hello", 1, NAME, "", "", True),
@@ -76,7 +76,7 @@
 }
 ORDERS = [name for name, (_, line) in MESSAGES.items() if b'"order"' in line]
 INSTANCE = Instance("cache-1", "127.0.0.1:5001", "edge", "box", "in_service", 3, 2.5, 5.5, ["[::1]:5001"])
-LEARNT = LearnedState(
+LEARNED_STATE = LearnedState(
     1.5,
     0.25,
     1e6,
@@ -85,7 +85,7 @@
     [StoreLearnedState("cache-1", 5.0, 0.5, 0.25, 0.125, 6.0, 7.0, 500.0, 8.0, 2.0, True, (1.5, 9.0, 0.0))],
     [ObjectLearnedState(2**64 - 1, 3.0, 0.5, 2, 4, False, 1.25)],
 )
-#: a hand-over, and its file: magic, version, length and checksum; then the payload
+#: a handover, and its file in hex: magic, version, length, checksum, payload
 HANDOVERS: dict[str, tuple[Handover, str]] = {
     "full": (
         Handover(
@@ -100,7 +100,7 @@
                 WatchEvent(41, ListChange([INSTANCE], True)),
             ],
             {"5c0f": [(9.0, "cache-1")]},
-            LEARNT,
+            LEARNED_STATE,
             "a-boot",
             1764660000000.25,
         ),
@@ -135,8 +135,8 @@
 }
 
 
-def line_of(sock: socket.socket) -> tuple[bytes, list[int]]:
-    """A line from the other process, and the descriptors that came with it."""
+def receive_line(sock: socket.socket) -> tuple[bytes, list[int]]:
+    """Receives a line from the other process, and the file descriptors sent with it."""
     data, fds, _, _ = socket.recv_fds(sock, 4096, 1)
     while not data.endswith(b"\n"):
         data += sock.recv(4096)
@@ -144,79 +144,82 @@
 
 
 @asynccontextmanager
-async def old_process(folder: Path) -> AsyncIterator[tuple[Channel, list[Message], socket.socket]]:
-    """A process that serves, what it hears, and a new process's end of the socket."""
-    heard: list[Message] = []
-    given = socket.socket()
-    given.bind(("127.0.0.1", 0))
-    channel = Channel(str(folder), NAME, RecordingHandler(heard, given))
+async def run_old_process(folder: Path) -> AsyncIterator[tuple[Channel, list[Message], socket.socket]]:
+    """Yields the channel of an old process, the messages it receives, and the socket of a new process."""
+    received_messages: list[Message] = []
+    listening_socket = socket.socket()
+    listening_socket.bind(("127.0.0.1", 0))
+    channel = Channel(str(folder), NAME, RecordingHandler(received_messages, listening_socket))
     channel.listen()
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     sock.settimeout(5.0)
     try:
         sock.connect(str(folder / "gladelane.sock"))
-        yield channel, heard, sock
+        yield channel, received_messages, sock
     finally:
         channel.close()
         sock.close()
-        given.close()
+        listening_socket.close()
 
 
 @pytest.mark.parametrize("name", MESSAGES)
-def test_a_line_is_read_as_its_message(name: str) -> None:
+def test_a_line_is_decoded_to_its_message(name: str) -> None:
     message, line = MESSAGES[name]
     assert read_message(line[:-1], NAME) == message
 
 
-def test_a_line_of_another_version_is_unusable() -> None:
+def test_a_line_of_another_version_is_rejected() -> None:
     with pytest.raises(MismatchError, match="version 2; expected 1"):
         read_message(b'{"kind":"hello","version":2,"name":"n0 127.0.0.1:4100"}', NAME)
 
 
-def test_the_words_of_orders() -> None:
-    orders = sorted({*(word.value for word in AdminAction), MAY_HAVE_RUN, NEVER_RAN})
-    assert orders == ["fail", "healthcheck", "maint", "may_have_run", "never_ran", "ok", "ready", "stats"]
+def test_the_keywords_of_orders() -> None:
+    keywords = sorted({*(action.value for action in AdminAction), MAY_HAVE_RUN, NEVER_RAN})
+    assert keywords == ["fail", "healthcheck", "maint", "may_have_run", "never_ran", "ok", "ready", "stats"]
 
 
-def test_the_names_of_the_files_in_the_folder() -> None:
+def test_the_names_of_the_socket_and_the_handover_file() -> None:
     assert (SOCKET_NAME, FILE_NAME) == ("gladelane.sock", "gladelane.handover")
 
 
-def test_a_new_process_says_hello_and_takes_the_listening_socket(tmp_path: Path) -> None:
-    said: list[bytes] = []
+def test_a_new_process_sends_hello_and_receives_the_listening_socket(tmp_path: Path) -> None:
+    received_lines: list[bytes] = []
 
-    async def run(given: socket.socket) -> str:
+    async def run(listening_socket: socket.socket) -> str:
         channel = Channel(str(tmp_path), NAME, RecordingHandler())
-        taken = channel.connect()
+        received_socket = channel.connect()
         channel.close()
-        assert taken is not None
-        with taken:
-            return str(taken.getsockname())
-
-    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as listener, socket.socket() as given:
-        listener.bind(str(tmp_path / "gladelane.sock"))
-        listener.listen(1)
-        given.bind(("127.0.0.1", 0))
-
-        def answer() -> None:
-            sock, _ = listener.accept()
+        assert received_socket is not None
+        with received_socket:
+            return str(received_socket.getsockname())
+
+    with (
+        socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as unix_listener,
+        socket.socket() as listening_socket,
+    ):
+        unix_listener.bind(str(tmp_path / "gladelane.sock"))
+        unix_listener.listen(1)
+        listening_socket.bind(("127.0.0.1", 0))
+
+        def reply_to_hello() -> None:
+            sock, _ = unix_listener.accept()
             with sock:
-                said.append(sock.recv(4096))
-                socket.send_fds(sock, [MESSAGES["here"][1]], [given.fileno()])
+                received_lines.append(sock.recv(4096))
+                socket.send_fds(sock, [MESSAGES["here"][1]], [listening_socket.fileno()])
 
-        answering = threading.Thread(target=answer)
-        answering.start()
-        taken = asyncio.run(run(given))
-        answering.join()
-        assert taken == str(given.getsockname())
-    assert said == [MESSAGES["hello"][1]]
+        old_process_thread = threading.Thread(target=reply_to_hello)
+        old_process_thread.start()
+        received_address = asyncio.run(run(listening_socket))
+        old_process_thread.join()
+        assert received_address == str(listening_socket.getsockname())
+    assert received_lines == [MESSAGES["hello"][1]]
 
 
-def test_an_old_process_answers_here_with_the_listening_socket(tmp_path: Path) -> None:
+def test_an_old_process_replies_here_with_the_listening_socket(tmp_path: Path) -> None:
     async def run() -> tuple[bytes, list[int]]:
-        async with old_process(tmp_path) as (_, _, sock):
+        async with run_old_process(tmp_path) as (_, _, sock):
             sock.sendall(MESSAGES["hello"][1])
-            return await asyncio.to_thread(line_of, sock)
+            return await asyncio.to_thread(receive_line, sock)
 
     line, fds = asyncio.run(run())
     assert line == MESSAGES["here"][1]
@@ -225,49 +228,49 @@
 
 
 @pytest.mark.parametrize("name", ORDERS)
-def test_a_message_is_written_so_and_heard(name: str, tmp_path: Path) -> None:
+def test_an_order_is_received_and_broadcast_in_the_expected_bytes(name: str, tmp_path: Path) -> None:
     message, line = MESSAGES[name]
 
     async def run() -> bytes:
-        async with old_process(tmp_path) as (channel, heard, sock):
+        async with run_old_process(tmp_path) as (channel, received_messages, sock):
             sock.sendall(MESSAGES["hello"][1])
-            for fd in (await asyncio.to_thread(line_of, sock))[1]:
+            for fd in (await asyncio.to_thread(receive_line, sock))[1]:
                 os.close(fd)
             sock.sendall(line)
-            await wait_until(lambda: heard)
-            assert heard == [message]
+            await wait_until(lambda: received_messages)
+            assert received_messages == [message]
             channel.broadcast(message)
-            return (await asyncio.to_thread(line_of, sock))[0]
+            return (await asyncio.to_thread(receive_line, sock))[0]
 
     assert asyncio.run(run()) == line
 
 
-def test_an_older_version_is_not_told_of_keys(tmp_path: Path) -> None:
+def test_messages_about_keys_are_not_sent_to_a_process_that_does_not_support_them(tmp_path: Path) -> None:
     async def run() -> bytes:
-        async with old_process(tmp_path) as (channel, _, sock):
+        async with run_old_process(tmp_path) as (channel, _, sock):
             sock.sendall(MESSAGES["hello_of_an_older_version"][1])
-            for fd in (await asyncio.to_thread(line_of, sock))[1]:
+            for fd in (await asyncio.to_thread(receive_line, sock))[1]:
                 os.close(fd)
             channel.broadcast(MESSAGES["may_have_run"][0])
             channel.broadcast(MESSAGES["order_ok"][0])
-            return (await asyncio.to_thread(line_of, sock))[0]
+            return (await asyncio.to_thread(receive_line, sock))[0]
 
     assert asyncio.run(run()) == MESSAGES["order_ok"][1]
 
 
 @pytest.mark.parametrize("name", HANDOVERS)
-def test_a_handover_is_written_so(name: str) -> None:
+def test_a_handover_is_encoded_to_the_expected_bytes(name: str) -> None:
     document, text = HANDOVERS[name]
     assert encode(document).hex() == text
 
 
 @pytest.mark.parametrize("name", HANDOVERS)
-def test_a_handover_is_read_back(name: str) -> None:
+def test_a_handover_is_decoded_to_the_same_document(name: str) -> None:
     document, text = HANDOVERS[name]
     assert decode(bytes.fromhex(text), NAME) == document
 
 
-def test_the_head_of_a_handover_is_18_bytes() -> None:
+def test_the_header_of_a_handover_has_18_bytes() -> None:
     data = bytes.fromhex(HANDOVERS["default"][1])
     magic, version, length, _ = struct.unpack_from(">8sHII", data)
     assert (magic, version, length) == (b"glhandov", 1, len(data) - 18)
--- a/tests/golden/test_key_names.py
+++ b/tests/golden/test_key_names.py
@@ -1,4 +1,4 @@
-"""The names that operators and the platform write: keys of files, commands, options, variables, exit codes."""
+"""Golden names for operators and the platform: keys of files, commands, options, variables, exit codes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from gladelane.settings.operator import OperatorFileError, read_operator
 
 ROOT = Path(__file__).parents[2]
-#: every key of GW_CONFIG that is read; `[0]` is an element
+#: every key that the director reads from the file named by GW_CONFIG; `[0]` stands for an element of a list
 CONFIG_KEYS = """
 board
 known
@@ -118,7 +118,7 @@
 settings.weights
 settings.zone
 """.split()
-#: the objects of an operator's file, and the keys of each
+#: path of an object in an operator file -> the keys that it may have
 OPERATOR_KEYS = {
     "": "endpoints, purges, recovery, fleet, owners, logs",
     "endpoints": "rules, prefer, first_family_count, family_few, delay, pause",
@@ -133,15 +133,15 @@
     "owners": "length_ms, shards",
     "logs": "format, level",
 }
-#: the words that a key of an operator's file may hold
-OPERATOR_WORDS = {
+#: path of a key in an operator file -> the keywords that it accepts
+OPERATOR_KEYWORDS = {
     "logs.format": "json, keyvalue, plain",
     "logs.level": "debug, error, info, warning",
     "purges.lost": "serve, void",
     "fleet.alone": "out, strict",
 }
-#: each command's options, and ARGUMENT for each argument; in brackets the variable that stands for one, ! where
-#: it is needed
+#: Command -> its options, and ARGUMENT for each positional argument. The environment variable that can replace
+#: an option follows in parentheses, and ! marks what is required.
 COMMANDS: dict[str, str] = {
     "addresses explain": "--cell --config --kind --zone ARGUMENT! ARGUMENT!",
     "check": "--config ARGUMENT!",
@@ -163,8 +163,8 @@
     "purge vouch": "--all --feed(GL_FEED)! --since --tls-ca --tokens(GL_TOKENS)! --why",
     "serve": "--config(GW_CONFIG)! --operator(GW_OPERATOR)",
 }
-#: what GW_CONFIG, GW_OPERATOR and GW_OPS hold, and what the director then says with exit code 1
-BAD_STARTS = {
+#: values of GW_CONFIG, GW_OPERATOR and GW_OPS, and the error with which the director exits with code 1
+FAILED_STARTS = {
     "no_file_named": ({}, "gladelane: GW_CONFIG names no file"),
     "missing_file": (
         {"GW_CONFIG": "{folder}/none.json"},
@@ -191,7 +191,7 @@
         "gladelane: GW_OPS: 'nowhere' is no address; expected host:port",
     ),
 }
-#: commands, and their exit codes
+#: command line -> its exit code
 EXIT_CODES = {
     "check {folder}/good.json5": 0,
     "check {folder}/good.json5 --config {folder}/good.json": 0,
@@ -206,95 +206,95 @@
 }
 
 
-class Recorded(dict[str, Any]):
-    """Records the paths that are looked up."""
+class LookupRecorder(dict[str, Any]):
+    """Wraps a JSON object and records the path of every key that is looked up."""
 
-    def __init__(self, told: Mapping[str, Any], seen: set[str], path: str = "") -> None:
-        super().__init__({key: self._wrapped(value, seen, f"{path}{key}") for key, value in told.items()})
-        self._seen, self._path = seen, path
+    def __init__(self, source: Mapping[str, Any], looked_up: set[str], path: str = "") -> None:
+        super().__init__({key: self._wrap(value, looked_up, f"{path}{key}") for key, value in source.items()})
+        self._looked_up, self._path = looked_up, path
 
     @classmethod
-    def _wrapped(cls, value: Any, seen: set[str], path: str) -> Any:
+    def _wrap(cls, value: Any, looked_up: set[str], path: str) -> Any:
         if isinstance(value, dict):
-            return cls(value, seen, f"{path}.")
+            return cls(value, looked_up, f"{path}.")
         if isinstance(value, list):
-            return [cls._wrapped(item, seen, f"{path}[{place}]") for place, item in enumerate(value)]
+            return [cls._wrap(item, looked_up, f"{path}[{index}]") for index, item in enumerate(value)]
         return value
 
     def get(self, key: str, default: Any = None) -> Any:
-        self._seen.add(f"{self._path}{key}")
+        self._looked_up.add(f"{self._path}{key}")
         return super().get(key, default)
 
     def __getitem__(self, key: str) -> Any:
-        self._seen.add(f"{self._path}{key}")
+        self._looked_up.add(f"{self._path}{key}")
         return super().__getitem__(key)
 
 
 def full_config() -> dict[str, Any]:
-    """Of one server, one purge and one class, with every object that the platform may write."""
-    platform: dict[str, Any] = json.loads(config({"c1": "127.0.0.1:5001"}))
-    platform["known"]["notices"][0]["flush"] = {"ms": 5.0, "collection": 17}
-    settings = platform["settings"]
+    """Returns a configuration with every object that the platform may write: one cache, one purge, one class."""
+    platform_config: dict[str, Any] = json.loads(config({"c1": "127.0.0.1:5001"}))
+    platform_config["known"]["notices"][0]["flush"] = {"ms": 5.0, "collection": 17}
+    settings = platform_config["settings"]
     del settings["classes"][1:]
     for name in ("pass_on", "good_for_ms", "segmented"):
         del settings["family_info"][name][1:]
-    return platform
+    return platform_config
 
 
-def replaced(raw: dict[str, Any], path: str) -> dict[str, Any]:
-    """With a value at the path that no key may hold."""
+def with_wrong_value(raw: dict[str, Any], path: str) -> dict[str, Any]:
+    """Returns a copy with a value at the path that its key cannot accept."""
     changed = copy.deepcopy(raw)
     *steps, last = path.replace("[0]", ".0").split(".")
-    at: Any = changed
+    parent: Any = changed
     for step in steps:
-        at = at[int(step)] if step.isdecimal() else at[step]
-    at[last] = 7 if isinstance(at.get(last), dict) else {"wrong": []}
+        parent = parent[int(step)] if step.isdecimal() else parent[step]
+    parent[last] = 7 if isinstance(parent.get(last), dict) else {"wrong": []}
     return changed
 
 
 @pytest.mark.parametrize("path", CONFIG_KEYS)
-def test_a_key_of_the_configuration_is_read(path: str) -> None:
+def test_a_wrong_value_of_a_configuration_key_is_reported_by_its_path(path: str) -> None:
     with pytest.raises(ConfigError) as caught:
-        read_config(json.dumps(replaced(full_config(), path)).encode())
+        read_config(json.dumps(with_wrong_value(full_config(), path)).encode())
     assert str(caught.value).startswith(f"{path} is ")
 
 
-def test_the_keys_of_the_settings_are_these_and_no_others() -> None:
-    seen: set[str] = set()
-    settings_from_wire(Recorded(full_config()["settings"], seen))
-    own = {path.removeprefix("settings.") for path in CONFIG_KEYS if path.startswith("settings.")}
-    assert seen == own - {"limits.max_streams", "limits.conn_idle_ms"}  # of the connections to caches
+def test_settings_are_read_from_exactly_the_listed_keys() -> None:
+    looked_up: set[str] = set()
+    settings_from_wire(LookupRecorder(full_config()["settings"], looked_up))
+    expected = {path.removeprefix("settings.") for path in CONFIG_KEYS if path.startswith("settings.")}
+    assert looked_up == expected - {"limits.max_streams", "limits.conn_idle_ms"}  # for cache connections
 
 
-def object_at(path: str) -> dict[str, Any]:
-    """An operator's file with an object of one unknown key there."""
-    inner: Any = {"?": 1}
+def operator_file_with_unknown_key(path: str) -> dict[str, Any]:
+    """Returns an operator file in which the object at the path has one unknown key."""
+    document: Any = {"?": 1}
     for step in reversed(path.replace("[0]", ".0").split(".") if path else []):
-        inner = [inner] if step == "0" else {step: inner}
-    whole: dict[str, Any] = inner
-    return whole
+        document = [document] if step == "0" else {step: document}
+    operator_file: dict[str, Any] = document
+    return operator_file
 
 
 @pytest.mark.parametrize("path", OPERATOR_KEYS)
-def test_the_keys_of_an_object_in_an_operators_file(path: str) -> None:
+def test_an_unknown_key_in_an_operator_file_is_rejected_with_the_valid_keys(path: str) -> None:
     with pytest.raises(OperatorFileError) as caught:
-        read_operator(json.dumps(object_at(path)).encode())
+        read_operator(json.dumps(operator_file_with_unknown_key(path)).encode())
     expected = f"{path}.?: unknown key; expected one of {OPERATOR_KEYS[path]}".removeprefix(".")
     assert str(caught.value) == expected
 
 
-@pytest.mark.parametrize("path", OPERATOR_WORDS)
-def test_the_words_that_a_key_of_an_operators_file_may_hold(path: str) -> None:
-    part, key = path.split(".")
-    told = {**({"feeds": [], "token_file": ""} if part == "purges" else {}), key: "?"}
+@pytest.mark.parametrize("path", OPERATOR_KEYWORDS)
+def test_an_unknown_keyword_in_an_operator_file_is_rejected_with_the_valid_keywords(path: str) -> None:
+    section, key = path.split(".")
+    values = {**({"feeds": [], "token_file": ""} if section == "purges" else {}), key: "?"}
     with pytest.raises(OperatorFileError) as caught:
-        read_operator(json.dumps({part: told}).encode())
-    assert str(caught.value) == f"{path}: '?'; expected one of {OPERATOR_WORDS[path]}"
+        read_operator(json.dumps({section: values}).encode())
+    assert str(caught.value) == f"{path}: '?'; expected one of {OPERATOR_KEYWORDS[path]}"
 
 
 def test_the_keys_of_the_balancer_file() -> None:
-    told = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    assert {key: type(value).__name__ for key, value in told.items()} == {
+    balancer = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    assert {key: type(value).__name__ for key, value in balancer.items()} == {
         "build": "str",
         "node": "list",
         "packages": "list",
@@ -304,52 +304,56 @@
     }
 
 
-def test_the_files_that_the_balancer_file_names_exist() -> None:
-    told = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    missing = [path for path in (*told["policy"], *told["node"]) if not (ROOT / path).exists()]
+def test_the_files_named_in_the_balancer_file_exist() -> None:
+    balancer = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    missing = [path for path in (*balancer["policy"], *balancer["node"]) if not (ROOT / path).exists()]
     assert missing == []
 
 
-def commands_of(command: Any, name: str = "") -> Iterator[tuple[str, str]]:
+def list_commands(command: Any, name: str = "") -> Iterator[tuple[str, str]]:
     if hasattr(command, "commands"):
-        for step, inner in command.commands.items():
-            yield from commands_of(inner, f"{name} {step}".strip())
+        for subcommand_name, subcommand in command.commands.items():
+            yield from list_commands(subcommand, f"{name} {subcommand_name}".strip())
         return
-    words = []
-    for one in command.params:
-        names = ["ARGUMENT"] if one.param_type_name == "argument" else [*one.opts, *one.secondary_opts]
-        variable = f"({one.envvar})" if one.envvar else ""
-        words.append("/".join(names) + variable + "!" * one.required)
-    yield name, " ".join(sorted(words))
+    parameters = []
+    for parameter in command.params:
+        names = (
+            ["ARGUMENT"]
+            if parameter.param_type_name == "argument"
+            else [*parameter.opts, *parameter.secondary_opts]
+        )
+        variable = f"({parameter.envvar})" if parameter.envvar else ""
+        parameters.append("/".join(names) + variable + "!" * parameter.required)
+    yield name, " ".join(sorted(parameters))
 
 
-def test_the_commands_are_these_and_no_others() -> None:
-    assert sorted(name for name, _ in commands_of(typer.main.get_command(build()))) == sorted(COMMANDS)
+def test_the_program_has_exactly_the_listed_commands() -> None:
+    assert sorted(name for name, _ in list_commands(typer.main.get_command(build()))) == sorted(COMMANDS)
 
 
 @pytest.mark.parametrize("name", COMMANDS)
 def test_the_arguments_and_options_of_a_command(name: str) -> None:
-    assert dict(commands_of(typer.main.get_command(build())))[name] == COMMANDS[name]
+    assert dict(list_commands(typer.main.get_command(build())))[name] == COMMANDS[name]
 
 
 @pytest.fixture(scope="module")
 def folder(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """Files that commands are given."""
-    made = tmp_path_factory.mktemp("files")
+    """Creates the files that the commands read."""
+    path = tmp_path_factory.mktemp("files")
     good = full_config()
-    (made / "good.json").write_text(json.dumps(good))
-    (made / "bad.json").write_text(json.dumps({**good, "listen": "nowhere"}))
-    (made / "empty.json").write_text("")
-    (made / "good.json5").write_text("{ /* the defaults */ }")
-    (made / "bad.json5").write_text('{ logs: { level: "loud" } }')
-    return made
+    (path / "good.json").write_text(json.dumps(good))
+    (path / "bad.json").write_text(json.dumps({**good, "listen": "nowhere"}))
+    (path / "empty.json").write_text("")
+    (path / "good.json5").write_text("{ /* the defaults */ }")
+    (path / "bad.json5").write_text('{ logs: { level: "loud" } }')
+    return path
 
 
-def run(arguments: list[str], variables: dict[str, str]) -> subprocess.CompletedProcess[str]:
-    kept = {name: value for name, value in os.environ.items() if not name.startswith(("GW_", "GL_"))}
+def run_python(arguments: list[str], variables: dict[str, str]) -> subprocess.CompletedProcess[str]:
+    inherited = {name: value for name, value in os.environ.items() if not name.startswith(("GW_", "GL_"))}
     return subprocess.run(
         [sys.executable, *arguments],
-        env={**kept, **variables},
+        env={**inherited, **variables},
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -357,16 +361,20 @@
     )
 
 
-@pytest.mark.parametrize("name", BAD_STARTS)
-def test_a_start_that_cannot_be_ends_with_one_line_and_exit_code_1(name: str, folder: Path) -> None:
-    variables, line = BAD_STARTS[name]
-    told = {key: value.format(folder=folder) for key, value in variables.items()}
-    ended = run(["-m", "gladelane"], told)
-    assert (ended.returncode, ended.stdout, ended.stderr) == (1, "", line.format(folder=folder) + "\n")
+@pytest.mark.parametrize("name", FAILED_STARTS)
+def test_a_failed_start_prints_one_line_and_exits_with_code_1(name: str, folder: Path) -> None:
+    variables, line = FAILED_STARTS[name]
+    environment = {key: value.format(folder=folder) for key, value in variables.items()}
+    completed = run_python(["-m", "gladelane"], environment)
+    assert (completed.returncode, completed.stdout, completed.stderr) == (
+        1,
+        "",
+        line.format(folder=folder) + "\n",
+    )
 
 
 @pytest.mark.parametrize("command", EXIT_CODES)
 def test_the_exit_code_of_a_command(command: str, folder: Path) -> None:
     arguments = command.format(folder=folder).split()
-    ended = run(["-c", "from gladelane.cli import main; main()", *arguments], {})
-    assert ended.returncode == EXIT_CODES[command]
+    completed = run_python(["-c", "from gladelane.cli import main; main()", *arguments], {})
+    assert completed.returncode == EXIT_CODES[command]
