--- a/tests/golden/test_key_names.py
+++ b/tests/golden/test_keys_and_commands.py
@@ -140,8 +140,8 @@
     "purges.lost": "serve, void",
     "fleet.alone": "out, strict",
 }
-#: Command -> its options, and ARGUMENT for each positional argument. The environment variable that can replace
-#: an option follows in parentheses, and ! marks what is required.
+#: Command -> its options, and ARGUMENT for each positional argument. The environment variable that can
+#: replace an option follows in parentheses, and ! marks what is required.
 COMMANDS: dict[str, str] = {
     "addresses explain": "--cell --config --kind --zone ARGUMENT! ARGUMENT!",
     "check": "--config ARGUMENT!",
@@ -231,7 +231,7 @@
 
 
 def full_config() -> dict[str, Any]:
-    """Returns a configuration with every object that the platform may write: one cache, one purge, one class."""
+    """Returns a configuration of one cache, purge and class, with every object the platform may write."""
     platform_config: dict[str, Any] = json.loads(config({"c1": "127.0.0.1:5001"}))
     platform_config["known"]["notices"][0]["flush"] = {"ms": 5.0, "collection": 17}
     settings = platform_config["settings"]
