--- a/benchmarks/decisions/digest.py
+++ b/benchmarks/decisions/digest.py
@@ -1,4 +1,4 @@
-"""The digest of all actions that routers of this process give."""
+"""A digest of all actions that the routers of this process return."""
 
 from __future__ import annotations
 
@@ -29,43 +29,48 @@
 
 
 class ActionDigest:
-    """Takes in every event's kind and the actions that it led to. Fields count by their place, not by their
-    names, so a rename leaves the digest as it is."""
+    """Hashes the kind of every event and the actions that it led to.
+
+    Fields of actions are hashed by position and not by name, so renaming one does not change the digest.
+    """
 
     def __init__(self) -> None:
         self.actions = 0
         self._hash = sha256()
 
     def add(self, now_ms: float, event: Event, actions: Sequence[Action]) -> None:
-        """An event at this moment, and the actions that the router gave for it."""
+        """Adds an event, its time and the actions that the router returned for it."""
         self.actions += len(actions)
-        words = [f"{now_ms:.6f}", str(_EVENTS.get(type(event), -1))]
+        tokens = [f"{now_ms:.6f}", str(_EVENTS.get(type(event), -1))]
         for action in actions:
-            words.append(str(_ACTIONS[type(action)]))
-            words += [_word(getattr(action, field.name)) for field in fields(action)]
-        self._hash.update(" ".join(words).encode() + b"\n")
+            tokens.append(str(_ACTIONS[type(action)]))
+            tokens += [_format_value(getattr(action, field.name)) for field in fields(action)]
+        self._hash.update(" ".join(tokens).encode() + b"\n")
 
     def text(self) -> str:
-        """The digest of all that was added."""
+        """Returns the hexadecimal digest of everything added so far."""
         return self._hash.hexdigest()
 
 
 _ACTIONS: dict[type, int] = {
-    kind: place for place, kind in enumerate((Fetch, Lookup, Cancel, Refuse, Fail, SetTimer))
+    kind: index for index, kind in enumerate((Fetch, Lookup, Cancel, Refuse, Fail, SetTimer))
 }
 _EVENTS: dict[type, int] = {
-    kind: place
-    for place, kind in enumerate((Request, Outcome, Timer, Members, Purge, ClientDisconnected, Started))
+    kind: index
+    for index, kind in enumerate((Request, Outcome, Timer, Members, Purge, ClientDisconnected, Started))
 }
 
 
-def _word(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return f"{value:.6f}" if isinstance(value, float) else str(value)
 
 
 @contextmanager
-def recorded() -> Iterator[ActionDigest]:
-    """Every router of the process reports to the digest meanwhile: fleets make their routers themselves."""
+def recorded_actions() -> Iterator[ActionDigest]:
+    """Records the actions of all routers of this process while the context is open.
+
+    `Router.handle` is replaced, because fleets create their routers themselves.
+    """
     digest, handle = ActionDigest(), Router.handle
 
     def handle_recorded(self: Router, now_ms: float, event: Event) -> list[Action]:
--- a/benchmarks/decisions/routers.py
+++ b/benchmarks/decisions/routers.py
@@ -1,4 +1,4 @@
-"""One router before a large list, and before the servers of generated deployments."""
+"""Scenes with a single router: with a large endpoint list, and with the servers of generated deployments."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 from .script import START_MS, Script
 from .site_settings import site_settings
 
-GENERATED, GENERATED_LONG = 50, 500  # deployments
+GENERATED_DEPLOYMENTS, LONG_GENERATED_DEPLOYMENTS = 50, 500
 SCRIPT_MS = 8000.0
-LARGE_CACHES, LARGER_CACHES, LARGE_MS = 200, 400, 8000.0  # of one zone
+LARGE_CACHES, LARGER_CACHES, LARGE_MS = 200, 400, 8000.0  # caches in each of two zones
 
 
 def run_large_list(_quick: bool, caches: int = LARGE_CACHES) -> None:
-    """Many caches in the router's own location, and as many elsewhere; weights that differ, or do not."""
+    """Runs a router with many caches in its own location and elsewhere, with equal and unequal weights."""
     for seed, (weights, directors) in enumerate((("nominal", 2), ("rough", 60), ("none", 60))):
         rng = random.Random(seed)
         settings = site_settings(
             weights=weights, seats_by_zone=[0, directors, directors], proxies=directors * 2
         )
         members = [
-            Member(f"{zone}-{place}", zone, "box", place % 7, weight=weight)
+            Member(f"{zone}-{index}", zone, "box", index % 7, weight=weight)
             for zone in ("z0", "z1")
-            for place in range(caches)
+            for index in range(caches)
             for weight in [rng.choice([4.0, 6.0, rng.uniform(1.0, 9.0)])]
         ]
-        members += [Member(f"p{place}", "hub", "mid", weight=30.0) for place in range(40)]
+        members += [Member(f"p{index}", "hub", "mid", weight=30.0) for index in range(40)]
         members.append(Member("root", "hub", "root"))
         Script(settings, members, seed, sizes_listed=True).run(LARGE_MS)
 
 
 def run_generated(quick: bool) -> None:
-    """One router for each generated deployment."""
-    for seed in range(GENERATED if quick else GENERATED_LONG):
+    """Runs one router for each generated deployment."""
+    for seed in range(GENERATED_DEPLOYMENTS if quick else LONG_GENERATED_DEPLOYMENTS):
         plan = draw_deployment(random.Random(seed))
         specs = (*plan.caches, *plan.joining, *plan.parents, plan.origin)
         members = [_member(spec) for spec in specs]
@@ -47,5 +47,5 @@
 
 
 def _member(spec: StoreSpec) -> Member:
-    came_up = START_MS - spec.age_ms if spec.age_ms else 0.0
-    return Member(spec.name, spec.zone, spec.kind, spec.cell, State.READY, spec.weight, came_up)
+    started_at_ms = START_MS - spec.age_ms if spec.age_ms else 0.0
+    return Member(spec.name, spec.zone, spec.kind, spec.cell, State.READY, spec.weight, started_at_ms)
--- a/benchmarks/decisions/scenes.py
+++ b/benchmarks/decisions/scenes.py
@@ -1,4 +1,4 @@
-"""The scenes, and the digests that are recorded of them."""
+"""The scenes by name, and their recorded digests."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from functools import partial
 from pathlib import Path
 
-from .digest import ActionDigest, recorded
+from .digest import ActionDigest, recorded_actions
 from .fleets import run_deployed, run_shared_zone, run_site_hints, run_site_notes
 from .routers import LARGER_CACHES, run_generated, run_large_list
 
@@ -25,13 +25,13 @@
 
 
 def run_scene(name: str, quick: bool = True) -> ActionDigest:
-    """The digest of this scene."""
-    with recorded() as digest:
+    """Runs a scene and returns the digest of its actions."""
+    with recorded_actions() as digest:
         SCENES[name](quick)
     return digest
 
 
 def golden() -> dict[str, str]:
-    """The recorded digests, by scene."""
-    known: dict[str, str] = json.loads(GOLDEN.read_text())
-    return known
+    """Reads the recorded digests, by scene."""
+    digests: dict[str, str] = json.loads(GOLDEN.read_text())
+    return digests
