--- a/benchmarks/addresses/__main__.py
+++ b/benchmarks/addresses/__main__.py
@@ -19,10 +19,12 @@
 
 REQUESTS, QUICK_REQUESTS = 20_000, 2_000
 FAMILY_SERVERS = 500
-FAMILY_MOST = 5  # servers of all that may pay for a family that is broken as a whole
+MAX_FAMILY_PAID = 5  # servers whose dials may be slowed by a family that is broken as a whole
 OTHER_DESCRIPTORS = 500
-DESCRIPTORS_PER_SERVER = 6  # a listener, its fillers and a good listener each, and the dials
-NONE_ALLOWED = (
+DESCRIPTORS_PER_SERVER = (
+    6  # a listener, the connections that fill its backlog, a working listener, and the dials
+)
+MUST_BE_ZERO = (
     "doubles",
     "lost",
     "answered_twice",
@@ -34,17 +36,17 @@
 
 
 def raise_descriptor_limit() -> int:
-    """To what the system allows, which is returned."""
+    """Raises the limit of open files to the maximum that the system allows, and returns it."""
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
     return limit
 
 
 def main() -> int:
-    """The exit code."""
+    """Runs the benchmark, prints its results and returns the exit code."""
     quick = "--quick" in sys.argv[1:]
     descriptors = raise_descriptor_limit()
-    # socket files come and go with each fault: on a disk that others write to that may hold this process up
+    # Each fault creates and removes socket files, which may block this process on a disk with other writers.
     tempfile.tempdir = memory()
     servers = min(FAMILY_SERVERS, (descriptors - OTHER_DESCRIPTORS) // DESCRIPTORS_PER_SERVER)
     figures: dict[str, Any] = {
@@ -54,8 +56,8 @@
         **asdict(uvloop.run(measure_family(servers))),
         **asdict(measure_picks()),
     }
-    broken = [name for name in NONE_ALLOWED if figures[name]]
-    if figures["family_paid"] > FAMILY_MOST:
+    broken = [name for name in MUST_BE_ZERO if figures[name]]
+    if figures["family_paid"] > MAX_FAMILY_PAID:
         broken.append("family_paid")
     return conclude(figures, broken)
 
--- a/benchmarks/addresses/fleet.py
+++ b/benchmarks/addresses/fleet.py
@@ -1,4 +1,4 @@
-"""The fake servers, a director in front of them, and the faults that strike their addresses."""
+"""The fake servers, a director in front of them, and the faults of their addresses."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from gladelane.server import Server
 
 CACHES = 6
-ORDER = (Family.UNIX, Family.V6, Family.V4)  # in which addresses are dialled by default
+FAMILIES = (Family.UNIX, Family.V6, Family.V4)  # in the default order of dialling
 WEIGHT = 5
 SOCKETS = 4096
 NO_DISCOVERY = "127.0.0.1:1"
@@ -27,26 +27,25 @@
         names = (*(f"cache-{number}" for number in range(CACHES)), PARENT, ORIGIN)
         self.servers = {name: FakeServer(name) for name in names}
         self.addresses: dict[str, list[str]] = {}
-        self.sent: Counter[tuple[str, str]] = (
-            Counter()
-        )  # attempts by server and id, as the director made them
+        #: attempts that the director made, by server and request id
+        self.sent: Counter[tuple[str, str]] = Counter()
 
     async def start(self) -> Server:
-        """The director."""
+        """Starts the servers and a director in this process, and returns the director."""
         config = example_config()
         config["listen"], config["board"] = "127.0.0.1:0", NO_DISCOVERY
         config["limits"]["sockets"] = SOCKETS
         instances = []
         for name, server in self.servers.items():
-            listed = self.addresses[name] = [await server.listen(family) for family in ORDER]
+            listed = self.addresses[name] = [await server.listen(family) for family in FAMILIES]
             instances.append(list_entry(name, listed[-1], WEIGHT, addresses=listed))
         config["known"]["notices"][0]["pool"]["instances"] = instances
         director = Server(read_config(json.dumps(config).encode()))
-        self._count_attempts_of(director)
+        self._count_attempts(director)
         await director.start()
         return director
 
-    def _count_attempts_of(self, director: Server) -> None:
+    def _count_attempts(self, director: Server) -> None:
         send = director.upstream.send
 
         def send_counted(attempt: Attempt) -> None:
@@ -55,39 +54,44 @@
 
         director.upstream.send = send_counted  # type: ignore[method-assign]
 
-    async def strike(self, fault: Fault) -> None:
-        """The first address, and of all but Unix faults the second too at every other server."""
-        for place, (name, listed) in enumerate(self.addresses.items()):
+    async def inject_fault(self, fault: Fault) -> None:
+        """Applies a fault to the first address of every server.
+
+        Unless it is a fault of Unix sockets, every other server gets it at its second address too.
+        """
+        for index, (name, listed) in enumerate(self.addresses.items()):
             await self.servers[name].set(listed[0], fault)
-            if place % 2 and fault not in UNIX_ONLY:
+            if index % 2 and fault not in UNIX_ONLY:
                 await self.servers[name].set(listed[1], fault)
 
-    async def heal(self) -> None:
-        """Ends the faults of all addresses."""
+    async def clear_faults(self) -> None:
+        """Removes the faults of all addresses."""
         for name, listed in self.addresses.items():
             for address in listed:
                 await self.servers[name].set(address, Fault.NONE)
 
-    def arrivals(self) -> int:
-        """Attempts that came to servers."""
+    def count_arrivals(self) -> int:
+        """Counts the attempts that arrived at servers."""
         return sum(len(server.seen) for server in self.servers.values())
 
     def count_doubles(self) -> int:
-        """Arrivals at a server beyond the attempts that the director made there."""
-        arrived = Counter((name, seen.id) for name, server in self.servers.items() for seen in server.seen)
+        """Counts the arrivals at servers in excess of the attempts that the director made there."""
+        arrived = Counter(
+            (name, request.id) for name, server in self.servers.items() for request in server.seen
+        )
         return (arrived - self.sent).total()
 
     def count_late_repeats(self) -> int:
-        """Keyed requests that reached the origin again after the window in which it drops repeats."""
+        """Counts keyed requests that reached the origin again after the window in which it drops repeats."""
         first_s: dict[str, float] = {}
         late = 0
-        for seen in self.servers[ORIGIN].seen:
-            key = seen.fields.get("replay")
+        for request in self.servers[ORIGIN].seen:
+            key = request.fields.get("replay")
             if key is not None:
-                late += seen.at - first_s.setdefault(key, seen.at) > WINDOW_S
+                late += request.at - first_s.setdefault(key, request.at) > WINDOW_S
         return late
 
     async def close(self) -> None:
-        """Ends the servers; the director is its caller's."""
+        """Closes the servers. The caller of `start` closes the director."""
         for server in self.servers.values():
             await server.close()
--- a/benchmarks/addresses/picks.py
+++ b/benchmarks/addresses/picks.py
@@ -1,4 +1,4 @@
-"""Picks of addresses in a large list, and the memory that an address takes."""
+"""The time to choose an address in a large endpoint list, and the memory that an address takes."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from gladelane.endpoints.plan import Endpoints, Options
 from gladelane.endpoints.rules import Listing
 
-SERVERS, ADDRESSES = 2000, 8  # of each server
-PICKS, LEARNT_EVERY, REFUSED_EVERY = 200_000, 20, 3
-NEW_PLANS = 5  # of each server
+SERVERS, ADDRESSES_PER_SERVER = 2000, 8
+PICKS, OUTCOME_EVERY, CONNECTED_EVERY = 200_000, 20, 3
+PLANS_PER_SERVER = 5
 CONNECTED_MS = 3.0
-SLOWEST_MS = (0.5, 30.0)  # between which first connections take
+FIRST_CONNECT_MS = (0.5, 30.0)  # range of the duration of first connections
 
 
 @dataclass(frozen=True)
 class PickFigures:
-    """The names are those of the report."""
+    """The figures, under the names of the report."""
 
     pick_us: float
     pick_anew_us: float
@@ -29,7 +29,7 @@
 
 
 def measure_picks() -> PickFigures:
-    """Picks over a large list, one in twenty after something was learnt; then plans made anew."""
+    """Measures choices from a large list, one in twenty after an outcome was recorded, then new plans."""
     rng = random.Random(11)
     listings = [_listing(number) for number in range(SERVERS)]
     tracemalloc.start()
@@ -39,16 +39,16 @@
     names = [listing.server for listing in listings]
     chosen = [rng.choice(names) for _ in range(PICKS)]
     pick_s = _time_picks(endpoints, chosen)
-    plan_s = _time_new_plans(endpoints, names * NEW_PLANS)
+    plan_s = _time_new_plans(endpoints, names * PLANS_PER_SERVER)
     return PickFigures(
         pick_us=round(pick_s / PICKS * 1e6, 2),
-        pick_anew_us=round(plan_s / len(names) / NEW_PLANS * 1e6, 1),
-        bytes_per_address=round(allocated / SERVERS / ADDRESSES),
+        pick_anew_us=round(plan_s / len(names) / PLANS_PER_SERVER * 1e6, 1),
+        bytes_per_address=round(allocated / SERVERS / ADDRESSES_PER_SERVER),
     )
 
 
 def _listing(number: int) -> Listing:
-    half = ADDRESSES // 2
+    half = ADDRESSES_PER_SERVER // 2
     network = f"10.{number >> 8}.{number & 255}"
     return Listing(
         f"s{number}",
@@ -61,41 +61,41 @@
 
 
 def _connected_endpoints(listings: Sequence[Listing], rng: random.Random) -> Endpoints:
-    """With a connection to each address behind them, and a plan for each server."""
+    """Returns endpoints that have connected to each address and have a plan for each server."""
     endpoints = Endpoints(rng, Options())
     endpoints.update(listings, complete=True)
     for listing in listings:
         for address in endpoints.registry.addresses(listing.server):
-            endpoints.health.connected(listing.server, address, rng.uniform(*SLOWEST_MS))
+            endpoints.health.connected(listing.server, address, rng.uniform(*FIRST_CONNECT_MS))
         endpoints.plan(listing.server, 0.0)
     return endpoints
 
 
 def _time_picks(endpoints: Endpoints, chosen: Sequence[str]) -> float:
-    """Seconds for all."""
-    began_s = time.perf_counter()
-    for place, server in enumerate(chosen):
-        if not place % LEARNT_EVERY:
-            _learn(endpoints, server, place)
-        plan = endpoints.plan(server, float(place))
-        if plan.address_to_check is not None:  # as the pool does, and it gets through
+    """Returns the seconds for all choices."""
+    started_s = time.perf_counter()
+    for index, server in enumerate(chosen):
+        if not index % OUTCOME_EVERY:
+            _record_outcome(endpoints, server, index)
+        plan = endpoints.plan(server, float(index))
+        if plan.address_to_check is not None:  # like the connection pool, with a check that succeeds
             endpoints.health.check_started(server, plan.address_to_check)
             endpoints.health.connected(server, plan.address_to_check, CONNECTED_MS)
-    return time.perf_counter() - began_s
+    return time.perf_counter() - started_s
 
 
-def _learn(endpoints: Endpoints, server: str, place: int) -> None:
-    address = endpoints.registry.addresses(server)[place % ADDRESSES]
-    if place % REFUSED_EVERY:
-        endpoints.health.failed(server, address, DialEnd.REFUSED, float(place))
+def _record_outcome(endpoints: Endpoints, server: str, index: int) -> None:
+    address = endpoints.registry.addresses(server)[index % ADDRESSES_PER_SERVER]
+    if index % CONNECTED_EVERY:
+        endpoints.health.failed(server, address, DialEnd.REFUSED, float(index))
     else:
         endpoints.health.connected(server, address, CONNECTED_MS)
 
 
 def _time_new_plans(endpoints: Endpoints, names: Sequence[str]) -> float:
-    """Seconds for all."""
-    began_s = time.perf_counter()
+    """Returns the seconds to make all plans anew."""
+    started_s = time.perf_counter()
     for server in names:
         endpoints._plans.pop(server, None)
         endpoints.plan(server, float(PICKS))
-    return time.perf_counter() - began_s
+    return time.perf_counter() - started_s
--- a/benchmarks/addresses/requests.py
+++ b/benchmarks/addresses/requests.py
@@ -1,4 +1,4 @@
-"""Requests through a whole director while each fault in turn strikes the servers' addresses."""
+"""Requests through a whole director while each fault in turn affects the servers' addresses."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 CLIENTS, WORKERS = 8, 32
 READ_CLASSES, WRITE_CLASS = ("video-part", "question-item"), "answer-submit"
 READ_DEADLINE_MS, WRITE_DEADLINE_MS = 1400, 2500
-PATIENCE_S = 5.0
-HEALED_S = 0.05  # between two faults
-LAST_ARRIVALS_S, LAST_CLOSES_S = 0.2, 0.3  # before the counts, and before sockets are counted
-SERVED, REJECTED, FAILED = range(3)  # codes of answers
+ANSWER_TIMEOUT_S = 5.0
+FAULT_INTERVAL_S = 0.05  # between two faults
+SETTLE_S, CLOSE_S = 0.2, 0.3  # wait before requests are counted, and before open sockets are counted
+SERVED, REFUSED, FAILED = range(3)  # answer codes
 
 
 @dataclass(frozen=True)
 class RequestFigures:
-    """The names are those of the report."""
+    """The figures, under the names of the report."""
 
     requests: int
     doubles: int
@@ -49,23 +49,25 @@
 
 
 class Load:
-    """Reads and writes in turn, from workers that share the clients."""
+    """Alternating reads and writes, from workers that share the clients."""
 
     def __init__(self, port: int) -> None:
         self.clients = [ReconnectingClient(port) for _ in range(CLIENTS)]
         self._rng = random.Random(7)
         self.codes: Counter[int] = Counter()
-        self.lost = self.asked = 0
+        self.lost = self.sent = 0
 
-    async def run(self, each: int) -> None:
-        """So many requests of each worker."""
-        await asyncio.gather(*(self._work(self.clients[n % CLIENTS], each) for n in range(WORKERS)))
+    async def run(self, requests_per_worker: int) -> None:
+        """Sends this number of requests from every worker."""
+        await asyncio.gather(
+            *(self._work(self.clients[n % CLIENTS], requests_per_worker) for n in range(WORKERS))
+        )
 
     async def _work(self, client: ReconnectingClient, count: int) -> None:
         for _ in range(count):
-            self.asked += 1
-            fields = self._draw_fields(is_write=self.asked % 2 == 1)
-            answer = await client.ask(fields, b"answers" if "k" in fields else b"", PATIENCE_S)
+            self.sent += 1
+            fields = self._draw_fields(is_write=self.sent % 2 == 1)
+            answer = await client.ask(fields, b"answers" if "k" in fields else b"", ANSWER_TIMEOUT_S)
             if answer is None:
                 self.lost += 1
             else:
@@ -81,31 +83,31 @@
         return {**fields, "k": f"{rng.getrandbits(64):016x}"} if is_write else fields
 
     async def close(self) -> None:
-        """Ends all connections."""
+        """Closes all connections."""
         for client in self.clients:
             await client.close()
 
 
 async def measure_requests(count: int) -> RequestFigures:
-    """About so many requests, the same number under each fault."""
+    """Sends about `count` requests, the same number under each fault, and returns the figures."""
     fleet = Fleet()
     director = await fleet.start()
     load = Load(director.port)
-    share = -(-count // len(FAULTS))
+    requests_per_fault = -(-count // len(FAULTS))
     began_s = time.perf_counter()
     for fault in FAULTS:
-        await fleet.strike(fault)
-        await load.run(-(-share // WORKERS))
-        await fleet.heal()
-        await asyncio.sleep(HEALED_S)
+        await fleet.inject_fault(fault)
+        await load.run(-(-requests_per_fault // WORKERS))
+        await fleet.clear_faults()
+        await asyncio.sleep(FAULT_INTERVAL_S)
     elapsed_s = time.perf_counter() - began_s
-    await asyncio.sleep(LAST_ARRIVALS_S)
+    await asyncio.sleep(SETTLE_S)
     late_repeats, unfinished = fleet.count_late_repeats(), len(director.director.live)
     sockets_left = await _close(load, director)
     await fleet.close()
     connections = [client for one in load.clients for client in one.clients]
     return RequestFigures(
-        requests=load.asked,
+        requests=load.sent,
         doubles=fleet.count_doubles(),
         lost=load.lost,
         crossed=sum(client.crossed for client in load.clients),
@@ -116,17 +118,17 @@
         sockets_left=sockets_left,
         fault_kinds=len(FAULTS),
         served=load.codes[SERVED],
-        refused=load.codes[REJECTED],
+        refused=load.codes[REFUSED],
         failed=load.codes[FAILED],
-        arrivals=fleet.arrivals(),
+        arrivals=fleet.count_arrivals(),
         ordered=fleet.sent.total(),
-        requests_per_s=round(load.asked / elapsed_s),
+        requests_per_s=round(load.sent / elapsed_s),
     )
 
 
 async def _close(load: Load, director: Server) -> int:
-    """How many sockets to servers the director has still open a moment after its end."""
+    """Closes clients and director; returns how many sockets to servers are still open a moment later."""
     await load.close()
     await director.close()
-    await asyncio.sleep(LAST_CLOSES_S)
+    await asyncio.sleep(CLOSE_S)
     return director.upstream._count + director.upstream._extra
