--- a/benchmarks/leaves/__init__.py
+++ b/benchmarks/leaves/__init__.py
@@ -1,18 +1,23 @@
-"""Clients that leave: how long after it an attempt for one still begins, by the place where it waited.
+"""Checks how soon the director stops starting attempts for a request that its client has abandoned.
 
-`python -m benchmarks.leaves [--quick]`: one director process on loopback, clients that close, reset, cancel
-(type 18) or shut their write side at random moments while their request waits, and fake servers for caches
-and the origin. The director is held up (SIGSTOP) for a fraction of a second again and again, so that a leave
-lies unread while timers, dials and late answers fall due. Each place is played with cancels allowed and
-without.
+`python -m benchmarks.leaves [--quick]` runs one director process on loopback, fake servers for the caches and
+the origin, and clients that abandon their waiting requests at random times: they close or reset the
+connection, cancel the requests (type 18), or shut down their write side. The director is stopped (SIGSTOP)
+for a fraction of a second repeatedly, so that a client's message is still unread when timers, dials and late
+answers fall due. Each scenario runs with cancellation of attempts enabled and disabled.
 
-An attempt's beginning is when its first byte came to a server's machine, also where the server reads nothing
-then. This process looks every few milliseconds: `over` began more than 0.1 s after its client's leave was
-sent, even if it came right after the look before; `unclear` only if it came at the look that saw it. None is
-passed over, and either breaks the rule. `whole_over`: its last byte came so late, and its first did not.
-`unanswered`: who only shut its write side got no answer to what it had open. Exits with 1 if any but
-`whole_over` is not 0.
+An attempt begins when its first byte arrives at the host of a server, even if the server does not read then.
+This process checks for arrivals every few milliseconds, so the time of an arrival lies between two checks:
 
-`places` has the places, `client` a client that leaves, `fleet` the servers and the director, `play` plays one
-place, `counts` counts, and `__main__` reports.
+- `over`: attempts that began more than 0.1 s after the request was abandoned, even if they arrived right
+  after the check before the one that detected them;
+- `unclear`: attempts that began more than 0.1 s after it only if they arrived right at the check that
+  detected them;
+- `whole_over`: attempts whose last byte arrived more than 0.1 s after it, but whose first byte did not;
+- `unanswered`: open requests of clients that only shut down their write side and got no answer.
+
+Exits with 1 if `over`, `unclear` or `unanswered` is not 0.
+
+`scenarios` lists the scenarios, `abandoning_client` is the client, `fleet` has the servers and the director,
+`scenario_run` runs one scenario, `abandonments` counts, and `__main__` reports.
 """
--- a/benchmarks/leaves/__main__.py
+++ b/benchmarks/leaves/__main__.py
@@ -13,12 +13,12 @@
 from benchmarks import conclude
 
 from .fleet import Fleet
-from .places import PLACES
-from .play import play
+from .scenario_run import run_scenario
+from .scenarios import SCENARIOS
 
 
 async def measure(quick: bool) -> dict[str, Any]:
-    """All places, with cancels and without."""
+    """Runs all scenarios with and without cancellation of attempts, and returns their counts."""
     figures: dict[str, Any] = {}
     rng = random.Random(9)
     for cancel in (True, False):
@@ -26,9 +26,9 @@
             fleet = Fleet(Path(folder), rng)
             director = await fleet.start(cancel)
             try:
-                for place in PLACES:
-                    name = f"{place.name}, {'cancels' if cancel else 'no cancels'}"
-                    figures[name] = await play(place, fleet, director, 40 if quick else 400, print)
+                for scenario in SCENARIOS:
+                    name = f"{scenario.name}, {'cancels' if cancel else 'no cancels'}"
+                    figures[name] = await run_scenario(scenario, fleet, director, 40 if quick else 400, print)
             finally:
                 await director.end()
                 await fleet.close()
@@ -36,18 +36,18 @@
 
 
 def main() -> int:
-    """The exit code."""
-    places = uvloop.run(measure("--quick" in sys.argv[1:]))
+    """Runs the benchmark, prints its results and returns the exit code."""
+    scenarios = uvloop.run(measure("--quick" in sys.argv[1:]))
     counted = ("leaves", "attempts", "begun_after", "over", "unclear", "whole_over", "unanswered")
-    total = {key: sum(found[key] for found in places.values()) for key in counted}
-    longest = max(found["longest_ms"] for found in places.values())
+    total = {key: sum(counts[key] for counts in scenarios.values()) for key in counted}
+    longest_ms = max(counts["longest_ms"] for counts in scenarios.values())
     broken = [
-        f"{name}: {found[key]} {key}"
-        for name, found in places.items()
+        f"{name}: {counts[key]} {key}"
+        for name, counts in scenarios.items()
         for key in ("over", "unclear", "unanswered")
-        if found[key]
+        if counts[key]
     ]
-    return conclude({**total, "longest_ms": longest, "places": places}, broken)
+    return conclude({**total, "longest_ms": longest_ms, "places": scenarios}, broken)
 
 
 if __name__ == "__main__":
