--- a/benchmarks/audit/__main__.py
+++ b/benchmarks/audit/__main__.py
@@ -12,68 +12,68 @@
 from gladelane.lab.view_leases import ESCALATION_PLANTS, LEASE_PLANTS, searched, searched_all
 
 from .attempt_cost import measure_attempt_us
-from .days import NOT_ENFORCED, days
 from .lag import LagFigures
-from .play import SEED, PlayedDay, play_day
 from .report import audit_figures, broken_rules, lag_figures, service_figures, size_figures
-from .tampered import notice_alterations
+from .scenario_run import SEED, ScenarioRun, run_scenario
+from .scenarios import NOT_ENFORCED, scenarios
+from .tampered import detect_tampering
 from .week import measure_week
 
-LEASE_STEPS = 6  # how deep the search goes
+LEASE_STEPS = 6  # depth of the search
 ESCALATION_STEPS, QUICK_ESCALATION_STEPS = 3, 2
 WEEK_DIRECTORS = 300
 WEEK_INTERVALS, QUICK_WEEK_INTERVALS = 2016, 170  # of each director
-WRONG_SHOWN = 5
+MAX_WRONG_SHOWN = 5
 
 
-def begin_searches(quick: bool) -> PlantedSearches[dict[str, int | str]]:
-    """Of the state machines, while the days are played."""
+def start_searches(quick: bool) -> PlantedSearches[dict[str, int | str]]:
+    """Starts the searches of the state machines, which run in parallel with the scenarios."""
     steps = QUICK_ESCALATION_STEPS if quick else ESCALATION_STEPS
     planted = {plant.name: partial(searched, plant) for plant in (*LEASE_PLANTS, *ESCALATION_PLANTS)}
     return PlantedSearches(partial(searched_all, LEASE_STEPS, steps), planted)
 
 
-def play_days(quick: bool) -> list[PlayedDay]:
-    """All days, one after the other."""
-    played = []
-    for day in days(quick):
-        played.append(play_day(day))
-        print(f"{day.name}: {played[-1].shown()}", flush=True)
-    return played
+def run_scenarios(quick: bool) -> list[ScenarioRun]:
+    """Runs all scenarios, one after the other, and prints their metrics."""
+    runs = []
+    for scenario in scenarios(quick):
+        runs.append(run_scenario(scenario))
+        print(f"{scenario.name}: {runs[-1].printed_metrics()}", flush=True)
+    return runs
 
 
-def play_not_enforced() -> PlayedDay:
-    """The day that has to show directors that act after their lease is over."""
-    played = play_day(NOT_ENFORCED)
-    attempts, after_out = played.metrics["attempts"], played.metrics["acted_after_out"]
-    print(f"not enforced: attempts {attempts}, after out {after_out}", flush=True)
-    return played
+def run_not_enforced() -> ScenarioRun:
+    """Runs the scenario without enforcement, in which directors must act after their view lease expired."""
+    run = run_scenario(NOT_ENFORCED)
+    attempts, acted_after_out = run.metrics["attempts"], run.metrics["acted_after_out"]
+    print(f"not enforced: attempts {attempts}, after out {acted_after_out}", flush=True)
+    return run
 
 
 def main() -> int:
-    """The exit code."""
+    """Runs the benchmark, prints its results and returns the exit code."""
     quick = "--quick" in sys.argv
-    searches = begin_searches(quick)
-    played = play_days(quick)
-    not_enforced = play_not_enforced()
+    searches = start_searches(quick)
+    runs = run_scenarios(quick)
+    not_enforced = run_not_enforced()
     lag = LagFigures()
-    for one in played:
-        lag.add(one)
-    noticed = notice_alterations(played[0].metrics, SEED)
-    found = searches.result()
+    for run in runs:
+        lag.add(run)
+    detected = detect_tampering(runs[0].metrics, SEED)
+    search_result = searches.result()
     week = measure_week(WEEK_DIRECTORS, QUICK_WEEK_INTERVALS if quick else WEEK_INTERVALS)
     figures: dict[str, Any] = {
         "quick": quick,
-        **size_figures(played),
-        **audit_figures(played, not_enforced, noticed),
-        **lag_figures(played, lag),
-        **service_figures(played, measure_attempt_us()),
+        **size_figures(runs),
+        **audit_figures(runs, not_enforced, detected),
+        **lag_figures(runs, lag),
+        **service_figures(runs, measure_attempt_us()),
         **asdict(week),
-        "search_states": found.clean,
-        "search_planted": found.planted,
-        "search_caught": found.caught,
+        "search_states": search_result.clean,
+        "search_planted": search_result.planted,
+        "search_caught": search_result.caught,
     }
-    for name in lag.wrongly_restricted[:WRONG_SHOWN]:
+    for name in lag.wrongly_restricted[:MAX_WRONG_SHOWN]:
         print(name)
     return conclude(figures, broken_rules(figures))
 
--- a/benchmarks/audit/attempt_cost.py
+++ b/benchmarks/audit/attempt_cost.py
@@ -1,4 +1,4 @@
-"""What the audit adds to an attempt."""
+"""Measures the time that the audit adds to an attempt."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 def measure_attempt_us() -> float:
-    """The check of the lease and the count of an attempt, in the fastest of some rounds."""
+    """Returns the time to check the lease and count an attempt, from the fastest of several rounds."""
     lease, log = ViewLease(), ActivityLog("d", 1, "v", {}, 0.0)
     lease.renew(steady_ms(), LEASE_MS)
     strict_classes = frozenset({STRICT_CLASS})
     rounds_s = []
     for _ in range(ROUNDS):
-        began_s = time.perf_counter()
+        started_s = time.perf_counter()
         for _ in range(ATTEMPTS):
             if lease.permits(STRICT_CLASS in strict_classes, steady_ms()):
                 log.record_attempt(STRICT_CLASS)
-        rounds_s.append(time.perf_counter() - began_s)
+        rounds_s.append(time.perf_counter() - started_s)
     return min(rounds_s) / ATTEMPTS * 1e6
--- a/benchmarks/audit/report.py
+++ b/benchmarks/audit/report.py
@@ -1,4 +1,4 @@
-"""The figures of all runs, by the names of the report, and the rules that they break."""
+"""The figures of all runs, under the names that the report prints, and the rules that they break."""
 
 from __future__ import annotations
 
@@ -8,72 +8,72 @@
 from gladelane.lab.fleet.audited import p99
 
 from .lag import LagFigures, times_all_drained
-from .play import PlayedDay
+from .scenario_run import ScenarioRun
 
-AROUND_DAY_S = 3.0  # that a fleet runs beside the seconds of its line
+EXTRA_RUN_S = 3.0  # for which a fleet runs in addition to the duration of its scenario
 DETECTION_LIMIT_MS, ATTEMPT_LIMIT_US, QUERY_LIMIT_MS = 1_000, 4.0, 200.0
 
 
-def total(played: Sequence[PlayedDay], name: str) -> int:
-    """The sum of a metric over all days."""
-    return sum(one.metrics[name] for one in played)
+def total(runs: Sequence[ScenarioRun], name: str) -> int:
+    """Returns the sum of a metric over all runs."""
+    return sum(run.metrics[name] for run in runs)
 
 
-def size_figures(played: Sequence[PlayedDay]) -> dict[str, Any]:
-    """How much was played; the run that is not enforced counts among the runs only."""
+def size_figures(runs: Sequence[ScenarioRun]) -> dict[str, Any]:
+    """Returns the extent of the benchmark. The run without enforcement counts only in `runs`."""
     return {
-        "directors": played[0].day.shape.directors,
-        "runs": len(played) + 1,
-        "faults": sum(one.day.line.count(";") + 1 for one in played),
-        "attempts": total(played, "attempts"),
-        "answers": total(played, "answers"),
-        "spans": total(played, "spans"),
+        "directors": runs[0].scenario.shape.directors,
+        "runs": len(runs) + 1,
+        "faults": sum(run.scenario.schedule.count(";") + 1 for run in runs),
+        "attempts": total(runs, "attempts"),
+        "answers": total(runs, "answers"),
+        "spans": total(runs, "spans"),
     }
 
 
 def audit_figures(
-    played: Sequence[PlayedDay], not_enforced: PlayedDay, noticed: Mapping[str, bool]
+    runs: Sequence[ScenarioRun], not_enforced: ScenarioRun, detected: Mapping[str, bool]
 ) -> dict[str, Any]:
-    """What the audit found. `noticed`: by the name of an alteration."""
+    """Returns what the audit found. `detected`: whether each planted tampering was detected, by its name."""
     return {
-        "contradictions": sum(len(one.metrics["contradictions"]) for one in played),
-        "wrong": sum(len(one.metrics["wrong"]) for one in played),
-        "feeds_the_same": all(one.metrics["same"] for one in played),
-        "planted": len(noticed),
-        "planted_caught": sum(noticed.values()),
-        "unknown_share": round(max(one.metrics["unknown_share"] for one in played), 4),
-        "acted_after_out": total(played, "acted_after_out"),
+        "contradictions": sum(len(run.metrics["contradictions"]) for run in runs),
+        "wrong": sum(len(run.metrics["wrong"]) for run in runs),
+        "feeds_the_same": all(run.metrics["same"] for run in runs),
+        "planted": len(detected),
+        "planted_caught": sum(detected.values()),
+        "unknown_share": round(max(run.metrics["unknown_share"] for run in runs), 4),
+        "acted_after_out": total(runs, "acted_after_out"),
         "acted_after_out_before": not_enforced.metrics["acted_after_out"],
     }
 
 
-def lag_figures(played: Sequence[PlayedDay], lag: LagFigures) -> dict[str, Any]:
-    """Who was kept out, and how soon."""
+def lag_figures(runs: Sequence[ScenarioRun], lag: LagFigures) -> dict[str, Any]:
+    """Returns how many directors were restricted, and how soon."""
     return {
         "detect_ms_p99": round(p99(lag.detected_ms)),
         "caught_up_ms_p99": round(p99(lag.readmitted_ms)),
         "stragglers": len(lag.detected_ms),
         "shut_out_wrongly": len(lag.wrongly_restricted),
-        "most_out_at_once": max(one.metrics["most_out_at_once"] for one in played),
-        "branch_emptied": sum(times_all_drained(one) for one in played),
+        "most_out_at_once": max(run.metrics["most_out_at_once"] for run in runs),
+        "branch_emptied": sum(times_all_drained(run) for run in runs),
     }
 
 
-def service_figures(played: Sequence[PlayedDay], attempt_us: float) -> dict[str, Any]:
-    """What clients had of it, and what it costs."""
-    hours = sum(one.day.shape.directors * (one.day.seconds + AROUND_DAY_S) for one in played) / 3600.0
+def service_figures(runs: Sequence[ScenarioRun], attempt_us: float) -> dict[str, Any]:
+    """Returns how clients were served, and the cost of the audit."""
+    hours = sum(run.scenario.shape.directors * (run.scenario.seconds + EXTRA_RUN_S) for run in runs) / 3600.0
     return {
-        "stale": total(played, "stale_strict"),
-        "rules_broken": total(played, "rules_broken"),
-        "lost": total(played, "lost"),
+        "stale": total(runs, "stale_strict"),
+        "rules_broken": total(runs, "rules_broken"),
+        "lost": total(runs, "lost"),
         "recheck_us": round(attempt_us, 2),
-        "bytes_per_director_hour": round(total(played, "stored_bytes") / hours),
-        "report_bytes_per_director_hour": round(total(played, "report_bytes") / hours),
+        "bytes_per_director_hour": round(total(runs, "stored_bytes") / hours),
+        "report_bytes_per_director_hour": round(total(runs, "report_bytes") / hours),
     }
 
 
 def broken_rules(figures: Mapping[str, Any]) -> list[str]:
-    """The names of the rules that the figures break."""
+    """Returns the names of the rules that the figures break."""
     broken = {
         "contradictions": figures["contradictions"] > 0,
         "what was reported does not fit": figures["wrong"] > 0,
--- a/benchmarks/audit/tampered.py
+++ b/benchmarks/audit/tampered.py
@@ -1,4 +1,4 @@
-"""Reports that were altered: each has to be noticed."""
+"""Checks that tampered reports are detected."""
 
 from __future__ import annotations
 
@@ -11,13 +11,16 @@
 from gladelane.lab.fleet.audited import contradictions
 
 
-def notice_alterations(metrics: Mapping[str, Any], seed: int) -> dict[str, bool]:
-    """Whether each alteration of a run's reports is noticed, by the store or against what servers saw."""
+def detect_tampering(metrics: Mapping[str, Any], seed: int) -> dict[str, bool]:
+    """Returns, by its name, whether each tampering with the reports of a run is detected.
+
+    It is detected by the store itself, or by a contradiction to what servers observed.
+    """
     load, lists = metrics["load"], metrics["lists"]
 
-    def is_noticed(store: AuditStore) -> bool:
+    def is_detected(store: AuditStore) -> bool:
         return caught(store) or bool(
             contradictions(store, load.attempts, load.made, load.purges, lists, load.standstills)
         )
 
-    return {name: is_noticed(store) for name, store in planted(metrics["ledger"], Random(seed)).items()}
+    return {name: is_detected(store) for name, store in planted(metrics["ledger"], Random(seed)).items()}
--- a/benchmarks/comeback/__init__.py
+++ b/benchmarks/comeback/__init__.py
@@ -1,13 +1,15 @@
-"""Coming back: most directors restarted at once, and stored state that is lost or older, with real processes.
+"""Recovery of real processes: mass restarts of directors, and stored state that is lost or out of date.
 
-`python -m benchmarks.comeback [--quick]`: fleets of directors and control servers as processes of their own,
-faults by name (`lab/fleet`). Each day's answers are held against all purges; the same loss without low
-watermarks must show old copies, else the check proves nothing. Then the state machine of losses is searched
-with its planted faults. Exits with 1 if an answer was stale, a request was lost that no killed process had, a
-key ran twice after its window, a server was pushed over, full service came late, or the check proved nothing.
-`--line` plays a single run by its line of faults.
+`python -m benchmarks.comeback [--quick]` runs fleets of directors and control servers, each in a process of
+its own, under fault schedules (`lab/fleet`). The answers of each run are checked against all purges. The same
+loss of state without low watermarks must produce stale copies; otherwise the check proves nothing. Then the
+state machine of losses is searched, with and without planted faults.
 
-`days` has the runs, `runs` plays them, `first_restart` measures the first restart of a run, `loss_search`
-searches, `report` sums up, and `__main__` is the command line. The share that is served counts against what
-was served before the fault.
+Exits with 1 if an answer was stale, a request was lost that was not in a killed process, a keyed request ran
+twice after its window, a server was overloaded until it failed, full service came back late, or a check
+proved nothing. `--line` runs a single fault schedule.
+
+`scenarios` lists the runs, `runs` runs them, `first_restart` measures the first restart of a run,
+`loss_search` searches, `report` sums up, and `__main__` is the command line. Service is full when the share
+of served requests is back at its level before the fault.
 """
--- a/benchmarks/comeback/first_restart.py
+++ b/benchmarks/comeback/first_restart.py
@@ -1,9 +1,9 @@
-"""The first restart of a run: its start, held against imports of the program, and what comes after it.
+"""Measures the first restart of a run: the start of the processes, and the recovery after it.
 
-How long the processes take to answer depends on the machine, so it is measured against what as many processes
-take that only import the program, right before the run and right after it: a start that waits, or does more
-than it did, is no part of that. What is left after the start is the directors' own doing and has a limit in
-seconds. A start that is delayed on purpose has to count as late.
+The time until the processes answer depends on the machine. It is therefore compared with the time that the
+same number of processes takes only to import the program, right before and right after the run; a start that
+waits or does additional work exceeds that time. The recovery after the start depends on the directors alone
+and has a limit in seconds. A start that is delayed on purpose has to be reported as late.
 """
 
 from __future__ import annotations
@@ -24,79 +24,92 @@
 from gladelane.lab.fleet.shape import Shape
 from gladelane.lab.processes import ROOT
 
-from .days import RATE, SEED, WARM, WARM_AFTER_S
+from .scenarios import REQUESTS_PER_S, SEED, WARM, WARM_AFTER_S
 
-DELAY_S = 2.0  # least delay of a start that is planted late: the figure must show it
-# Limit on the start, by the imports, which are most of it; clients take a part of the machine meanwhile.
+DELAY_S = 2.0  # minimum of the planted delay of a start, which the report must show
+# The limit of a start, relative to the imports, which are most of it. It has slack because the clients use a
+# part of the machine meanwhile.
 START_FACTOR, START_SLACK_S = 2.0, 0.5
-# An editable install of any checkout would be imported where this one has no program.
+# Without the check, an editable install of another checkout would be imported if this one has no program.
 IMPORT_THIS_CHECKOUT = """
 import os
 import gladelane.__main__
 raise SystemExit(not os.path.samefile(os.path.dirname(gladelane.__file__), "gladelane"))
 """
-AFTER_START_S = 1.0  # from when the last of them answers until service is full
+AFTER_START_S = 1.0  # from the answer of the last restarted director until full service
 
 
 class ProcessTimes(Protocol):
-    """When a process began to answer and when one was ended, Unix s."""
+    """The times at which a process began to answer and at which it was ended, Unix s."""
 
     ups: list[float]
     downs: list[float]
 
 
 class Restart(NamedTuple):
-    """The first restart of a run. `import_s`: what as many processes took to import the program, together;
-    `start_s`: from the fault until the last director that was struck answers."""
+    """The first restart of a run.
+
+    `import_s` is the time that as many processes, started together, took to import the program. `start_s` is
+    the time from the fault until the last affected director answers.
+    """
 
     import_s: float
     start_s: float
 
     @property
     def start_limit_s(self) -> float:
-        """What the start may take."""
+        """The maximum time of the start."""
         return START_FACTOR * self.import_s + START_SLACK_S
 
     def is_late(self, full_service_s: float) -> bool:
-        """Whether the start, or what is left until full service after it, took too long."""
+        """Whether the start, or the time from it until full service, took too long."""
         after_s = full_service_s - self.start_s
         return not (self.start_s <= self.start_limit_s and after_s <= AFTER_START_S)
 
 
 def first_start_s(directors: Sequence[ProcessTimes]) -> float:
-    """Infinite: one that was struck never came back."""
+    """Returns the time from the first fault until all directors that it ended answer again.
+
+    It is infinite if one of them never does.
+    """
     fault_s = min(moment for one in directors for moment in one.downs)
-    struck = [one for one in directors if one.downs and one.downs[0] < fault_s + APART_S]
-    back_s = max(min((up for up in one.ups if up > one.downs[0]), default=math.inf) for one in struck)
-    return back_s - fault_s
+    ended = [one for one in directors if one.downs and one.downs[0] < fault_s + APART_S]
+    recovered_s = max(
+        min((up_s for up_s in one.ups if up_s > one.downs[0]), default=math.inf) for one in ended
+    )
+    return recovered_s - fault_s
 
 
-async def look_at_restart(fleet: Fleet, _load: Load) -> dict[str, Any]:
-    """The start of a run's first restart, for its metrics."""
+async def measure_restart(fleet: Fleet, _load: Load) -> dict[str, Any]:
+    """Returns the start time of the first restart of a run, as a metric."""
     return {"start_s": first_start_s(fleet.directors)}
 
 
 def time_imports(count: int) -> float:
-    """Seconds until all of so many processes, started together, have imported the program of this checkout.
-    Raises RuntimeError where one did not, also where it imported one that is installed elsewhere."""
-    began_s = time.monotonic()
+    """Returns how long `count` processes, started together, take to import the program of this checkout.
+
+    Raises RuntimeError if an import fails or finds a program that is installed elsewhere.
+    """
+    started_s = time.monotonic()
     command = [sys.executable, "-c", IMPORT_THIS_CHECKOUT]
     processes = [subprocess.Popen(command, cwd=ROOT) for _ in range(count)]
     if any([process.wait() for process in processes]):
         raise RuntimeError("the program cannot be imported")
-    return time.monotonic() - began_s
+    return time.monotonic() - started_s
 
 
-def play_restart(line: str, shape: Shape, seconds: float, table: Path | None = None) -> dict[str, Any]:
-    """A run's metrics, and its first restart under `restart`."""
+def run_restart(schedule: str, shape: Shape, seconds: float, table: Path | None = None) -> dict[str, Any]:
+    """Runs a fault schedule and returns its metrics, with its first restart as `restart`."""
     before_s = time_imports(shape.directors)
-    metrics = uvloop.run(play(line, shape, SEED, seconds, RATE, table=table, look=look_at_restart))
+    metrics = uvloop.run(
+        play(schedule, shape, SEED, seconds, REQUESTS_PER_S, table=table, look=measure_restart)
+    )
     import_s = max(before_s, time_imports(shape.directors))
     return {**metrics, "restart": Restart(import_s, metrics["start_s"])}
 
 
 class DelayedStart(NamedTuple):
-    """A restart whose processes are started later by `delay_s`, as the figures show it."""
+    """The measurement of a restart whose processes are started `delay_s` late."""
 
     delay_s: float
     full_service_s: float
@@ -104,13 +117,13 @@
 
     @property
     def is_noticed(self) -> bool:
-        """Whether the figures show the delay and count it as late."""
+        """Whether the measurement includes the delay and counts the restart as late."""
         return self.full_service_s >= self.delay_s and self.restart.is_late(self.full_service_s)
 
 
-def play_delayed_start(shape: Shape, least_s: float) -> DelayedStart:
-    """`least_s`: a delay below it might pass for a slow start."""
-    delay_s = round(max(DELAY_S, least_s), 1)
-    line = f"{WARM_AFTER_S} {WARM} for {delay_s}"
-    metrics = play_restart(line, shape, 12.0 + delay_s)
+def run_delayed_start(shape: Shape, min_delay_s: float) -> DelayedStart:
+    """Runs a delayed restart. A delay below `min_delay_s` could be taken for a slow start."""
+    delay_s = round(max(DELAY_S, min_delay_s), 1)
+    schedule = f"{WARM_AFTER_S} {WARM} for {delay_s}"
+    metrics = run_restart(schedule, shape, 12.0 + delay_s)
     return DelayedStart(delay_s, metrics["full_service_s"], metrics["restart"])
--- a/benchmarks/comeback/runs.py
+++ b/benchmarks/comeback/runs.py
@@ -1,4 +1,4 @@
-"""Plays all days, or a single line of faults for a look."""
+"""Runs all scenarios, or a single fault schedule from the command line."""
 
 from __future__ import annotations
 
@@ -13,39 +13,49 @@
 from gladelane.lab.fleet.day import play
 from gladelane.lab.fleet.shape import Shape
 
-from .days import KILLED, RATE, SEED, days
-from .first_restart import play_restart
+from .first_restart import run_restart
+from .scenarios import KILLED, REQUESTS_PER_S, SEED, scenarios
 
 
-def one_line(argv: list[str]) -> int:
-    """A single run by its line, for a look: its table and its metrics."""
+def run_single_schedule(argv: list[str]) -> int:
+    """Runs the fault schedule of `--line`, writes its table and prints its metrics; returns the exit code."""
     parser = argparse.ArgumentParser(prog="benchmarks.comeback")
     parser.add_argument("--line", required=True, help="see lab/fleet/faults.py")
     for name, value in (("seed", 11), ("directors", 12), ("feeds", 2), ("copies", 2), ("purges", 0)):
         parser.add_argument(f"--{name}", type=int, default=value)
     parser.add_argument("--seconds", type=float, default=8.0)
     parser.add_argument("--table", type=Path)
-    asked = parser.parse_args(argv)
-    shape = Shape(asked.directors, asked.feeds, asked.copies)
+    options = parser.parse_args(argv)
+    shape = Shape(options.directors, options.feeds, options.copies)
     metrics = uvloop.run(
-        play(asked.line, shape, asked.seed, asked.seconds, purges=asked.purges, table=asked.table)
+        play(options.line, shape, options.seed, options.seconds, purges=options.purges, table=options.table)
     )
-    wrong = [name for name in ("stale_strict", "doubles", "lost", "rules_broken") if metrics[name]]
-    return conclude(metrics, wrong)
+    broken = [name for name in ("stale_strict", "doubles", "lost", "rules_broken") if metrics[name]]
+    return conclude(metrics, broken)
 
 
-def play_days(quick: bool) -> dict[str, dict[str, Any]]:
-    """The metrics of each day."""
-    table = os.environ.get("GL_TABLES", "")
+def run_scenarios(quick: bool) -> dict[str, dict[str, Any]]:
+    """Runs all scenarios and returns the metrics of each, by its name."""
+    tables_folder = os.environ.get("GL_TABLES", "")
     runs: dict[str, dict[str, Any]] = {}
-    for day in days(quick):
-        path = Path(table) / f"{day.name.replace(' ', '-')}.jsonl" if table else None
-        if day.name == KILLED:
-            runs[day.name] = play_restart(day.line, day.shape, day.seconds, path)
+    for scenario in scenarios(quick):
+        path = Path(tables_folder) / f"{scenario.name.replace(' ', '-')}.jsonl" if tables_folder else None
+        if scenario.name == KILLED:
+            runs[scenario.name] = run_restart(scenario.schedule, scenario.shape, scenario.seconds, path)
         else:
-            runs[day.name] = uvloop.run(
-                play(day.line, day.shape, SEED, day.seconds, RATE, purges=day.purges, table=path)
+            runs[scenario.name] = uvloop.run(
+                play(
+                    scenario.schedule,
+                    scenario.shape,
+                    SEED,
+                    scenario.seconds,
+                    REQUESTS_PER_S,
+                    purges=scenario.purges,
+                    table=path,
+                )
             )
-        metrics = {name: value for name, value in runs[day.name].items() if name not in ("line", "phases")}
-        print(f"{day.name}: {metrics}", flush=True)
+        metrics = {
+            name: value for name, value in runs[scenario.name].items() if name not in ("line", "phases")
+        }
+        print(f"{scenario.name}: {metrics}", flush=True)
     return runs
