--- a/benchmarks/clients.py
+++ b/benchmarks/clients.py
@@ -1,4 +1,4 @@
-"""What several benchmarks count at their clients."""
+"""Counts over the clients of a benchmark."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def count_answered_twice(clients: Iterable[Client]) -> int:
-    """Requests that got an answer more than once."""
+    """Counts the requests that were answered more than once."""
     return sum(times != 1 for client in clients for times in client.answers.values())
--- a/benchmarks/example_site.py
+++ b/benchmarks/example_site.py
@@ -1,6 +1,6 @@
-"""What most benchmarks share: the example configuration, entries of an endpoint list, fields of a request.
+"""Helpers that most benchmarks share: the example configuration, endpoint list entries and request fields.
 
-The site of the example has caches, one parent server and one origin, which are known here by their names.
+The example site has caches, one parent server and one origin, named PARENT and ORIGIN.
 """
 
 from __future__ import annotations
@@ -16,13 +16,16 @@
 
 
 def example_config() -> dict[str, Any]:
-    """A copy of the example configuration, which the caller may change."""
+    """Reads the example configuration; the caller may change the result."""
     config: dict[str, Any] = json.loads((ROOT / "example" / "config.json").read_text())
     return config
 
 
-def list_entry(name: str, address: str, weight: float, **further: Any) -> dict[str, Any]:
-    """The entry of a server in service; the name says whether it is the parent, the origin or a cache."""
+def list_entry(name: str, address: str, weight: float, **extra_fields: Any) -> dict[str, Any]:
+    """Returns the endpoint list entry of a server in service.
+
+    A server named PARENT or ORIGIN gets that role; every other name is a cache.
+    """
     kind = _KINDS.get(name, _CACHE_KIND)
     return {
         "instanceId": name,
@@ -31,7 +34,7 @@
         "zone": "branch" if kind == _CACHE_KIND else "hub",
         "lifecycle": "in_service",
         "weight": weight,
-        **further,
+        **extra_fields,
     }
 
 
@@ -45,7 +48,7 @@
     group: int = 1,
     size_kb: str = "1",
 ) -> dict[str, str]:
-    """The fields of a request, as clients send them."""
+    """Returns the fields of a request as clients send them."""
     return {
         "c": class_name,
         "i": request_id,
--- a/benchmarks/percentiles.py
+++ b/benchmarks/percentiles.py
@@ -1,4 +1,4 @@
-"""Percentiles as the reports of the benchmarks give them."""
+"""Percentiles for the reports of the benchmarks."""
 
 from __future__ import annotations
 
@@ -7,5 +7,8 @@
 
 
 def percentile(values: Sequence[float], percent: int) -> float:
-    """Between the smallest and the largest value, which are the percentiles 0 and 100. Needs two values."""
+    """Returns an interpolated percentile; 0 and 100 are the smallest and the largest value.
+
+    Needs at least two values, and a percent from 1 to 99.
+    """
     return statistics.quantiles(values, n=100, method="inclusive")[percent - 1]
