--- a/benchmarks/comeback/__init__.py
+++ b/benchmarks/comeback/__init__.py
@@ -6,10 +6,10 @@
 state machine of losses is searched, with and without planted faults.
 
 Exits with 1 if an answer was stale, a request was lost that was not in a killed process, a keyed request ran
-twice after its window, a server was overloaded until it failed, full service came back late, or a check
-proved nothing. `--line` runs a single fault schedule.
+twice after its window, a server was overloaded, full service came back late, or a check proved nothing.
+`--line` runs a single fault schedule.
 
 `scenarios` lists the runs, `runs` runs them, `first_restart` measures the first restart of a run,
-`loss_search` searches, `report` sums up, and `__main__` is the command line. Service is full when the share
-of served requests is back at its level before the fault.
+`loss_search` searches, `report` sums up, and `__main__` is the command line. Full service is judged by the
+share of served requests relative to that before the fault.
 """
