--- a/benchmarks/addresses/__main__.py
+++ b/benchmarks/addresses/__main__.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from benchmarks import conclude
-from gladelane.lab.fleet.day import memory
+from gladelane.lab.fleet.schedule_run import memory_folder
 
 from .dial_costs import measure_dials, measure_family
 from .picks import measure_picks
@@ -45,7 +45,7 @@
     quick = "--quick" in sys.argv[1:]
     descriptors = raise_descriptor_limit()
     # socket files come and go with each fault: on a disk that others write to that may hold this process up
-    tempfile.tempdir = memory()
+    tempfile.tempdir = memory_folder()
     servers = min(FAMILY_SERVERS, (descriptors - OTHER_DESCRIPTORS) // DESCRIPTORS_PER_SERVER)
     figures: dict[str, Any] = {
         "quick": quick,
--- a/benchmarks/audit/lag.py
+++ b/benchmarks/audit/lag.py
@@ -51,7 +51,7 @@
 def lags_behind_list(played: PlayedDay) -> list[Lag]:
     """Of directors that were cut off from discovery while it listed a change."""
     steps = played.steps()
-    changes_s = [step.at for step in steps if step.word == "drain"]
+    changes_s = [step.at for step in steps if step.action == "drain"]
     return [
         lag
         for step in steps
@@ -66,7 +66,7 @@
 
 def _missed_change(played: PlayedDay, step: Step, director: str, changes_s: Iterable[float]) -> list[Lag]:
     """Since the first change during the cut, or none."""
-    missed_s = [at_s for at_s in changes_s if step.at < at_s < step.at + step.last]
+    missed_s = [at_s for at_s in changes_s if step.at < at_s < step.at + step.duration_s]
     since_ms = [played.line_began_ms + at_s * 1000.0 + ALLOWED_LAG_MS for at_s in missed_s[:1]]
     return [Lag(director, since, played.step_ended_ms(step)) for since in since_ms]
 
@@ -75,8 +75,8 @@
     """Of directors that were stopped or cut off: they may be behind when they are heard again."""
     found = []
     for step in played.steps():
-        if step.word in SILENCING_FAULTS:
-            names = [f"director-{number}" for kind, number in step.whom if kind == "directors"]
+        if step.action in SILENCING_FAULTS:
+            names = [f"director-{number}" for kind, number in step.targets if kind == "directors"]
             names += [f"director-{near[1]}" for near, _ in step.links]
             began_ms, ended_ms = played.step_began_ms(step), played.step_ended_ms(step)
             found += [Lag(name, began_ms, ended_ms) for name in names]
--- a/benchmarks/audit/play.py
+++ b/benchmarks/audit/play.py
@@ -11,8 +11,8 @@
 import uvloop
 
 from benchmarks.fleet_days import Day
-from gladelane.lab.fleet.audited import play_audited
-from gladelane.lab.fleet.faults import Step, read_line
+from gladelane.lab.fleet.audit_comparison import run_with_audit
+from gladelane.lab.fleet.faults import Step, parse_schedule
 from gladelane.lab.fleet.fleet import Fleet
 from gladelane.lab.fleet.load import Load
 from gladelane.lab.fleet.world import CACHES
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class PlayedDay:
-    """A day and its metrics, as `lab.fleet.audited` names them."""
+    """A day and its metrics, as `lab.fleet.audit_comparison` names them."""
 
     day: Day
     metrics: Mapping[str, Any]
@@ -44,7 +44,7 @@
         """The faults, drawn as in the run."""
         shape = self.day.shape
         counts = {"directors": shape.directors, "feeds": shape.control_servers, "caches": CACHES}
-        return read_line(self.day.line, counts, Random(self.seed))
+        return parse_schedule(self.day.line, counts, Random(self.seed))
 
     def step_began_ms(self, step: Step) -> float:
         """Unix ms."""
@@ -52,7 +52,7 @@
 
     def step_ended_ms(self, step: Step) -> float:
         """Unix ms, for a fault that lasts."""
-        return self.line_began_ms + (step.at + step.last) * 1000.0
+        return self.line_began_ms + (step.at + step.duration_s) * 1000.0
 
     def shown(self) -> dict[str, Any]:
         """The metrics that fit a line."""
@@ -61,7 +61,7 @@
 
 async def _events(fleet: Fleet, _load: Load) -> dict[str, Any]:
     """What the line did, in Unix ms."""
-    began_s = time.time() - time.monotonic() + fleet.began
+    began_s = time.time() - time.monotonic() + fleet.started_s
     return {"events": [((began_s + at) * 1000.0, what) for at, what, _ in fleet.events]}
 
 
@@ -69,8 +69,8 @@
     """With processes of its own."""
 
     async def play() -> dict[str, Any]:
-        metrics: dict[str, Any] = await play_audited(
-            day.line, day.shape, SEED, day.seconds, purges=day.purges, look=_events
+        metrics: dict[str, Any] = await run_with_audit(
+            day.line, day.shape, SEED, day.seconds, purges=day.purges, collect_metrics=_events
         )
         return metrics
 
--- a/benchmarks/audit/report.py
+++ b/benchmarks/audit/report.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
-from gladelane.lab.fleet.audited import p99
+from gladelane.lab.fleet.audit_comparison import p99
 
 from .lag import LagFigures, times_all_drained
 from .play import PlayedDay
--- a/benchmarks/audit/tampered.py
+++ b/benchmarks/audit/tampered.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from gladelane.audit.audit_store import AuditStore
-from gladelane.lab.fleet.altered_stores import caught, planted
-from gladelane.lab.fleet.audited import contradictions
+from gladelane.lab.fleet.altered_stores import altered_copies, has_inconsistency
+from gladelane.lab.fleet.audit_comparison import find_contradictions
 
 
 def notice_alterations(metrics: Mapping[str, Any], seed: int) -> dict[str, bool]:
@@ -16,8 +16,10 @@
     load, lists = metrics["load"], metrics["lists"]
 
     def is_noticed(store: AuditStore) -> bool:
-        return caught(store) or bool(
-            contradictions(store, load.attempts, load.made, load.purges, lists, load.standstills)
+        return has_inconsistency(store) or bool(
+            find_contradictions(store, load.attempts, load.replies, load.purges, lists, load.stalls)
         )
 
-    return {name: is_noticed(store) for name, store in planted(metrics["ledger"], Random(seed)).items()}
+    return {
+        name: is_noticed(store) for name, store in altered_copies(metrics["ledger"], Random(seed)).items()
+    }
--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -24,7 +24,7 @@
 from gladelane.lab.cold_routers import play as play_routers
 from gladelane.lab.fleet.cold import Plan
 from gladelane.lab.fleet.cold import play as play_processes
-from gladelane.lab.fleet.day import memory
+from gladelane.lab.fleet.schedule_run import memory_folder
 
 SIZES = (1, 2, 5, 10, 20, 30, 100, 400, 1000, 2300)
 REQUESTS = (1.0, 2.0, 6.0, 20.0, 80.0)  # N when the server starts
@@ -90,7 +90,7 @@
         plan = Plan(server, directors, 6.0, 1000.0, 12_000.0, idle_s=3.0, at_once=2, per_s=4.0, flood_s=8.0)
         runs: list[Measured] = []
         for seed in seeds:
-            with tempfile.TemporaryDirectory(prefix="gl", dir=memory()) as folder:
+            with tempfile.TemporaryDirectory(prefix="gl", dir=memory_folder()) as folder:
                 runs.append(await play_processes(Path(folder), plan, seed, program))
             print(f"{directors} processes, {server.value}, seed {seed}: {runs[-1]}", flush=True)
         figures[server.value] = {
--- a/benchmarks/comeback/__main__.py
+++ b/benchmarks/comeback/__main__.py
@@ -7,7 +7,7 @@
 import uvloop
 
 from benchmarks import conclude
-from gladelane.lab.fleet.day import play
+from gladelane.lab.fleet.schedule_run import run_schedule
 from gladelane.lab.fleet.shape import Shape
 from gladelane.lab.losses import Plant
 
@@ -25,7 +25,7 @@
     quick = "--quick" in sys.argv
     runs = play_days(quick)
     delayed = play_delayed_start(days(quick)[1].shape, runs[KILLED]["restart"].start_limit_s)
-    before = uvloop.run(play(LOST, Shape(6, lost="serve"), SEED, 5.5))
+    before = uvloop.run(run_schedule(LOST, Shape(6, lost="serve"), SEED, 5.5))
     caught = search_planted()
     states = [searched(copies, Plant.NONE, 3 if quick else 4) for copies in (1, 2)]
     summary = summarise(quick, runs, delayed) | {
--- a/benchmarks/comeback/first_restart.py
+++ b/benchmarks/comeback/first_restart.py
@@ -18,9 +18,9 @@
 
 import uvloop
 
-from gladelane.lab.fleet.day import APART_S, play
 from gladelane.lab.fleet.fleet import Fleet
 from gladelane.lab.fleet.load import Load
+from gladelane.lab.fleet.schedule_run import MIN_FAULT_INTERVAL_S, run_schedule
 from gladelane.lab.fleet.shape import Shape
 from gladelane.lab.processes import ROOT
 
@@ -66,7 +66,7 @@
 def first_start_s(directors: Sequence[ProcessTimes]) -> float:
     """Infinite: one that was struck never came back."""
     fault_s = min(moment for one in directors for moment in one.downs)
-    struck = [one for one in directors if one.downs and one.downs[0] < fault_s + APART_S]
+    struck = [one for one in directors if one.downs and one.downs[0] < fault_s + MIN_FAULT_INTERVAL_S]
     back_s = max(min((up for up in one.ups if up > one.downs[0]), default=math.inf) for one in struck)
     return back_s - fault_s
 
@@ -90,7 +90,9 @@
 def play_restart(line: str, shape: Shape, seconds: float, table: Path | None = None) -> dict[str, Any]:
     """A run's metrics, and its first restart under `restart`."""
     before_s = time_imports(shape.directors)
-    metrics = uvloop.run(play(line, shape, SEED, seconds, RATE, table=table, look=look_at_restart))
+    metrics = uvloop.run(
+        run_schedule(line, shape, SEED, seconds, RATE, table=table, collect_metrics=look_at_restart)
+    )
     import_s = max(before_s, time_imports(shape.directors))
     return {**metrics, "restart": Restart(import_s, metrics["start_s"])}
 
--- a/benchmarks/comeback/runs.py
+++ b/benchmarks/comeback/runs.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from benchmarks import conclude
-from gladelane.lab.fleet.day import play
+from gladelane.lab.fleet.schedule_run import run_schedule
 from gladelane.lab.fleet.shape import Shape
 
 from .days import KILLED, RATE, SEED, days
@@ -28,7 +28,7 @@
     asked = parser.parse_args(argv)
     shape = Shape(asked.directors, asked.feeds, asked.copies)
     metrics = uvloop.run(
-        play(asked.line, shape, asked.seed, asked.seconds, purges=asked.purges, table=asked.table)
+        run_schedule(asked.line, shape, asked.seed, asked.seconds, purges=asked.purges, table=asked.table)
     )
     wrong = [name for name in ("stale_strict", "doubles", "lost", "rules_broken") if metrics[name]]
     return conclude(metrics, wrong)
@@ -44,7 +44,7 @@
             runs[day.name] = play_restart(day.line, day.shape, day.seconds, path)
         else:
             runs[day.name] = uvloop.run(
-                play(day.line, day.shape, SEED, day.seconds, RATE, purges=day.purges, table=path)
+                run_schedule(day.line, day.shape, SEED, day.seconds, RATE, purges=day.purges, table=path)
             )
         metrics = {name: value for name, value in runs[day.name].items() if name not in ("line", "phases")}
         print(f"{day.name}: {metrics}", flush=True)
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -24,12 +24,12 @@
 
 from benchmarks import conclude
 from benchmarks.planted_searches import PlantedSearches, SearchResult
-from gladelane.lab.fleet.audited import p99
-from gladelane.lab.fleet.day import memory
-from gladelane.lab.fleet.faults import Step, read_line
+from gladelane.lab.fleet.audit_comparison import p99
+from gladelane.lab.fleet.faults import Step, parse_schedule
 from gladelane.lab.fleet.fleet import Fleet
+from gladelane.lab.fleet.lease_watch import LeaseWatch, count_orders, wait_for_orders, wait_for_owners
 from gladelane.lab.fleet.load import Load
-from gladelane.lab.fleet.owned import Watch, ordered, orders, settled
+from gladelane.lab.fleet.schedule_run import memory_folder
 from gladelane.lab.fleet.shape import Shape
 from gladelane.lab.fleet.world import World
 from gladelane.lab.leases import InjectedFault, explore
@@ -77,12 +77,12 @@
     if not is_plain:
         lines.append(f"0 kill feeds:{rng.randrange(LEASE_SERVERS)} {rng.choice(('empty', 'kept'))}")
     counts = {"directors": directors, "feeds": LEASE_SERVERS}
-    return Turn(read_line("; ".join(lines), counts, rng), victims, is_plain)
+    return Turn(parse_schedule("; ".join(lines), counts, rng), victims, is_plain)
 
 
 async def play(directors: int, turns: int, owners: bool) -> RunFigures:
     """Starts a fleet, plays so many turns while purges come, and ends the fleet."""
-    with tempfile.TemporaryDirectory(prefix="gl", dir=memory()) as name:
+    with tempfile.TemporaryDirectory(prefix="gl", dir=memory_folder()) as name:
         world = World()
         shape = Shape(directors, LEASE_SERVERS, 1, owners=owners, lease_ms=LEASE_MS, shards=SHARDS)
         fleet = Fleet(Path(name), world, shape, random.Random(8))
@@ -99,8 +99,8 @@
 
 async def _play_at(fleet: Fleet, turns: int, owners: bool) -> RunFigures:
     figures, rng = RunFigures(), random.Random(7)
-    load, watch = Load(fleet, random.Random(9)), Watch(fleet)
-    if owners and not await settled(watch, SHARDS):
+    load, watch = Load(fleet, random.Random(9)), LeaseWatch(fleet)
+    if owners and not await wait_for_owners(watch, SHARDS):
         raise RuntimeError("no owners")
     purging = asyncio.create_task(load.purge(4 * turns + 5, TURN_S * turns + 1.0))
     for number in range(turns):
@@ -108,23 +108,23 @@
         figures.faults += len(turn.steps)
         figures.gaps_s += await _play_turn(fleet, watch, turn)
     await purging
-    await ordered(fleet, load)
+    await wait_for_orders(fleet, load)
     await asyncio.sleep(LAST_ORDERS_S)
-    figures.mean_orders, figures.missing_orders = orders(fleet, load)
+    figures.mean_orders, figures.missing_orders = count_orders(fleet, load)
     figures.changes = sum(len(owners_of_shard) for owners_of_shard in watch.owners().values())
-    figures.reused_tokens = len(watch.reused())
+    figures.reused_tokens = len(watch.find_reused_numbers())
     await watch.stop()
     return figures
 
 
-async def _play_turn(fleet: Fleet, watch: Watch, turn: Turn) -> Sequence[float]:
+async def _play_turn(fleet: Fleet, watch: LeaseWatch, turn: Turn) -> Sequence[float]:
     """How long shards of the victims had no owner, s."""
     began_s = time.time()
-    striking = [asyncio.create_task(fleet.strike(step)) for step in turn.steps]
+    striking = [asyncio.create_task(fleet.inject(step)) for step in turn.steps]
     await asyncio.sleep(TURN_S)
     gaps_s: Sequence[float] = ()
     if turn.is_plain:
-        gaps_s = watch.gaps(began_s, {f"director-{victim}" for victim in turn.victims})
+        gaps_s = watch.succession_times_s(began_s, {f"director-{victim}" for victim in turn.victims})
     await asyncio.gather(*striking)
     return gaps_s
 
--- a/benchmarks/purges/load.py
+++ b/benchmarks/purges/load.py
@@ -10,7 +10,7 @@
 from gladelane.control_plane.http import HttpStatusError, fetch
 from gladelane.lab.client import Answer, Client
 from gladelane.lab.fake_cache_store import now_ms
-from gladelane.lab.fleet.rules import Made, Purged
+from gladelane.lab.fleet.run_checks import AcknowledgedPurge, ObservedReply
 from gladelane.purges.scope import parse
 
 from .director_files import TOKEN
@@ -31,8 +31,8 @@
         self._fleet = fleet
         self._rng = random.Random(seed)
         self._weights = [1.0 / (number + 1) for number in range(OBJECTS)]
-        self.answers: list[Made] = []
-        self.purges: list[Purged] = []
+        self.answers: list[ObservedReply] = []
+        self.purges: list[AcknowledgedPurge] = []
         self.lost = self.rejected = self.failed = self.asked = 0
         self.is_running = True
 
@@ -59,7 +59,9 @@
         answer = await client.ask(fields, patience_s=PATIENCE_S)
         if answer is not None and answer.code == SERVED:
             dated_ms = float(answer.body[1:] or 0)
-            self.answers.append(Made(class_name, group, int(object_id(number), 16), part, sent_ms, dated_ms))
+            self.answers.append(
+                ObservedReply(class_name, group, int(object_id(number), 16), part, sent_ms, dated_ms)
+            )
         else:
             await self._count_unserved(answer)
 
@@ -78,14 +80,14 @@
             self.purges.append(await self._submit(draw_scope(self._rng), f"k{turn}"))
             await asyncio.sleep(interval_s)
 
-    async def _submit(self, scope: DrawnScope, key: str) -> Purged:
+    async def _submit(self, scope: DrawnScope, key: str) -> AcknowledgedPurge:
         body = json.dumps({"scope": scope.text, "tags": scope.tags}).encode()
         while True:
             port = self._rng.choice(self._fleet.control_servers.ports)
             headers = {"Idempotency-Key": key}
             try:
                 answer = json.loads(await fetch("127.0.0.1", port, "POST", "/purges", TOKEN, body, headers))
-                return Purged(answer["at_ms"], parse(answer["scope"]))
+                return AcknowledgedPurge(answer["at_ms"], parse(answer["scope"]))
             except (OSError, HttpStatusError, TimeoutError):
                 await asyncio.sleep(RETRY_S)
 
@@ -93,5 +95,5 @@
         """What would have been purged, of which nobody is notified."""
         for _ in range(count):
             scope = draw_scope(self._rng)
-            self.purges.append(Purged(now_ms(), parse(scope.text, scope.tags)))
+            self.purges.append(AcknowledgedPurge(now_ms(), parse(scope.text, scope.tags)))
             await asyncio.sleep(interval_s)
--- a/benchmarks/purges/measures.py
+++ b/benchmarks/purges/measures.py
@@ -6,16 +6,18 @@
 from collections import Counter
 from collections.abc import Iterable, Sequence
 
-from gladelane.lab.fleet.rules import SLACK_MS, Made, Purged
+from gladelane.lab.fleet.run_checks import SLACK_MS, AcknowledgedPurge, ObservedReply
 
 
-def is_older(answer: Made, purge: Purged) -> bool:
+def is_older(answer: ObservedReply, purge: AcknowledgedPurge) -> bool:
     """Whether the answer's copy is one that the purge was to drop."""
     is_before = answer.dated_ms + SLACK_MS < purge.at_ms
     return is_before and purge.scope.covers(answer.cls, answer.group, answer.object, answer.part)
 
 
-def stale_by_scan(answers: Sequence[Made], purges: Sequence[Purged], delay_ms: float, at_most: int) -> int:
+def stale_by_scan(
+    answers: Sequence[ObservedReply], purges: Sequence[AcknowledgedPurge], delay_ms: float, at_most: int
+) -> int:
     """Stale answers by the plainest scan over some of them: the index must not vouch for itself."""
     step = max(len(answers) // at_most, 1)
     return sum(
@@ -24,7 +26,9 @@
     )
 
 
-def delays_ms(answers: Iterable[Made], purges: Iterable[Purged], delay_ms: float) -> list[float]:
+def delays_ms(
+    answers: Iterable[ObservedReply], purges: Iterable[AcknowledgedPurge], delay_ms: float
+) -> list[float]:
     """For each purge, how long after it the last answer from an older copy was sent; 0: none was. Looks for
     twice the stated delay."""
     ordered = sorted(answers, key=lambda answer: answer.sent_ms)
--- a/benchmarks/purges/run.py
+++ b/benchmarks/purges/run.py
@@ -9,7 +9,7 @@
 
 from benchmarks.clients import count_answered_twice
 from benchmarks.percentiles import percentile
-from gladelane.lab.fleet.rules import stale
+from gladelane.lab.fleet.run_checks import find_stale_replies
 
 from .director_files import DELAY_MS
 from .fleet import CONTROL_SERVERS, Fleet
@@ -135,5 +135,5 @@
         delay_ms_most=round(max(delays), 1),
         dropped_by_order=fleet.site.dropped_by_order(),
         joined_fills=fleet.site.joined_fills(),
-        stale_after_delay=len(stale(load.answers, load.purges, DELAY_MS)),
+        stale_after_delay=len(find_stale_replies(load.answers, load.purges, DELAY_MS)),
     )
--- a/gladelane/lab/fleet/audited.py
+++ b/gladelane/lab/fleet/audit_comparison.py
@@ -27,29 +27,29 @@
 from ...audit.view_lease import Stage
 from ...control_plane.http import fetch
 from ...storage.files import Folder
-from .day import play
+from .event_loop_stalls import EventLoopStalls
 from .fleet import TOKEN, Fleet
 from .load import Load
-from .relay import Reported
-from .replicated import positions_at
-from .rules import SLACK_MS, Made, Purged, Sent
+from .relay import ForwardedReport
+from .report_positions import positions_at
+from .run_checks import SLACK_MS, AcknowledgedPurge, ObservedAttempt, ObservedReply
+from .schedule_run import run_schedule
 from .shape import Shape
-from .standstills import Standstills
 
-ON_TIME_MS = 50.0  # after the expiry of a lease, for attempts in flight to a fake server
-SEEN_MS = 60.0  # at most between a decision of a director and its observation at a fake server
-SETTLE_S = 1.2
-REPLICATION_S = 30.0  # much longer than needed
+EXPIRY_TOLERANCE_MS = 50.0  # for attempts in flight to a fake server when a lease expires
+MAX_OBSERVATION_DELAY_MS = 60.0  # from a decision of a director to its observation at a fake server
+SETTLE_S = 1.2  # before the results are read
+REPLICATION_TIMEOUT_S = 30.0  # much longer than needed
 
 
-def recovered_store(folder: Path) -> AuditStore:
+def read_audit_store(folder: Path) -> AuditStore:
     """Reads the audit from the folder of a control server that has ended."""
     store = AuditStore()
     ReportLog(Folder(folder), store).close()
     return store
 
 
-class Lists:
+class EndpointListHistory:
     """The servers in service at each revision of the endpoint list."""
 
     def __init__(self, watch_events: list[dict[str, Any]]) -> None:
@@ -64,24 +64,28 @@
                 n for n, lifecycle in state.items() if lifecycle == "in_service"
             )
 
-    def used(self, rev: int, sent: Sent) -> bool:
+    def allows_attempt(self, rev: int, attempt: ObservedAttempt) -> bool:
         """Whether an attempt is possible under a view with this revision."""
         serving = self._by_rev.get(rev, frozenset())
-        return sent.store in serving and (not sent.source or sent.source in serving)
+        return attempt.store in serving and (not attempt.source or attempt.source in serving)
 
 
-def covering(rows: list[AuditRow], at_ms: float, late_ms: float = 0.0) -> list[AuditRow]:
+def rows_covering(rows: list[AuditRow], at_ms: float, late_ms: float = 0.0) -> list[AuditRow]:
     """The rows whose interval may contain an observation at this time, at most `late_ms` late."""
-    return [row for row in rows if row.from_ms - SEEN_MS <= at_ms <= row.to_ms + SEEN_MS + late_ms]
+    return [
+        row
+        for row in rows
+        if row.from_ms - MAX_OBSERVATION_DELAY_MS <= at_ms <= row.to_ms + MAX_OBSERVATION_DELAY_MS + late_ms
+    ]
 
 
-def contradictions(
+def find_contradictions(
     store: AuditStore,
-    attempts: list[Sent],
-    made: list[Made],
-    purges: list[Purged],
-    lists: Lists,
-    standstills: Standstills,
+    attempts: list[ObservedAttempt],
+    replies: list[ObservedReply],
+    purges: list[AcknowledgedPurge],
+    lists: EndpointListHistory,
+    stalls: EventLoopStalls,
 ) -> list[str]:
     """Attempts and replies that contradict the audit.
 
@@ -93,46 +97,57 @@
     """
     found: list[str] = []
     rows = {name: rows_between(store, name, 0.0, 2.0**53) for name in directors(store)}
-    froms = {name: [row.from_ms for row in found_rows] for name, found_rows in rows.items()}
-    seen: Counter[str] = Counter()
+    start_times_ms = {name: [row.from_ms for row in found_rows] for name, found_rows in rows.items()}
+    observed_counts: Counter[str] = Counter()
 
-    def near(director: str, at_ms: float, late_ms: float = 0.0) -> list[AuditRow]:
+    def rows_near(director: str, at_ms: float, late_ms: float = 0.0) -> list[AuditRow]:
         candidates = rows.get(director, [])
-        place = bisect_right(froms.get(director, []), at_ms + SEEN_MS)
-        return covering(candidates[max(place - 400, 0) : place], at_ms, late_ms)
+        place = bisect_right(start_times_ms.get(director, []), at_ms + MAX_OBSERVATION_DELAY_MS)
+        return rows_covering(candidates[max(place - 400, 0) : place], at_ms, late_ms)
 
-    for sent in attempts:
-        if not sent.director:
+    for attempt in attempts:
+        if not attempt.director:
             continue
-        candidates = near(sent.director, sent.at_ms, standstills.late_ms(sent.at_ms))
+        candidates = rows_near(attempt.director, attempt.at_ms, stalls.max_delay_ms(attempt.at_ms))
         if any(row.known == Knowledge.UNKNOWN.value for row in candidates):
             continue
         acted = [row for row in candidates if row.known == Knowledge.ACTED.value and row.view in store.views]
-        seen[sent.director] += 1
+        observed_counts[attempt.director] += 1
         if not acted:
-            found.append(f"{sent.director} sent to {sent.store} at {sent.at_ms:.0f}, in no span")
-        elif not any(lists.used(store.views[row.view].rev, sent) for row in acted):
-            found.append(f"{sent.director} sent to {sent.store} at {sent.at_ms:.0f}, not under its views")
-    return found + uncounted(rows, seen) + outdated(store, near, made, purges)
+            found.append(f"{attempt.director} sent to {attempt.store} at {attempt.at_ms:.0f}, in no span")
+        elif not any(lists.allows_attempt(store.views[row.view].rev, attempt) for row in acted):
+            found.append(
+                f"{attempt.director} sent to {attempt.store} at {attempt.at_ms:.0f}, not under its views"
+            )
+    return (
+        found
+        + find_uncounted_attempts(rows, observed_counts)
+        + find_outdated_replies(store, rows_near, replies, purges)
+    )
 
 
-def uncounted(rows: Mapping[str, list[AuditRow]], seen: Mapping[str, int]) -> list[str]:
-    """Directors that sent more attempts, as fake servers saw them, than their intervals count."""
+def find_uncounted_attempts(
+    rows: Mapping[str, list[AuditRow]], observed_counts: Mapping[str, int]
+) -> list[str]:
+    """Directors of which fake servers received more attempts than the intervals of the directors count."""
     found = []
     for name, found_rows in rows.items():
         counted = sum(count.sent for row in found_rows for count in row.counts.values())
-        if seen[name] > counted:
-            found.append(f"{name} sent {seen[name]} that were seen, its spans say {counted}")
+        if observed_counts[name] > counted:
+            found.append(f"{name} sent {observed_counts[name]} that were seen, its spans say {counted}")
     return found
 
 
-def outdated(
-    store: AuditStore, near: Callable[[str, float], list[AuditRow]], made: list[Made], purges: list[Purged]
+def find_outdated_replies(
+    store: AuditStore,
+    rows_near: Callable[[str, float], list[AuditRow]],
+    replies: list[ObservedReply],
+    purges: list[AcknowledgedPurge],
 ) -> list[str]:
-    """Replies from a copy older than a purge that all views knew under which they may have been sent."""
+    """Replies from a copy older than a purge that every view under which it may have been sent had."""
     found = []
-    for answer in made:
-        candidates = near(answer.director, answer.sent_ms)
+    for reply in replies:
+        candidates = rows_near(reply.director, reply.sent_ms)
         acted = [row for row in candidates if row.known == Knowledge.ACTED.value and row.view in store.views]
         if not acted or len(acted) < len(candidates):
             continue
@@ -141,98 +156,98 @@
             known = first.get((purge.issuer, purge.epoch), 0) >= purge.seq > 0
             if (
                 known
-                and answer.dated_ms + SLACK_MS < purge.at_ms
-                and purge.scope.covers(answer.cls, answer.group, answer.object, answer.part)
+                and reply.dated_ms + SLACK_MS < purge.at_ms
+                and purge.scope.covers(reply.cls, reply.group, reply.object, reply.part)
             ):
-                found.append(f"{answer.director} answered from {answer.dated_ms:.0f}, its view knew a purge")
+                found.append(f"{reply.director} answered from {reply.dated_ms:.0f}, its view knew a purge")
                 break
     return found
 
 
-def after_out(fleet: Fleet, load: Load, lease_ms: float) -> int:
+def count_actions_without_lease(fleet: Fleet, load: Load, lease_ms: float) -> int:
     """The number of attempts and of strict-class replies by directors without a lease or in quarantine.
 
     Observations after a stall of this process count from the earliest time when they may have arrived.
     """
-    reported: dict[str, list[Reported]] = defaultdict(list)
-    for (near, _), relay in fleet.links.items():
-        reported[near] += relay.reported
-    for reports in reported.values():
+    reports_by_director: dict[str, list[ForwardedReport]] = defaultdict(list)
+    for (director, _), relay in fleet.links.items():
+        reports_by_director[director] += relay.reports
+    for reports in reports_by_director.values():
         reports.sort(key=lambda one: one.answered_ms)
     strict = fleet.shape.strict if fleet.shape.alone == "strict" else ()  # otherwise no class may continue
-    acts = [
-        (sent.director, sent.at_ms)
-        for sent in load.attempts
-        if sent.director and (not strict or sent.cls in strict)
+    actions = [
+        (attempt.director, attempt.at_ms)
+        for attempt in load.attempts
+        if attempt.director and (not strict or attempt.cls in strict)
     ]
-    acts += [(a.director, a.answered_ms) for a in load.made if a.cls in fleet.shape.strict]
-    late = 0
-    for director, at in acts:
-        reports = reported[director]
-        came = at - load.standstills.late_ms(at)
-        place = bisect_right(reports, came - ON_TIME_MS, key=lambda one: one.answered_ms)
-        since = reports[place : bisect_right(reports, at, key=lambda one: one.answered_ms)]
+    actions += [(a.director, a.answered_ms) for a in load.replies if a.cls in fleet.shape.strict]
+    violation_count = 0
+    for director, at_ms in actions:
+        reports = reports_by_director[director]
+        earliest_ms = at_ms - load.stalls.max_delay_ms(at_ms)
+        place = bisect_right(reports, earliest_ms - EXPIRY_TOLERANCE_MS, key=lambda one: one.answered_ms)
+        since = reports[place : bisect_right(reports, at_ms, key=lambda one: one.answered_ms)]
         granted = [one for one in reports[:place] if one.stage < Stage.QUARANTINED][-4:]
-        # a reply from shortly before the act may have been received before it
+        # a reply from shortly before the action may have been received before it
         granted += [one for one in since if one.stage < Stage.QUARANTINED]
-        within = any(came <= one.asked_ms + lease_ms + ON_TIME_MS for one in granted)
-        out = (
+        has_lease = any(earliest_ms <= one.requested_ms + lease_ms + EXPIRY_TOLERANCE_MS for one in granted)
+        is_quarantined = (
             place
             and reports[place - 1].stage >= Stage.QUARANTINED
             and not any(one.stage < Stage.QUARANTINED for one in since)
         )
-        late += not within or bool(out)
-    return late
+        violation_count += not has_lease or bool(is_quarantined)
+    return violation_count
 
 
-def moved(fleet: Fleet) -> dict[str, list[tuple[float, int]]]:
-    """When each director was notified of another stage, as seen by its links."""
+def stage_changes(fleet: Fleet) -> dict[str, list[tuple[float, int]]]:
+    """The times at which each director was notified of another stage, as observed on its links."""
     found: dict[str, list[tuple[float, int]]] = defaultdict(list)
-    for (near, _), relay in fleet.links.items():
-        found[near] += [(one.answered_ms, one.stage) for one in relay.reported]
+    for (director, _), relay in fleet.links.items():
+        found[director] += [(one.answered_ms, one.stage) for one in relay.reports]
     changes = {}
     for name, notified in found.items():
-        was, changed = 0, []
+        previous, changed = 0, []
         for at, stage in sorted(notified):
-            if stage != was:
+            if stage != previous:
                 changed.append((at, stage))
-            was = stage
+            previous = stage
         changes[name] = changed
     return changes
 
 
-def most_out(changes: dict[str, list[tuple[float, int]]]) -> int:
+def max_restricted_directors(changes: dict[str, list[tuple[float, int]]]) -> int:
     """The largest number of directors that were restricted or worse at the same time."""
     events = sorted((at, name, stage) for name, stages in changes.items() for at, stage in stages)
     restricted: set[str] = set()
-    most = 0
+    max_count = 0
     for _, name, stage in events:
         (restricted.add if stage >= Stage.RESTRICTED else restricted.discard)(name)
-        most = max(most, len(restricted))
-    return most
+        max_count = max(max_count, len(restricted))
+    return max_count
 
 
-async def asked(fleet: Fleet, number: int, target: str) -> dict[str, Any]:
+async def query_control_server(fleet: Fleet, number: int, target: str) -> dict[str, Any]:
     """Queries a control server. Raises OSError, HttpStatusError and TimeoutError."""
     port = fleet.control_servers[number].port
     answer: dict[str, Any] = json.loads(await fetch("127.0.0.1", port, "GET", target, TOKEN))
     return answer
 
 
-async def end_all(fleet: Fleet) -> list[AuditStore]:
+async def end_processes(fleet: Fleet) -> list[AuditStore]:
     """Ends all processes and reads what the control servers have stored.
 
     Directors end first and send their final reports; the control servers end once they have replicated them.
     """
     await asyncio.gather(*(fleet.end(one, signal.SIGTERM) for one in fleet.directors))
-    until = asyncio.get_running_loop().time() + REPLICATION_S
+    until = asyncio.get_running_loop().time() + REPLICATION_TIMEOUT_S
     while asyncio.get_running_loop().time() < until:
         marks = [await positions_at(one) for one in fleet.control_servers]
         if all(one == marks[0] for one in marks):
             break
         await asyncio.sleep(0.1)
     await asyncio.gather(*(fleet.end(one, signal.SIGTERM) for one in fleet.control_servers))
-    return [await asyncio.to_thread(recovered_store, one.folder / "audit") for one in fleet.control_servers]
+    return [await asyncio.to_thread(read_audit_store, one.folder / "audit") for one in fleet.control_servers]
 
 
 def downtime_ms(fleet: Fleet) -> float:
@@ -257,16 +272,17 @@
     return max(unknown_ms - excused_ms, 0.0) / max(total_ms, 1.0)
 
 
-def same(one: AuditStore, other: AuditStore) -> bool:
+def have_same_intervals(one: AuditStore, other: AuditStore) -> bool:
     """Whether two control servers have the same intervals."""
     return one.positions() == other.positions() and one.interval_count == other.interval_count
 
 
-def compared(fleet: Fleet, load: Load, stores: list[AuditStore], away_ms: float) -> dict[str, Any]:
-    """What the control servers stored against what was observed, by the names in reports. `away_ms`: the
-    time without a process of a director."""
+def compare_audit(fleet: Fleet, load: Load, stores: list[AuditStore], away_ms: float) -> dict[str, Any]:
+    """Compares what the control servers stored with what was observed; the keys are those of reports.
+
+    `away_ms`: the total time in which directors had no process."""
     store = max(stores, key=lambda one: one.interval_count)
-    lists = Lists(fleet.world.discovery.notices)
+    lists = EndpointListHistory(fleet.world.discovery.notices)
     stored = sum(path.stat().st_size for path in (fleet.control_servers[0].folder / "audit").iterdir())
     return {
         "attempts": len(load.attempts),
@@ -274,10 +290,10 @@
         "ledger": store,
         "load": load,
         "lists": lists,
-        "same": all(same(store, one) for one in stores),
+        "same": all(have_same_intervals(store, one) for one in stores),
         "wrong": [w for w in find_inconsistencies(store) if w.what != "missing"],
-        "contradictions": contradictions(
-            store, load.attempts, load.made, load.purges, lists, load.standstills
+        "contradictions": find_contradictions(
+            store, load.attempts, load.replies, load.purges, lists, load.stalls
         ),
         "unknown_share": unknown_share(store),
         "unknown_while_up": unknown_share(store, away_ms),
@@ -285,32 +301,37 @@
     }
 
 
-def play_audited(
-    line: str,
+def run_with_audit(
+    schedule: str,
     shape: Shape,
     seed: int,
     seconds: float,
     per_s: float = 150.0,
     purges: int = 0,
-    look: Callable[[Fleet, Load], Any] | None = None,
+    collect_metrics: Callable[[Fleet, Load], Any] | None = None,
 ) -> Any:
-    """As `day.play`, with the comparison of the audit. `look`: further metrics of the running fleet."""
+    """As `schedule_run.run_schedule`, with the comparison of the audit.
+
+    `collect_metrics`: returns further metrics of the running fleet.
+    """
 
-    async def seen(fleet: Fleet, load: Load) -> dict[str, Any]:
-        extra = await look(fleet, load) if look is not None else {}
+    async def collect_all(fleet: Fleet, load: Load) -> dict[str, Any]:
+        extra = await collect_metrics(fleet, load) if collect_metrics is not None else {}
         await asyncio.sleep(SETTLE_S)
-        changes = moved(fleet)
+        changes = stage_changes(fleet)
         before_end = {
-            "acted_after_out": after_out(fleet, load, shape.view_lease_ms),
+            "acted_after_out": count_actions_without_lease(fleet, load, shape.view_lease_ms),
             "stages": changes,
-            "most_out_at_once": most_out(changes),
+            "most_out_at_once": max_restricted_directors(changes),
             "report_bytes": sum(relay.report_bytes for relay in fleet.links.values()),
         }
         away_ms = downtime_ms(fleet)
-        stores = await end_all(fleet)
-        return {**compared(fleet, load, stores, away_ms), **before_end, **extra}
+        stores = await end_processes(fleet)
+        return {**compare_audit(fleet, load, stores, away_ms), **before_end, **extra}
 
-    return play(line, replace(shape, audit=True), seed, seconds, per_s, purges, look=seen)
+    return run_schedule(
+        schedule, replace(shape, audit=True), seed, seconds, per_s, purges, collect_metrics=collect_all
+    )
 
 
 def p99(values: list[float]) -> float:
--- a/gladelane/lab/fleet/stepped.py
+++ b/gladelane/lab/fleet/clock_steps.py
@@ -10,10 +10,10 @@
 import time
 from collections.abc import Callable
 
-STEPS = "GLADELANE_CLOCK_STEPS"
+STEPS_VARIABLE = "GLADELANE_CLOCK_STEPS"
 
 
-def stepped(
+def stepped_clock(
     steps: str, read_unix: Callable[[], float], read_monotonic: Callable[[], float]
 ) -> Callable[[], float]:
     """A function that reads the wall clock with its steps. Raises ValueError."""
@@ -34,4 +34,4 @@
 
 def install_steps() -> None:
     """Installs the steps in this process; no effect without the environment variable."""
-    time.time = stepped(os.environ.get(STEPS, ""), time.time, time.monotonic)
+    time.time = stepped_clock(os.environ.get(STEPS_VARIABLE, ""), time.time, time.monotonic)
--- a/gladelane/lab/fleet/cold.py
+++ b/gladelane/lab/fleet/cold.py
@@ -24,9 +24,10 @@
 from .shape import Shape
 from .world import HUB_S, World, object_id
 
-COLD_FROM, MULTIPLE, LINK = 0.15, 3.0, 4.0
-PATIENCE_S, NOTIFIED_S = 8.0, 30.0
-LEARNED = 12  # requests per director before the restart, from which it learns the mean work of their class
+COLD_FROM, BUDGET_MULTIPLE, SERVER_WEIGHT = 0.15, 3.0, 4.0
+REQUEST_TIMEOUT_S, NOTIFICATION_TIMEOUT_S = 8.0, 30.0
+# requests per director before the restart, from which it learns the mean work of their class
+WARM_UP_REQUESTS = 12
 CLASS = "video-part"
 SERVERS = {Server.CACHE: "cache-0", Server.HUB: "depot"}
 
@@ -35,8 +36,9 @@
 class Plan:
     """The load on a server after its restart.
 
-    `requests`: the initial number N of the recovery. Each director gets one request once all were notified,
-    after `idle_s` `at_once` more at the same time, and from then on `per_s` per second for `flood_s`.
+    - `requests`: the number of requests that the budget of a time window allows right after the restart.
+    - Each director gets one request once all directors were notified, `at_once` more at the same time after
+      `idle_s`, and from then on `per_s` requests per second for `flood_s`.
     """
 
     server: Server
@@ -52,18 +54,18 @@
     @property
     def work_ms(self) -> float:
         """The work of a request."""
-        return LINK * COLD_FROM * MULTIPLE * self.window_ms / self.requests
+        return SERVER_WEIGHT * COLD_FROM * BUDGET_MULTIPLE * self.window_ms / self.requests
 
 
-class _Counted(FakeCacheStore):
+class _RecordingHub(FakeCacheStore):
     """A hub that records the times of its fills."""
 
     def __init__(self, sources: Mapping[str, FakeCacheStore], fill_s: float) -> None:
         super().__init__(sources, fill_s)
-        self.asked_ms: list[float] = []
+        self.requested_ms: list[float] = []
 
     async def get(self, key: PartKey, accept: float) -> float:
-        self.asked_ms.append(now_ms())
+        self.requested_ms.append(now_ms())
         return await super().get(key, accept)
 
 
@@ -73,19 +75,19 @@
     def __init__(self, server: Server) -> None:
         super().__init__()
         self.name = SERVERS[server]
-        self.hub = counted = _Counted({"bank": self.origin}, HUB_S)
+        self.hub = recording_hub = _RecordingHub({"bank": self.origin}, HUB_S)
         self.caches = [FakeCacheStore({"depot": self.hub, "bank": self.origin})]
         self.stores = {"cache-0": self.caches[0], "depot": self.hub, "bank": self.origin}
-        self.arrived = counted.asked_ms if server is Server.HUB else list[float]()
-        self.watch = self._note
+        self.arrived = recording_hub.requested_ms if server is Server.HUB else list[float]()
+        self.on_attempt = self._record_arrival
 
-    def _note(self, name: str, _seen: Seen) -> None:
+    def _record_arrival(self, name: str, _seen: Seen) -> None:
         if name == self.name:
             self.arrived.append(now_ms())
 
     def instance(self, name: str) -> dict[str, Any]:
         """As in World, with an equal weight for all."""
-        return {**super().instance(name), "weight": LINK}
+        return {**super().instance(name), "weight": SERVER_WEIGHT}
 
     def restart(self) -> float:
         """Restarts the server and notifies the directors; returns the time, Unix ms."""
@@ -105,28 +107,28 @@
         "seats_by_zone": [0, plan.directors],
         "parent_cold_from": COLD_FROM if hub else 1.0,
         "parent_cold_ms": plan.warm_ms if hub else 0.0,
-        "parent_breaks_at": MULTIPLE,
+        "parent_breaks_at": BUDGET_MULTIPLE,
     }
     rules = {
         "cold_from": COLD_FROM,
         "warm_after_ms": plan.warm_ms,
-        "fall_multiple": MULTIPLE,
+        "fall_multiple": BUDGET_MULTIPLE,
         "fall_ms": plan.window_ms,
     }
     return {"family_info": example["family_info"] | family, "rules": example["rules"] | rules}
 
 
-class _Asking:
+class _Clients:
     """The clients of all directors."""
 
     def __init__(self, plan: Plan, fleet: Fleet) -> None:
         self.plan, self.fleet = plan, fleet
-        flow = fleet_flow()
+        flow = transfer_rate_kb_per_s()
         self.size_kb = plan.work_ms * flow / 1000.0
         self.numbers = itertools.count(1)
         self.tasks: set[asyncio.Task[None]] = set()
 
-    async def ask(self, one: FleetProcess) -> None:
+    async def request(self, one: FleetProcess) -> None:
         number = next(self.numbers)
         fields = {
             "c": CLASS,
@@ -138,10 +140,10 @@
             "m": f"{self.size_kb:.1f}",
         }
         if one.client is not None:
-            await one.client.ask(fields, PATIENCE_S)
+            await one.client.ask(fields, REQUEST_TIMEOUT_S)
 
-    async def all(self, each: int) -> None:
-        await asyncio.gather(*(self.ask(one) for one in self.fleet.directors for _ in range(each)))
+    async def request_from_all(self, each: int) -> None:
+        await asyncio.gather(*(self.request(one) for one in self.fleet.directors for _ in range(each)))
 
     async def flood(self) -> None:
         loop = asyncio.get_running_loop()
@@ -152,13 +154,13 @@
             if due >= end:
                 break
             await asyncio.sleep(max(due - loop.time(), 0.0))
-            task = asyncio.create_task(self.ask(one))
+            task = asyncio.create_task(self.request(one))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         await asyncio.gather(*self.tasks)
 
 
-def fleet_flow() -> float:
+def transfer_rate_kb_per_s() -> float:
     """The rate of one transfer in the settings of the example, kB/s."""
     example = json.loads((ROOT / "example" / "config.json").read_text())["settings"]
     return float(example["family_info"]["one_flow_kb_per_s"])
@@ -174,7 +176,7 @@
 
 
 async def _wait_until_notified(fleet: Fleet, one: FleetProcess, listed: int) -> None:
-    async with asyncio.timeout(NOTIFIED_S):
+    async with asyncio.timeout(NOTIFICATION_TIMEOUT_S):
         while (await fleet.stats(one)).get("hosts_listed") != listed:
             await asyncio.sleep(0.02)
 
@@ -196,17 +198,17 @@
         await fleet.start()
         if failed := [one.name for one in fleet.directors if not one.up]:
             raise RuntimeError(f"not started: {failed}")
-        asking = _Asking(plan, fleet)
-        for _ in range(LEARNED):
-            await asking.all(1)
+        clients = _Clients(plan, fleet)
+        for _ in range(WARM_UP_REQUESTS):
+            await clients.request_from_all(1)
         listed = len(world.stores) + 1  # the spare instance shows that a director was notified
         ramp = Ramp(plan.requests, world.restart(), COLD_FROM, plan.warm_ms, plan.window_ms)
         await asyncio.gather(*(_wait_until_notified(fleet, one, listed) for one in fleet.directors))
-        await asking.all(1)
+        await clients.request_from_all(1)
         await asyncio.sleep(plan.idle_s)
-        await asking.all(plan.at_once)
+        await clients.request_from_all(plan.at_once)
         if plan.per_s:
-            await asking.flood()
+            await clients.flood()
         end = ramp.start_ms + plan.warm_ms
         return measure([Arrival(at_ms, 1.0) for at_ms in world.arrived if at_ms < end], ramp)
     finally:
--- a/gladelane/lab/fleet/commands.py
+++ b/gladelane/lab/fleet/commands.py
@@ -9,15 +9,15 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from ..processes import ROOT
+from .clock_steps import STEPS_VARIABLE as CLOCK_STEPS_VARIABLE
 from .process import FleetProcess
-from .stepped import STEPS as CLOCK_STEPS
 
 if TYPE_CHECKING:
     from .fleet import Fleet
 
 CONTROL_SERVER = "from gladelane.cli import main; main()"
 STEPPED_CONTROL_SERVER = (
-    f"from gladelane.lab.fleet.stepped import install_steps; install_steps(); {CONTROL_SERVER}"
+    f"from gladelane.lab.fleet.clock_steps import install_steps; install_steps(); {CONTROL_SERVER}"
 )
 START_WAIT_MS = 3000  # for which a starting director waits for purges
 REPORT_MS = 400  # between the reports of a director to the audit
@@ -65,7 +65,7 @@
     clock_steps = dict(zip(fleet.control_servers, shape.control_server_clocks, strict=False)).get(
         control_server, ""
     )
-    return Command(arguments, {**os.environ, CLOCK_STEPS: clock_steps})
+    return Command(arguments, {**os.environ, CLOCK_STEPS_VARIABLE: clock_steps})
 
 
 def director_command(fleet: Fleet, director: FleetProcess) -> Command:
--- a/gladelane/lab/fleet/standstills.py
+++ b/gladelane/lab/fleet/event_loop_stalls.py
@@ -12,11 +12,11 @@
 from collections.abc import Callable
 
 TICK_MS = 5.0
-STEPS = 4  # iterations of the loop at most from an arrival to its observation: accept, read, parse, handle
+MAX_ITERATIONS = 4  # of the loop from an arrival to its observation: accept, read, parse, handle
 
 
-class Standstills:
-    """Records when the event loop ran. Unix ms."""
+class EventLoopStalls:
+    """Records when the event loop ran, and bounds the delay of observations. Unix ms."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         """`clock` returns Unix ms."""
@@ -33,11 +33,11 @@
         """Records that the loop runs. Times must not decrease."""
         self._ticks.append(now_ms)
 
-    def late_ms(self, at_ms: float) -> float:
+    def max_delay_ms(self, at_ms: float) -> float:
         """The largest possible delay of an observation at this time by a stall; 0 without a stall."""
         place = bisect_right(self._ticks, at_ms)
         if place == 0:
             return 0.0
-        elapsed_ms = at_ms - self._ticks[max(place - STEPS, 0)]
+        elapsed_ms = at_ms - self._ticks[max(place - MAX_ITERATIONS, 0)]
         # on an idle machine a tick may be late by almost a tick, since it waits for the current iteration
-        return elapsed_ms - TICK_MS * STEPS if elapsed_ms > 2.0 * TICK_MS * STEPS else 0.0
+        return elapsed_ms - TICK_MS * MAX_ITERATIONS if elapsed_ms > 2.0 * TICK_MS * MAX_ITERATIONS else 0.0
--- a/gladelane/lab/fleet/fault_injector.py
+++ b/gladelane/lab/fleet/fault_injector.py
@@ -16,29 +16,31 @@
 if TYPE_CHECKING:
     from .fleet import Fleet
 
-SLOW_FILL_S = 0.25  # of a slow server
-PRESERVING_WAYS = ("kept", "torn", "readonly")  # these ways leave the folder to the next process
+SLOW_FILL_S = 0.25  # the fill time of a slow server
+PRESERVING_MODES = ("kept", "torn", "readonly")  # these modes leave the folder to the next process
 
 
 class FaultInjector:
-    """Injects the faults of one fleet. A step with a duration is ended later, in the background."""
+    """Injects the faults of one fleet. A fault with a duration is ended later, in the background."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def strike(self, step: Step) -> None:
+    async def inject(self, step: Step) -> None:
         """Executes a step."""
         fleet = self._fleet
-        fleet.note(step.word, step.text)
-        match step.word:
+        fleet.record_event(step.action, step.text)
+        match step.action:
             case "kill" | "term":
-                await asyncio.gather(*(self._restart(fleet.of(whom), step) for whom in step.whom))
+                await asyncio.gather(
+                    *(self._restart(fleet.process_of(target), step) for target in step.targets)
+                )
             case "stop":
                 self._stop_processes(step)
             case "save":
-                for whom in step.whom:
-                    await asyncio.to_thread(save_folder, fleet.of(whom))
+                for target in step.targets:
+                    await asyncio.to_thread(save_folder, fleet.process_of(target))
             case "full":
                 self._fill_disks(step)
             case "cut":
@@ -46,10 +48,10 @@
             case "board":
                 self._disturb_discovery(step)
             case "store" | "drain":
-                await asyncio.gather(*(self._change_server(whom, step) for whom in step.whom))
+                await asyncio.gather(*(self._change_server(target, step) for target in step.targets))
 
     def close(self) -> None:
-        """Cancels the pending ends of steps."""
+        """Cancels the pending ends of faults."""
         for task in list(self._tasks):
             task.cancel()
 
@@ -65,16 +67,16 @@
     # --- processes
 
     def _stop_processes(self, step: Step) -> None:
-        for whom in step.whom:
-            one = self._fleet.of(whom)
+        for target in step.targets:
+            one = self._fleet.process_of(target)
             self._fleet.counts[signal.SIGSTOP.name] += 1
             one.stop()
             one.begin_unresponsive_period()
-        self._later(step.last, partial(self._resume_processes, step))
+        self._later(step.duration_s, partial(self._resume_processes, step))
 
     def _resume_processes(self, step: Step) -> None:
-        for whom in step.whom:
-            one = self._fleet.of(whom)
+        for target in step.targets:
+            one = self._fleet.process_of(target)
             self._fleet.counts[signal.SIGCONT.name] += 1
             one.resume()
             one.end_unresponsive_period()
@@ -82,17 +84,17 @@
     async def _restart(self, one: FleetProcess, step: Step) -> None:
         """Ends a process, damages its folder as the step says, and starts it again."""
         fleet = self._fleet
-        number = signal.SIGKILL if step.word == "kill" else signal.SIGTERM
-        fleet.counts["kills"] += number is signal.SIGKILL
-        await fleet.end(one, number)
-        one.has_former_folder = step.how in PRESERVING_WAYS
-        if step.last:
-            await asyncio.sleep(step.last)
-        if step.how == "readonly":
+        signal_number = signal.SIGKILL if step.action == "kill" else signal.SIGTERM
+        fleet.counts["kills"] += signal_number is signal.SIGKILL
+        await fleet.end(one, signal_number)
+        one.has_former_folder = step.mode in PRESERVING_MODES
+        if step.duration_s:
+            await asyncio.sleep(step.duration_s)
+        if step.mode == "readonly":
             await self._start_readonly(one)
-        elif step.how != "kept":
+        elif step.mode != "kept":
             fleet.counts["disk_faults"] += 1
-            await asyncio.to_thread(damage_folder, one, step.how, fleet.control_servers)
+            await asyncio.to_thread(damage_folder, one, step.mode, fleet.control_servers)
         await fleet.restart(one)
 
     # --- disks
@@ -110,54 +112,54 @@
 
     def _fill_disks(self, step: Step) -> None:
         self._limit_files(step, 0)
-        self._later(step.last, partial(self._limit_files, step, NO_LIMIT))
+        self._later(step.duration_s, partial(self._limit_files, step, NO_LIMIT))
 
-    def _limit_files(self, step: Step, most_bytes: int) -> None:
-        for whom in step.whom:
-            self._fleet.counts["disk_faults"] += limit_file_size(self._fleet.of(whom), most_bytes)
+    def _limit_files(self, step: Step, max_bytes: int) -> None:
+        for target in step.targets:
+            self._fleet.counts["disk_faults"] += limit_file_size(self._fleet.process_of(target), max_bytes)
 
     # --- links and discovery
 
     def _cut_links(self, step: Step) -> None:
-        relays = [self._fleet.links[self._name(a), self._name(b)] for a, b in step.links]
+        relays = [self._fleet.links[self._process_name(a), self._process_name(b)] for a, b in step.links]
         for relay in relays:
-            relay.set(State(step.how))
-        if step.last:
-            self._later(step.last, partial(heal, relays))
+            relay.set(State(step.mode))
+        if step.duration_s:
+            self._later(step.duration_s, partial(heal, relays))
 
-    def _name(self, whom: tuple[str, int]) -> str:
-        return "board" if whom[0] == "board" else self._fleet.of(whom).name
+    def _process_name(self, target: tuple[str, int]) -> str:
+        return "board" if target[0] == "board" else self._fleet.process_of(target).name
 
     def _disturb_discovery(self, step: Step) -> None:
         world = self._fleet.world
-        if step.how == "late":
+        if step.mode == "late":
             world.hold_discovery(True)
-            self._later(step.last, lambda: world.hold_discovery(False))
+            self._later(step.duration_s, lambda: world.hold_discovery(False))
             return
         relays = [relay for (_, far), relay in self._fleet.links.items() if far == "board"]
         for relay in relays:
             relay.set(State.CLOSED)
-        self._later(step.last, partial(heal, relays))
+        self._later(step.duration_s, partial(heal, relays))
 
     # --- servers
 
-    async def _change_server(self, whom: tuple[str, int], step: Step) -> None:
+    async def _change_server(self, target: tuple[str, int], step: Step) -> None:
         world = self._fleet.world
-        name = {"hub": "depot", "origin": "bank"}.get(whom[0], f"cache-{whom[1]}")
+        name = {"hub": "depot", "origin": "bank"}.get(target[0], f"cache-{target[1]}")
         store = world.stores[name]
-        match step.how:
+        match step.mode:
             case "save":
                 world.saved[name] = dict(store.copies)
             case "back":
                 store.copies = dict(world.saved.get(name, {}))
             case "renew":
-                await world.renew(name)
+                await world.simulate_restart(name)
             case "out" | "in":
-                world.drain(name, step.how == "out")
+                world.drain(name, step.mode == "out")
             case "slow":
                 slow = world.hub if name == "bank" else store  # fills from the origin pass through the hub
                 usual_s, slow.fill_s = slow.fill_s, SLOW_FILL_S
-                self._later(step.last, lambda: setattr(slow, "fill_s", usual_s))
+                self._later(step.duration_s, lambda: setattr(slow, "fill_s", usual_s))
 
 
 def heal(relays: Iterable[Relay]) -> None:
--- a/gladelane/lab/fleet/faults.py
+++ b/gladelane/lab/fleet/faults.py
@@ -2,7 +2,7 @@
 
     2 save feeds:*; 3 kill feeds:* empty; 3 kill directors:90% empty; 4 cut directors:0-3>feeds:* for 2
 
-A step has a time in seconds, a word, its targets, a way, and a duration. Targets are `directors`, `feeds`
+A step has a time in seconds, an action, its targets, a mode, and a duration. Targets are `directors`, `feeds`
 (the control servers), `caches`, `hub`, `origin` or `board` (the discovery server), with `:N`, `:N-M`, `:*`
 or `:P%` (a random selection by the seed). A link is `FROM>TO`.
 """
@@ -13,8 +13,8 @@
 from dataclasses import dataclass
 from random import Random
 
-#: word -> the kind of its targets, and its ways; the first way is the default
-WORDS: dict[str, tuple[str, tuple[str, ...]]] = {
+#: action -> the kind of its targets, and its modes; the first mode is the default
+ACTIONS: dict[str, tuple[str, tuple[str, ...]]] = {
     "kill": ("process", ("kept", "empty", "older", "torn", "swapped", "readonly")),
     "term": ("process", ("kept",)),
     "stop": ("process", ("kept",)),
@@ -24,13 +24,13 @@
     "board": ("board", ("late", "restart")),
     "store": ("store", ("save", "back", "slow", "renew")),  # saves or restores copies; slow; restarts
     "drain": ("store", ("out", "in")),
-    "purges": ("none", ("flood",)),  # the way is their number, sent during the duration
-    "await": ("process", ("level",)),  # until these control servers have replicated; delays later steps
+    "purges": ("none", ("flood",)),  # the mode is the number of purges, sent during the duration
+    "await": ("process", ("level",)),  # waits until these control servers have replicated; delays later steps
 }
 PROCESSES, STORES = ("directors", "feeds"), ("caches", "hub", "origin")
 NUMBER = r"\d+(?:\.\d+)?"
 STEP = re.compile(rf"(?P<at>{NUMBER}) (?P<word>\w+)(?: (?P<rest>.+?))?(?: for (?P<last>{NUMBER}))?", re.ASCII)
-WHOM = re.compile(r"(?P<kind>[a-z]+)(?::(?P<which>\*|\d+(?:-\d+)?|\d+%))?")
+TARGET = re.compile(r"(?P<kind>[a-z]+)(?::(?P<which>\*|\d+(?:-\d+)?|\d+%))?")
 
 
 class FaultScheduleError(ValueError):
@@ -41,56 +41,55 @@
 class Step:
     """A step of a schedule.
 
-    `at` and `last` (its duration) are in seconds. `whom` has (kind, number) of processes and stores,
-    `links` pairs of those.
+    `at` is in seconds. `targets` has (kind, number) of processes and stores, `links` pairs of those.
     """
 
     at: float
-    word: str
-    whom: tuple[tuple[str, int], ...]
+    action: str
+    targets: tuple[tuple[str, int], ...]
     links: tuple[tuple[tuple[str, int], tuple[str, int]], ...]
-    how: str
-    last: float
+    mode: str
+    duration_s: float
     text: str
 
 
-def read_line(line: str, counts: dict[str, int], rng: Random) -> list[Step]:
+def parse_schedule(schedule: str, counts: dict[str, int], rng: Random) -> list[Step]:
     """The steps ordered by time. `counts`: the number of targets of each kind. Raises FaultScheduleError."""
-    steps = [_step(text.strip(), counts, rng) for text in line.split(";") if text.strip()]
+    steps = [_step(text.strip(), counts, rng) for text in schedule.split(";") if text.strip()]
     return sorted(steps, key=lambda step: step.at)
 
 
 def _step(text: str, counts: dict[str, int], rng: Random) -> Step:
     found = STEP.fullmatch(text)
-    if found is None or found["word"] not in WORDS:
+    if found is None or found["word"] not in ACTIONS:
         raise FaultScheduleError(
-            f"{text!r}; expected SECOND WORD WHOM HOW for SECONDS, a word of {', '.join(WORDS)}"
+            f"{text!r}; expected SECOND ACTION TARGETS MODE for SECONDS, an action of {', '.join(ACTIONS)}"
         )
-    strikes, ways = WORDS[found["word"]]
-    words = (found["rest"] or "").split()
-    target = "" if strikes == "none" or not words or words[0] in ways else words.pop(0)
-    how = words.pop(0) if words else ways[0]
-    if words or not (how in ways or (found["word"] == "purges" and how.isdigit())):
-        raise FaultScheduleError(f"{text!r}: {how!r}; expected one of {', '.join(ways)}")
-    whom: tuple[tuple[str, int], ...] = ()
+    target_kind, modes = ACTIONS[found["word"]]
+    arguments = (found["rest"] or "").split()
+    target = "" if target_kind == "none" or not arguments or arguments[0] in modes else arguments.pop(0)
+    mode = arguments.pop(0) if arguments else modes[0]
+    if arguments or not (mode in modes or (found["word"] == "purges" and mode.isdigit())):
+        raise FaultScheduleError(f"{text!r}: {mode!r}; expected one of {', '.join(modes)}")
+    targets: tuple[tuple[str, int], ...] = ()
     links: tuple[tuple[tuple[str, int], tuple[str, int]], ...] = ()
-    if strikes == "link":
+    if target_kind == "link":
         near, _, far = target.partition(">")
         links = tuple(
             (one, other)
-            for one in _whom(text, near, counts, rng, PROCESSES)
-            for other in _whom(text, far, counts, rng, ("feeds", "board"))
+            for one in _targets(text, near, counts, rng, PROCESSES)
+            for other in _targets(text, far, counts, rng, ("feeds", "board"))
             if one != other
         )
-    elif strikes in ("process", "store"):
-        whom = _whom(text, target, counts, rng, PROCESSES if strikes == "process" else STORES)
-    return Step(float(found["at"]), found["word"], whom, links, how, float(found["last"] or 0.0), text)
+    elif target_kind in ("process", "store"):
+        targets = _targets(text, target, counts, rng, PROCESSES if target_kind == "process" else STORES)
+    return Step(float(found["at"]), found["word"], targets, links, mode, float(found["last"] or 0.0), text)
 
 
-def _whom(
+def _targets(
     text: str, target: str, counts: dict[str, int], rng: Random, kinds: tuple[str, ...]
 ) -> tuple[tuple[str, int], ...]:
-    found = WHOM.fullmatch(target)
+    found = TARGET.fullmatch(target)
     if found is None or found["kind"] not in kinds:
         raise FaultScheduleError(
             f"{text!r}: {target!r}; expected one of {', '.join(kinds)}, with :N, :N-M, :* or :P%"
--- a/gladelane/lab/fleet/fleet.py
+++ b/gladelane/lab/fleet/fleet.py
@@ -15,30 +15,30 @@
 
 from ...control_plane.http import HttpStatusError, fetch
 from ..processes import ROOT
-from .client_pool import Pool
+from .client_pool import ClientPool
 from .commands import Command, control_server_command, director_command, log_path
 from .fault_injector import FaultInjector
 from .faults import Step
 from .ports import release_port, reserve_port
 from .process import FleetProcess
 from .relay import Relay
-from .rules import PurgeName
+from .run_checks import PurgeName
 from .shape import Shape
 from .world import World
 
 TOKEN = "token-of-a-run-in-the-laboratory"
-START_S = 30.0
-GONE_S = 6.0  # for SIGTERM
-LOOK_S = 0.02  # between two checks whether a started process replies
-LEAVING_S = 0.05  # after which a director that was ended gets no further requests of this run
-ASK_S = 2.0  # for the reply to a query about a process
-ASK_ERRORS = (OSError, TimeoutError, HttpStatusError, ValueError)
+START_TIMEOUT_S = 30.0
+EXIT_TIMEOUT_S = 6.0  # after SIGTERM
+POLL_INTERVAL_S = 0.02  # between two checks whether a started process replies
+LAST_REQUESTS_S = 0.05  # from the decision to end a director until no further request is sent to it
+QUERY_TIMEOUT_S = 2.0
+QUERY_ERRORS = (OSError, TimeoutError, HttpStatusError, ValueError)
 
 
 class Fleet:
     """The processes of a run and the links between them.
 
-    `events`: what happened, in seconds since the start.
+    `events`: (seconds since the start, event, detail).
     """
 
     def __init__(self, folder: Path, world: World, shape: Shape, rng: Random) -> None:
@@ -57,22 +57,22 @@
         self.links: dict[tuple[str, str], Relay] = {}
         self.events: list[tuple[float, str, str]] = []
         self.counts: Counter[str] = Counter()
-        self.changes: dict[str, dict[str, Any]] = {}  # to a director's operator file
-        self.settings: dict[str, dict[str, Any]] = {}  # of single directors
-        self.seed = ""  # of all directors, hexadecimal; if empty that of the example
-        self.names: dict[str, str] = {}  # of directors that use the name of another one
-        self.program: dict[str, Path] = {}  # folders of other versions of the program
-        self.began = time.monotonic()
+        self.changes: dict[str, dict[str, Any]] = {}  # director -> what is added to its operator file
+        self.settings: dict[str, dict[str, Any]] = {}  # director -> settings that differ
+        self.seed = ""  # of all directors, hexadecimal; empty for that of the example
+        self.names: dict[str, str] = {}  # director -> the name that it uses instead of its own
+        self.program: dict[str, Path] = {}  # director -> folder of another version of the program
+        self.started_s = time.monotonic()
         self._spawned: list[subprocess.Popen[bytes]] = []
         self._fault_injector = FaultInjector(self)
 
-    def note(self, what: str, detail: str = "") -> None:
+    def record_event(self, what: str, detail: str = "") -> None:
         """Records an event."""
-        self.events.append((round(time.monotonic() - self.began, 3), what, detail))
+        self.events.append((round(time.monotonic() - self.started_s, 3), what, detail))
 
-    def of(self, whom: tuple[str, int]) -> FleetProcess:
+    def process_of(self, target: tuple[str, int]) -> FleetProcess:
         """The process that a fault schedule names."""
-        return (self.directors if whom[0] == "directors" else self.control_servers)[whom[1]]
+        return (self.directors if target[0] == "directors" else self.control_servers)[target[1]]
 
     async def start(self) -> None:
         """Starts the links and all processes."""
@@ -111,13 +111,13 @@
             command = director_command(self, one)
         process = await self._spawn(one, command)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(START_S):
+            async with asyncio.timeout(START_TIMEOUT_S):
                 if await self._is_answering(one, process):
                     return
         if one.process is process:
             tail = self.log(one).strip().splitlines()[-1:]
             one.failed.append(tail[0] if tail else "")
-            self.note("start failed", f"{one.name}: {one.failed[-1][:200]}")
+            self.record_event("start failed", f"{one.name}: {one.failed[-1][:200]}")
 
     async def _spawn(self, one: FleetProcess, command: Command) -> subprocess.Popen[bytes]:
         """Starts the command in a thread: disk access must not block the event loop of the clients."""
@@ -141,9 +141,9 @@
                 if one.process is process and process.poll() is None:
                     one.up = True
                     one.ups.append(time.time())
-                    self.note("up", one.name)
+                    self.record_event("up", one.name)
                 return True
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return False
 
     async def _control_server_answers(self, one: FleetProcess) -> bool:
@@ -154,8 +154,8 @@
 
     async def _director_answers(self, one: FleetProcess) -> bool:
         with contextlib.suppress(OSError):
-            pool = Pool(one.port)
-            await pool.reach()
+            pool = ClientPool(one.port)
+            await pool.open_connection()
             one.client = pool
             return True
         return False
@@ -173,47 +173,49 @@
             one.process = None  # `_is_answering` stops waiting for it
         client, one.client = one.client, None
         if number is signal.SIGTERM:
-            await asyncio.sleep(LEAVING_S)
+            await asyncio.sleep(LAST_REQUESTS_S)
             one.process = None
         if process is not None and process.poll() is None:
             process.send_signal(number)
             if number is signal.SIGKILL:
                 one.begin_unresponsive_period(0.0)
             with contextlib.suppress(subprocess.TimeoutExpired):
-                await asyncio.to_thread(process.wait, GONE_S)
+                await asyncio.to_thread(process.wait, EXIT_TIMEOUT_S)
         if client is not None:
             await client.close()
 
-    async def strike(self, step: Step) -> None:
+    async def inject(self, step: Step) -> None:
         """Carries out a step of a fault schedule."""
-        await self._fault_injector.strike(step)
+        await self._fault_injector.inject(step)
 
-    # --- asking
+    # --- queries
 
     async def stats(self, one: FleetProcess) -> dict[str, int]:
         """The metrics of a director's admin endpoint; empty if it does not reply."""
-        with contextlib.suppress(*ASK_ERRORS):
-            text = (await fetch("127.0.0.1", one.admin_port, "GET", "/stats", within_s=ASK_S)).decode()
+        with contextlib.suppress(*QUERY_ERRORS):
+            text = (
+                await fetch("127.0.0.1", one.admin_port, "GET", "/stats", within_s=QUERY_TIMEOUT_S)
+            ).decode()
             pairs = (line.removeprefix("director.").partition("=") for line in text.splitlines())
             return {name: int(value) for name, _, value in pairs}
         return {}
 
     async def status(self, one: FleetProcess) -> dict[str, Any]:
         """The status of a control server; empty if it does not reply."""
-        with contextlib.suppress(*ASK_ERRORS):
-            status: dict[str, Any] = json.loads(await self._ask_control_server(one, "/status"))
+        with contextlib.suppress(*QUERY_ERRORS):
+            status: dict[str, Any] = json.loads(await self._query_control_server(one, "/status"))
             return status
         return {}
 
     async def active_purges(self, one: FleetProcess) -> set[PurgeName]:
         """The active purges of a control server; empty if it does not reply."""
-        with contextlib.suppress(*ASK_ERRORS):
-            purges = json.loads(await self._ask_control_server(one, "/purges"))
+        with contextlib.suppress(*QUERY_ERRORS):
+            purges = json.loads(await self._query_control_server(one, "/purges"))
             return {PurgeName(issuer, epoch, seq) for issuer, epoch, seq, *_ in purges}
         return set()
 
-    async def _ask_control_server(self, control_server: FleetProcess, target: str) -> bytes:
-        return await fetch("127.0.0.1", control_server.port, "GET", target, TOKEN, within_s=ASK_S)
+    async def _query_control_server(self, control_server: FleetProcess, target: str) -> bytes:
+        return await fetch("127.0.0.1", control_server.port, "GET", target, TOKEN, within_s=QUERY_TIMEOUT_S)
 
     async def close(self) -> None:
         """Kills all processes, closes the links and releases the ports."""
--- a/gladelane/lab/fleet/folders.py
+++ b/gladelane/lab/fleet/folders.py
@@ -25,31 +25,34 @@
     shutil.copytree(one.folder, copy, ignore=shutil.ignore_patterns("tmp", "LOCK"))
 
 
-def damage_folder(one: FleetProcess, how: str, control_servers: Sequence[FleetProcess]) -> None:
-    """Damages a folder. `how`: torn, empty, older (as saved) or swapped (with another control server's)."""
-    if how == "torn":
+def damage_folder(one: FleetProcess, damage: str, control_servers: Sequence[FleetProcess]) -> None:
+    """Damages a folder.
+
+    `damage`: torn, empty, older (as saved) or swapped (with that of another control server).
+    """
+    if damage == "torn":
         for path in one.folder.rglob("*.log"):
             os.truncate(path, max(path.stat().st_size - TORN_BYTES, 0))
         return
     source = one
-    if how == "swapped":
+    if damage == "swapped":
         source = next(other for other in control_servers if other is not one)
     shutil.rmtree(one.folder)
     one.folder.mkdir()
     saved = _saved_folder(one)
-    if how == "older" and saved.exists():
+    if damage == "older" and saved.exists():
         shutil.copytree(saved, one.folder, dirs_exist_ok=True)
-    elif how == "swapped":
-        left_out = shutil.ignore_patterns("LOCK")
-        shutil.copytree(source.folder, one.folder, dirs_exist_ok=True, ignore=left_out)
+    elif damage == "swapped":
+        ignored = shutil.ignore_patterns("LOCK")
+        shutil.copytree(source.folder, one.folder, dirs_exist_ok=True, ignore=ignored)
 
 
-def limit_file_size(one: FleetProcess, most_bytes: int) -> bool:
+def limit_file_size(one: FleetProcess, max_bytes: int) -> bool:
     """Simulates a full disk by a limit on the size of files, which applies to root as well.
 
     Returns whether there was a running process.
     """
     if one.process is None or one.process.poll() is not None:
         return False
-    resource.prlimit(one.process.pid, resource.RLIMIT_FSIZE, (most_bytes, NO_LIMIT))
+    resource.prlimit(one.process.pid, resource.RLIMIT_FSIZE, (max_bytes, NO_LIMIT))
     return True
--- a/gladelane/lab/fleet/process.py
+++ b/gladelane/lab/fleet/process.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from .client_pool import Pool
+from .client_pool import ClientPool
 
 NOTICED_MS = 300.0  # until clients notice that a process ended, or until a resumed one has caught up
 
@@ -40,7 +40,7 @@
     up: bool = False
     has_former_folder: bool = True
     starts: int = 0
-    client: Pool | None = None
+    client: ClientPool | None = None
     admin_port: int = 0
     failed: list[str] = field(default_factory=list)
     spawning: asyncio.Lock = field(default_factory=asyncio.Lock)
@@ -67,12 +67,12 @@
         self.stopped = None
 
     def begin_unresponsive_period(self, until_ms: float = math.inf) -> None:
-        """From now on pending requests may get no reply, or a late one."""
+        """Records that from now on pending requests may get no reply, or a late one."""
         now_ms = time.time() * 1000.0
         self.unresponsive_periods.append(UnresponsivePeriod(now_ms, max(until_ms, now_ms + NOTICED_MS)))
 
     def end_unresponsive_period(self) -> None:
-        """The process runs again, and has some time to catch up."""
+        """Records that the process runs again; it gets NOTICED_MS to catch up."""
         for period in self.unresponsive_periods:
             period.end_ms = min(period.end_ms, time.time() * 1000.0 + NOTICED_MS)
 
--- a/gladelane/lab/fleet/relay.py
+++ b/gladelane/lab/fleet/relay.py
@@ -30,10 +30,10 @@
     HALFWAY = "halfway"  # connections are reset in the middle of a reply
 
 
-class Reported(NamedTuple):
+class ForwardedReport(NamedTuple):
     """A report to the audit that was forwarded with its reply. Unix ms; `stage`: that of the verdict."""
 
-    asked_ms: float
+    requested_ms: float
     answered_ms: float
     stage: int
 
@@ -42,15 +42,15 @@
     """Accepts connections of the near end and forwards them to the port of the far end."""
 
     def __init__(self, port: int) -> None:
-        self.far = port
+        self.far_port = port
         self.port = 0
         self.state = State.OPEN
-        self.cut_short = 0
-        self.reported: list[Reported] = []  # as seen here, independent of what both ends record
+        self.truncated_replies = 0
+        self.reports: list[ForwardedReport] = []  # as seen here, independent of what both ends record
         self.report_bytes = 0
         self._server: asyncio.Server | None = None
         self._open: dict[asyncio.Task[None], tuple[asyncio.StreamWriter, asyncio.StreamWriter]] = {}
-        self._healed = asyncio.Event()
+        self._opened = asyncio.Event()
 
     async def start(self) -> int:
         """Starts to listen; returns the port. Raises OSError."""
@@ -66,8 +66,8 @@
                 reset(near)
                 reset(far)
         if state is State.OPEN:
-            self._healed.set()
-            self._healed = asyncio.Event()
+            self._opened.set()
+            self._opened = asyncio.Event()
 
     async def close(self) -> None:
         """Stops listening and closes all connections."""
@@ -82,26 +82,26 @@
             reset(writer)
             return
         try:
-            far_reader, far = await asyncio.open_connection("127.0.0.1", self.far)
+            far_reader, far = await asyncio.open_connection("127.0.0.1", self.far_port)
         except OSError:
             reset(writer)
             return
         task = asyncio.current_task()
         assert task is not None
         self._open[task] = writer, far
-        watch = _Watch(self)
+        detector = _ReportDetector(self)
         try:
-            ways = [
-                asyncio.ensure_future(self._pass(reader, far, False, watch)),
-                asyncio.ensure_future(self._pass(far_reader, writer, True, watch)),
+            directions = [
+                asyncio.ensure_future(self._forward(reader, far, False, detector)),
+                asyncio.ensure_future(self._forward(far_reader, writer, True, detector)),
             ]
             try:
-                await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
                 await asyncio.sleep(0)
             finally:
-                for way in ways:
-                    way.cancel()
-                await asyncio.gather(*ways, return_exceptions=True)
+                for direction in directions:
+                    direction.cancel()
+                await asyncio.gather(*directions, return_exceptions=True)
         except asyncio.CancelledError:  # the relay is closed; asyncio would log the exception
             pass
         finally:
@@ -110,53 +110,57 @@
                 with suppress(OSError):
                     one.close()
 
-    async def _pass(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, back: bool, watch: _Watch
+    async def _forward(
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        is_reply: bool,
+        detector: _ReportDetector,
     ) -> None:
-        passed = 0
+        forwarded_bytes = 0
         with suppress(OSError):
             while data := await reader.read(READ_BYTES):
                 while self.state is State.SILENT or self.state is (
-                    State.REPLIES_BLOCKED if back else State.REQUESTS_BLOCKED
+                    State.REPLIES_BLOCKED if is_reply else State.REQUESTS_BLOCKED
                 ):
-                    await self._healed.wait()
+                    await self._opened.wait()
                 if self.state is State.SLOW:
                     await asyncio.sleep(SLOW_S)
-                if back and self.state is State.HALFWAY:
-                    left = max(HALFWAY_BYTES - passed, 1)
-                    if len(data) > left or passed >= HALFWAY_BYTES:
-                        writer.write(data[:left])
+                if is_reply and self.state is State.HALFWAY:
+                    remaining_bytes = max(HALFWAY_BYTES - forwarded_bytes, 1)
+                    if len(data) > remaining_bytes or forwarded_bytes >= HALFWAY_BYTES:
+                        writer.write(data[:remaining_bytes])
                         await writer.drain()
-                        self.cut_short += 1
+                        self.truncated_replies += 1
                         reset(writer)
                         return
-                passed += len(data)
-                watch.passes(data, back)
+                forwarded_bytes += len(data)
+                detector.observe(data, is_reply)
                 writer.write(data)
                 await writer.drain()
 
 
-class _Watch:
+class _ReportDetector:
     """Detects in the bytes of a connection a report to the audit and its reply."""
 
     def __init__(self, relay: Relay) -> None:
         self._relay = relay
-        self._asked_ms = 0.0
-        self._said = b""
+        self._requested_ms = 0.0
+        self._reply = b""
 
-    def passes(self, data: bytes, back: bool) -> None:
+    def observe(self, data: bytes, is_reply: bool) -> None:
         now = time.time() * 1000.0
-        if not back:
-            if not self._asked_ms and data.startswith(REPORT):
-                self._asked_ms = now
-            if self._asked_ms:
+        if not is_reply:
+            if not self._requested_ms and data.startswith(REPORT):
+                self._requested_ms = now
+            if self._requested_ms:
                 self._relay.report_bytes += len(data)
-        elif self._asked_ms:
-            self._said += data
-            if self._said.endswith(b"}") and b"200 OK" in self._said:
-                found = STAGE.search(self._said)
+        elif self._requested_ms:
+            self._reply += data
+            if self._reply.endswith(b"}") and b"200 OK" in self._reply:
+                found = STAGE.search(self._reply)
                 stage = int(found[1]) if found else 0
-                self._relay.reported.append(Reported(self._asked_ms, now, stage))
+                self._relay.reports.append(ForwardedReport(self._requested_ms, now, stage))
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
--- a/gladelane/lab/fleet/replicated.py
+++ b/gladelane/lab/fleet/report_positions.py
@@ -16,18 +16,21 @@
     """The positions of a control server; None if it does not reply."""
     try:
         answer = await fetch("127.0.0.1", control_server.port, "GET", "/fleet/marks", TOKEN)
-        return {(director, start): upto for director, start, upto in json.loads(answer).get("marks", [])}
+        return {
+            (director, start): last_number
+            for director, start, last_number in json.loads(answer).get("marks", [])
+        }
     except (OSError, HttpStatusError, TimeoutError):
         return None
 
 
-def reach(positions: Positions | None, wanted: Iterable[Positions | None]) -> bool:
+def has_reached(positions: Positions | None, required: Iterable[Positions | None]) -> bool:
     """Whether a control server has everything that others had; those without a reply are None."""
     if positions is None:
         return False
     return all(
-        positions.get(run_id, -1) >= upto
-        for others in wanted
+        positions.get(run_id, -1) >= last_number
+        for others in required
         if others is not None
-        for run_id, upto in others.items()
+        for run_id, last_number in others.items()
     )
--- a/gladelane/lab/fleet/rules.py
+++ b/gladelane/lab/fleet/run_checks.py
@@ -18,10 +18,10 @@
 from ...purges.scope import Scope
 
 SLACK_MS = 5.0  # dates are rounded to ms
-DOWN_SLACK_S = 0.05  # between the scheduled time of a step and its execution
+DOWN_SLACK_S = 0.05  # between the scheduled time of a step and its recorded execution
 
 
-class Made(NamedTuple):
+class ObservedReply(NamedTuple):
     """A successful reply. Times are Unix ms."""
 
     cls: str
@@ -34,7 +34,7 @@
     answered_ms: float = 0.0
 
 
-class Sent(NamedTuple):
+class ObservedAttempt(NamedTuple):
     """An attempt as a fake server received it. Unix ms."""
 
     director: str
@@ -44,7 +44,7 @@
     cls: str
 
 
-class Purged(NamedTuple):
+class AcknowledgedPurge(NamedTuple):
     """A purge that was acknowledged: its time, and when its sender had the reply.
 
     `dated_ms`: the date that its control server assigned, which may be a little late, and which orders carry.
@@ -67,32 +67,34 @@
     seq: int
 
 
-def name_of(purge: Purged) -> PurgeName:
+def purge_name(purge: AcknowledgedPurge) -> PurgeName:
     """The identifier of a purge."""
     return PurgeName(purge.issuer, purge.epoch, purge.seq)
 
 
-def of_earlier_starts(purges: list[Purged], latest: Mapping[str, int]) -> set[PurgeName]:
+def purges_of_earlier_starts(purges: list[AcknowledgedPurge], latest: Mapping[str, int]) -> set[PurgeName]:
     """Acknowledged purges that were issued in an earlier start of their control server.
 
     A control server with an empty folder can have them from others only. `latest`: the present epoch of
     each issuer.
     """
-    return {name_of(purge) for purge in purges if purge.epoch < latest.get(purge.issuer, 0)}
+    return {purge_name(purge) for purge in purges if purge.epoch < latest.get(purge.issuer, 0)}
 
 
-class Ran(NamedTuple):
+class KeyedRequest(NamedTuple):
     """A request with an idempotency key, as a server received it."""
 
     key: str
     at_ms: float
 
 
-def stale(made: list[Made], purges: list[Purged], delay_ms: float) -> list[Made]:
+def find_stale_replies(
+    replies: list[ObservedReply], purges: list[AcknowledgedPurge], delay_ms: float
+) -> list[ObservedReply]:
     """Replies from a copy older than a purge, to requests later than its acknowledgement plus the delay."""
     index, place, found = Index(), 0, []
     ordered = sorted(purges, key=lambda purge: max(purge.at_ms, purge.answered_ms))
-    for answer in sorted(made, key=lambda answer: answer.sent_ms):
+    for answer in sorted(replies, key=lambda answer: answer.sent_ms):
         while place < len(ordered):
             purge = ordered[place]
             if max(purge.at_ms, purge.answered_ms) + delay_ms > answer.sent_ms:
@@ -105,32 +107,34 @@
     return found
 
 
-def doubles(ran: list[Ran], window_ms: float, slack_ms: float = 20.0) -> list[str]:
-    """Keys that were executed again after their window, when the server no longer detects the repeat."""
+def find_late_duplicates(
+    keyed_requests: list[KeyedRequest], window_ms: float, slack_ms: float = 20.0
+) -> list[str]:
+    """Keys that were executed again after their window, when the server no longer detects the duplicate."""
     first: dict[str, float] = {}
     found = []
-    for one in sorted(ran, key=lambda one: one.at_ms):
+    for one in sorted(keyed_requests, key=lambda one: one.at_ms):
         if one.at_ms - first.setdefault(one.key, one.at_ms) > window_ms + slack_ms:
             found.append(one.key)
     return found
 
 
-def busiest(times: list[float], start: float, end: float) -> int:
+def max_per_second(times: list[float], start: float, end: float) -> int:
     """The largest number of times in any second between start and end."""
     return max(Counter(int(at - start) for at in times if start <= at < end).values(), default=0)
 
 
-def back_after(ups: list[float], downs: list[float], struck: float, until: float) -> float:
+def time_back(ups: list[float], downs: list[float], fault_s: float, until: float) -> float:
     """When a process replies again after a fault, in seconds.
 
     - `ups`: when it started or was resumed; the last one that followed from the fault counts.
     - `downs`: when it was ended or stopped.
 
-    Returns `struck` if the process was not down because of the fault, and infinity if it did not come back.
+    Returns `fault_s` if the process was not down because of the fault, and infinity if it did not come back.
     """
-    last_down = max((moment for moment in downs if struck - DOWN_SLACK_S <= moment < until), default=None)
+    last_down = max((moment for moment in downs if fault_s - DOWN_SLACK_S <= moment < until), default=None)
     if last_down is None:
-        return struck
+        return fault_s
     return max((moment for moment in ups if last_down <= moment < until), default=math.inf)
 
 
@@ -164,7 +168,7 @@
         """Records that a request was answered in time."""
         self._earned.append((due_s, weight))
 
-    def full_after(self, fault: float, before: tuple[float, float], until: float) -> float:
+    def seconds_until_full(self, fault: float, before: tuple[float, float], until: float) -> float:
         """Seconds from a fault until at least 95 % of the earlier share is reached for PERIOD_S.
 
         Infinity if this does not happen before `until`.
--- a/gladelane/lab/fleet/shape.py
+++ b/gladelane/lab/fleet/shape.py
@@ -10,7 +10,7 @@
     """The configuration of a fleet.
 
     - `lost`: how strict classes treat copies from before a loss of purges.
-    - `control_server_clocks`: the steps of the wall clock of each control server (see `stepped`).
+    - `control_server_clocks`: the steps of the wall clock of each control server (see `clock_steps`).
     """
 
     directors: int = 12
--- a/gladelane/lab/fleet/world.py
+++ b/gladelane/lab/fleet/world.py
@@ -17,13 +17,13 @@
 from ..fake_discovery import FakeDiscovery
 from ..fake_server import FakeServer, Fault, Said, Seen
 from .ports import release_port, reserve_port
-from .rules import Ran
+from .run_checks import KeyedRequest
 
 OBJECTS, GROUPS = 300, 16
 CACHES = 4
 ORIGIN_S, HUB_S, CACHE_S = 0.002, 0.004, 0.002
-CACHE_MOST, HUB_MOST = 400, 400  # concurrent requests that overload a server
-ORIGIN_PER_S = 900.0  # its capacity per second
+MAX_CACHE_CONCURRENCY, MAX_HUB_CONCURRENCY = 400, 400  # concurrent requests that overload a server
+ORIGIN_CAPACITY_PER_S = 900.0  # requests per second
 
 
 def object_id(number: int) -> str:
@@ -53,16 +53,16 @@
         self.started: dict[str, float] = dict.fromkeys(self.stores, 0.0)
         self.lifecycle: dict[str, str] = dict.fromkeys(self.stores, "in_service")
         self.saved: dict[str, dict[PartKey, float]] = {}
-        self.ran: list[Ran] = []
-        self.at_once: Counter[str] = Counter()
-        self.most_at_once: Counter[str] = Counter()
+        self.keyed_requests: list[KeyedRequest] = []
+        self.concurrent: Counter[str] = Counter()
+        self.max_concurrent: Counter[str] = Counter()
         self.drained_ms: dict[str, float] = {}
-        self.after_drain = 0  # requests to a draining cache later than the second that directors may take
+        self.after_drain = 0  # requests to a draining cache after the second that directors have to react
         self.discovery_port = 0
         self.orders: list[tuple[str, float, str]] = []  # purge orders: server, time, order
-        self.watch: Callable[[str, Seen], None] = lambda _name, _seen: None  # called for each attempt
-        self._late: list[dict[str, Any]] = []
-        self._holding = False
+        self.on_attempt: Callable[[str, Seen], None] = lambda _name, _seen: None  # called for each attempt
+        self._delayed_events: list[dict[str, Any]] = []
+        self._is_holding_back = False
         self._ports: list[int] = []
 
     async def start(self) -> None:
@@ -73,7 +73,7 @@
             self.fake_servers[name] = fake_server
             store.groups = groups
             fake_server.drop = partial(self._drop, name)
-            port = reserve_port(Random())  # not of the run's seed: runs beside this one may have the same
+            port = reserve_port(Random())  # not from the seed of the run, which concurrent runs may share
             self._ports.append(port)
             self.addresses[name] = await fake_server.listen(Family.V4, port=port)
         self.discovery_port = int((await self.discovery.start()).rpartition(":")[2])
@@ -108,65 +108,65 @@
     def _answer(self, name: str, seen: Seen) -> Said | Awaitable[Said]:
         if name in self.drained_ms and now_ms() > self.drained_ms[name] + 1000.0:
             self.after_drain += 1
-        self.watch(name, seen)
+        self.on_attempt(name, seen)
         key = seen.fields.get("replay")
         if key:
-            self.ran.append(Ran(key, now_ms()))
+            self.keyed_requests.append(KeyedRequest(key, now_ms()))
             return "served digest=d,dated=0,remark=h", b"\x00"
         return self._answer_counted(name, seen)
 
     async def _answer_counted(self, name: str, seen: Seen) -> Said:
-        self.at_once[name] += 1
-        self.most_at_once[name] = max(self.most_at_once[name], self.at_once[name])
+        self.concurrent[name] += 1
+        self.max_concurrent[name] = max(self.max_concurrent[name], self.concurrent[name])
         try:
             return await self.stores[name].answer(seen)
         finally:
-            self.at_once[name] -= 1
+            self.concurrent[name] -= 1
 
     # --- changes
 
-    def tell(self, name: str) -> None:
+    def publish_state(self, name: str) -> None:
         """Publishes the present state of a server; delayed while watch events are held back."""
         watch_event = {"pool": {"instances": [self.instance(name)]}}
-        if self._holding:
-            self._late.append(watch_event)
+        if self._is_holding_back:
+            self._delayed_events.append(watch_event)
         else:
             self.discovery.tell(watch_event)
 
-    def hold_discovery(self, on: bool) -> None:
+    def hold_discovery(self, is_held: bool) -> None:
         """Holds watch events back, or publishes those that were held back."""
-        self._holding = on
-        if not on:
-            late, self._late = self._late, []
-            for watch_event in late:
+        self._is_holding_back = is_held
+        if not is_held:
+            delayed_events, self._delayed_events = self._delayed_events, []
+            for watch_event in delayed_events:
                 self.discovery.tell(watch_event)
 
-    def drain(self, name: str, out: bool) -> None:
+    def drain(self, name: str, is_draining: bool) -> None:
         """Publishes that a server is draining, or in service again."""
-        self.lifecycle[name] = "terminating" if out else "in_service"
-        if out and not self._holding:
+        self.lifecycle[name] = "terminating" if is_draining else "in_service"
+        if is_draining and not self._is_holding_back:
             self.drained_ms[name] = now_ms()
-        elif not out:
+        elif not is_draining:
             self.drained_ms.pop(name, None)
-        self.tell(name)
+        self.publish_state(name)
 
-    async def renew(self, name: str) -> None:
+    async def simulate_restart(self, name: str) -> None:
         """Simulates a restart of a server, with the saved copies or none."""
         fake_server, address = self.fake_servers[name], self.addresses[name]
         await fake_server.set(address, Fault.REFUSED)
         self.lifecycle[name] = "terminated"
-        self.tell(name)
+        self.publish_state(name)
         await asyncio.sleep(0.3)
         self.stores[name].copies = dict(self.saved.get(name, {}))
         await fake_server.set(address, Fault.NONE)
         self.lifecycle[name], self.started[name] = "in_service", now_ms()
-        self.tell(name)
+        self.publish_state(name)
 
-    def pushed_over(self, per_s: int) -> list[str]:
-        """The servers that were overloaded. `per_s`: the most requests to the origin in a second."""
-        most = dict.fromkeys(self.stores, CACHE_MOST) | {"depot": HUB_MOST}
-        pushed = [name for name, count in self.most_at_once.items() if count > most[name]]
-        return pushed + (["bank"] if per_s > ORIGIN_PER_S else [])
+    def overloaded_servers(self, per_s: int) -> list[str]:
+        """The servers that were overloaded. `per_s`: the peak of requests to the origin per second."""
+        limits = dict.fromkeys(self.stores, MAX_CACHE_CONCURRENCY) | {"depot": MAX_HUB_CONCURRENCY}
+        overloaded = [name for name, count in self.max_concurrent.items() if count > limits[name]]
+        return overloaded + (["bank"] if per_s > ORIGIN_CAPACITY_PER_S else [])
 
     async def close(self) -> None:
         """Stops all servers."""
--- a/tests/fleet/test_audit.py
+++ b/tests/fleet/test_audit.py
@@ -1,5 +1,5 @@
 """The audit of fleets of real processes under faults. Its results are compared to independent observations of
-fake servers, links and the discovery server (`lab/fleet/audited.py`)."""
+fake servers, links and the discovery server (`lab/fleet/audit_comparison.py`)."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 import pytest
 import uvloop
 from harness import Cache, Command, config, running, trial, until
-from test_coming_back import fleet_of, said, struck
+from test_fleet_recovery import fleet_of, inject_faults, run_command
 
 from benchmarks.comeback.first_restart import time_imports
 from gladelane.audit.activity_log import ActivityLog
@@ -29,7 +29,7 @@
 from gladelane.audit.view import View, view_id
 from gladelane.audit.wire import Report, ReportReply
 from gladelane.control_plane.http import HttpStatusError, fetch
-from gladelane.lab.fleet.audited import asked, play_audited
+from gladelane.lab.fleet.audit_comparison import query_control_server, run_with_audit
 from gladelane.lab.fleet.fleet import TOKEN, Fleet
 from gladelane.lab.fleet.load import Load
 from gladelane.lab.fleet.ports import reserve_port
@@ -89,7 +89,7 @@
 
 
 async def play_fleet(timeline: str, seconds: float, purges: int, collect: Any, shape: dict[str, Any]) -> Any:
-    return await play_audited(timeline, Shape(**shape), 3, seconds, purges=purges, look=collect)
+    return await run_with_audit(timeline, Shape(**shape), 3, seconds, purges=purges, collect_metrics=collect)
 
 
 async def director_stats(fleet: Fleet, load: Load) -> dict[str, Any]:
@@ -252,12 +252,12 @@
 
 
 async def stage_of(fleet: Fleet, director: str, number: int = 0) -> str:
-    answer = await asked(fleet, number, f"/fleet/explain?director={director}")
+    answer = await query_control_server(fleet, number, f"/fleet/explain?director={director}")
     return str(answer["explained"]["stage"])
 
 
 async def views_by_director(fleet: Fleet) -> dict[str, dict[str, Any]]:
-    answer = await asked(fleet, 0, "/fleet/versions")
+    answer = await query_control_server(fleet, 0, "/fleet/versions")
     return {row["director"]: answer["views"][row["view"]] for row in answer["rows"]}
 
 
@@ -303,7 +303,7 @@
             fleet.program |= {f"director-{n}": newer_program for n in range(2, 6)}
             limits = json.loads((ROOT / "example" / "config.json").read_text())["settings"]["limits"]
             fleet.settings["director-5"] = {"limits": {**limits, "max_attempts": 3}}
-            await struck(fleet, "0 term directors:2-5")
+            await inject_faults(fleet, "0 term directors:2-5")
 
             async def programs() -> dict[str, str]:
                 return {name: view["program"] for name, view in (await views_by_director(fleet)).items()}
@@ -318,13 +318,13 @@
                 and old_view["program"] == new_programs["director-0"]
             )
             assert new_programs["director-2"] != old_view["program"]
-            code, text = await said("fleet", "stragglers", *server_options)
+            code, text = await run_command("fleet", "stragglers", *server_options)
             assert code == 0, "a rollout is no fault until an operator decides which version is expected"
             await expect_digests(fleet, "settings", old_view["settings"])
             restarts, stage_by_director = 0, dict[str, str]()
             while restarts < 5 or (restarts < MAX_RESTARTS and stage_by_director != {"director-5": "out"}):
                 restarts += 1
-                await struck(fleet, "0 kill directors:5")
+                await inject_faults(fleet, "0 kill directors:5")
                 await asyncio.sleep(0.8)
                 stage_by_director = await stages()
             assert stage_by_director == {
@@ -338,28 +338,30 @@
                 set(stage_by_name) == lagging
                 and len([s for s in stage_by_name.values() if s != "again"]) <= 3
             ), stage_by_name
-            code, text = await said("fleet", "stragglers", *server_options)
+            code, text = await run_command("fleet", "stragglers", *server_options)
             assert code == 1 and "settings" in text and "program" in text
-            code, text = await said("fleet", "explain", "director-5", *server_options)
+            code, text = await run_command("fleet", "explain", "director-5", *server_options)
             assert code == 0 and "lacks settings" in text and "ladder: lag" in text
-            code, text = await said("fleet", "versions", *server_options)
+            code, text = await run_command("fleet", "versions", *server_options)
             assert code == 0 and f"{old_view['settings']} at 5" in text and "expected program" in text
-            code, text = await said("fleet", "audit", "--director", "director-5", "--json", *server_options)
+            code, text = await run_command(
+                "fleet", "audit", "--director", "director-5", "--json", *server_options
+            )
             rows = json.loads(text)["rows"]
             assert len({row["start"] for row in rows}) >= 7 and {"acted", "unknown"} <= {
                 row["known"] for row in rows
             }
-            code, text = await said("fleet", "audit", "--at", "now", *server_options)
+            code, text = await run_command("fleet", "audit", "--at", "now", *server_options)
             assert code == 0 and all(f"director-{n}" in text for n in range(6))
-            assert (await said("fleet", "verify", *server_options))[0] == 0
-            assert (await said("fleet", "audit", *server_options))[0] == 1 and (
-                await said("fleet", "explain", "nobody", *server_options)
+            assert (await run_command("fleet", "verify", *server_options))[0] == 0
+            assert (await run_command("fleet", "audit", *server_options))[0] == 1 and (
+                await run_command("fleet", "explain", "nobody", *server_options)
             )[0] == 1
-            code, text = await said("fleet", "expect", "settings", *server_options)
+            code, text = await run_command("fleet", "expect", "settings", *server_options)
             assert code == 0 and "settings: any" in text
             await expect_digests(fleet, "program")
             code, text = await read_until(
-                lambda: said("fleet", "stragglers", *server_options), lambda found: not found[0]
+                lambda: run_command("fleet", "stragglers", *server_options), lambda found: not found[0]
             )
             assert code == 0, text
 
@@ -398,27 +400,29 @@
                 return lambda found: any(text in line for line in found["lacks"])
 
             isolated = await read_until(
-                lambda: asked(fleet, 1, "/fleet/versions"), lacks_line("is not heard")
+                lambda: query_control_server(fleet, 1, "/fleet/versions"), lacks_line("is not heard")
             )
             assert lacks_line("is not heard")(isolated), isolated["lacks"]
             for number in (0, 1):
-                assert (await asked(fleet, number, "/fleet/stragglers"))["held_back"] == 0
+                assert (await query_control_server(fleet, number, "/fleet/stragglers"))["held_back"] == 0
             for relay in cut_links:
                 relay.set(State.OPEN)
             await asyncio.sleep(8.5)  # for reconnected control servers to find the contradictions
             two_processes = "director director-0: two processes have this name"
-            answer = await read_until(lambda: asked(fleet, 0, "/fleet/versions"), lacks_line(two_processes))
+            answer = await read_until(
+                lambda: query_control_server(fleet, 0, "/fleet/versions"), lacks_line(two_processes)
+            )
             assert two_processes in answer["lacks"], answer["lacks"]
 
             async def starts_that_acted() -> set[int]:
-                rows = (await asked(fleet, 0, "/fleet/audit?director=director-0"))["rows"]
+                rows = (await query_control_server(fleet, 0, "/fleet/audit?director=director-0"))["rows"]
                 return {row["start"] for row in rows if row["known"] == "acted"}
 
             starts = await read_until(starts_that_acted, lambda found: len(found) >= 2)
             assert len(starts) >= 2, starts
             assert [
                 inconsistency
-                for inconsistency in (await asked(fleet, 0, "/fleet/verify"))["wrong"]
+                for inconsistency in (await query_control_server(fleet, 0, "/fleet/verify"))["wrong"]
                 if inconsistency["what"] != "missing"
             ] == []
 
@@ -459,7 +463,7 @@
                 )
                 if rng.random() < 0.1:  # between storing and replying, or a little before or after
                     await asyncio.sleep(rng.uniform(0.0, 0.004))
-                    await struck(fleet, f"0 kill feeds:{fleet.control_servers.index(server)}")
+                    await inject_faults(fleet, f"0 kill feeds:{fleet.control_servers.index(server)}")
                 try:
                     replies.append(msgspec.json.decode(await call, type=ReportReply))
                 except (OSError, HttpStatusError, TimeoutError):
@@ -468,7 +472,7 @@
             complete = [[log.director, 1, 40] for log in logs]
 
             async def marks_at(number: int) -> list[list[Any]]:
-                return sorted((await asked(fleet, number, "/fleet/marks")).get("marks", []))
+                return sorted((await query_control_server(fleet, number, "/fleet/marks")).get("marks", []))
 
             for number in (0, 1):
                 marks = await read_until(
@@ -476,8 +480,8 @@
                     lambda found: found == complete,
                 )
                 assert marks == complete, marks
-                assert (await asked(fleet, number, "/fleet/verify"))["wrong"] == []
-                rows = (await asked(fleet, number, "/fleet/audit?director=d3"))["rows"]
+                assert (await query_control_server(fleet, number, "/fleet/verify"))["wrong"] == []
+                rows = (await query_control_server(fleet, number, "/fleet/audit?director=d3"))["rows"]
                 assert sum(row["counts"]["film"][0] for row in rows if row["known"] == "acted") == 40
             assert fleet.counts["kills"] > 3
 
@@ -571,7 +575,7 @@
             await until(lambda: count_leases() == 200, WAIT_S)
             recovery_s = time.monotonic() - restarted
             import_s = max(import_before_s, await asyncio.to_thread(time_imports, 2))
-            rows = (await asked(fleet, 0, "/fleet/versions"))["rows"]
+            rows = (await query_control_server(fleet, 0, "/fleet/versions"))["rows"]
             assert len(rows) == 200 and recovery_s < recovery_limit_s(import_s), (
                 recovery_s,
                 restarted - restart_started,
@@ -592,7 +596,7 @@
                 "--tokens",
                 str(tmp_path / "tokens"),
             ]
-            code, text = await said(
+            code, text = await run_command(
                 "fleet", command, *(["--at", "now"] if command == "audit" else []), *server_options
             )
             assert code == 1 and "404" in text
@@ -609,10 +613,10 @@
             fleet.changes["director-0"] = {"purges": operator_file["purges"]}
 
             async def starts_reported() -> list[int]:
-                rows = (await asked(fleet, 0, "/fleet/audit?director=director-0"))["rows"]
+                rows = (await query_control_server(fleet, 0, "/fleet/audit?director=director-0"))["rows"]
                 return sorted({row["start"] for row in rows})
 
-            await struck(fleet, "0 term directors:0")
+            await inject_faults(fleet, "0 term directors:0")
             command, env = fleet.command(director)
             newer_config = json.loads((tmp_path / "director-0.json").read_text())
             newer_config["ops"] = f"127.0.0.1:{reserve_port(random.Random(9))}"
@@ -631,16 +635,17 @@
                 )
                 await asyncio.sleep(3.5)  # longer than a lease: the lease of the first process has expired
                 starts = await read_until(starts_reported, lambda found: len(found) == 3)
-                rows = (await asked(fleet, 0, "/fleet/audit?director=director-0"))["rows"]
+                rows = (await query_control_server(fleet, 0, "/fleet/audit?director=director-0"))["rows"]
                 assert len(starts) == 3, rows
                 last_of_second = [row["known"] for row in rows if row["start"] == starts[1]][-1]
                 assert last_of_second in ("acted", "not running"), rows
                 wrong = await read_until(
-                    lambda: asked(fleet, 0, "/fleet/verify"), lambda found: not found["wrong"]
+                    lambda: query_control_server(fleet, 0, "/fleet/verify"), lambda found: not found["wrong"]
                 )
                 assert wrong["wrong"] == []
                 lacks = await read_until(
-                    lambda: asked(fleet, 0, "/fleet/versions"), lambda found: not found["lacks"]
+                    lambda: query_control_server(fleet, 0, "/fleet/versions"),
+                    lambda found: not found["lacks"],
                 )
                 assert lacks["lacks"] == []
                 assert (
@@ -653,7 +658,9 @@
             since_ms = str(time.time() * 1000.0)
 
             async def last_of_third() -> list[str]:
-                rows = (await asked(fleet, 0, f"/fleet/audit?director=director-0&from={since_ms}"))["rows"]
+                rows = (
+                    await query_control_server(fleet, 0, f"/fleet/audit?director=director-0&from={since_ms}")
+                )["rows"]
                 return [row["known"] for row in rows if row["start"] == starts[2]][-1:]
 
             last = await read_until(last_of_third, lambda found: found == ["not running"])
--- a/tests/fleet/test_audit_pure.py
+++ b/tests/fleet/test_audit_pure.py
@@ -22,7 +22,7 @@
 from gladelane.audit.view import ALL_PARTS, Order, Part, View, compare, compare_part, relevant_parts, view_id
 from gladelane.audit.view_lease import MissingParts, Stage, Verdict, ViewLease
 from gladelane.audit.wire import ExpectedDigests, Report
-from gladelane.lab.fleet.altered_stores import caught, planted
+from gladelane.lab.fleet.altered_stores import altered_copies, has_inconsistency
 from gladelane.lab.view_leases import ESCALATION_PLANTS, LEASE_PLANTS, searched, searched_all
 
 views = st.builds(
@@ -230,9 +230,9 @@
         log.close_interval(make_view_id(turn), {"film": [turn, 0, 0]}, 10_000.0 + turn * 10.0)
     store = AuditStore()
     store.add(make_report(log))
-    altered = planted(store, random.Random(1))
-    assert len(altered) == 8 and not caught(store)
-    assert [name for name, altered_store in altered.items() if not caught(altered_store)] == []
+    altered = altered_copies(store, random.Random(1))
+    assert len(altered) == 8 and not has_inconsistency(store)
+    assert [name for name, altered_store in altered.items() if not has_inconsistency(altered_store)] == []
 
 
 def test_views_with_wrong_ids_and_intervals_later_than_their_report_are_found() -> None:
--- a/tests/fleet/test_comeback_measure.py
+++ b/tests/fleet/test_restart_measurement.py
@@ -1,5 +1,4 @@
-"""The measure of full service in `benchmarks.comeback`: the start of processes against imports at the same time, what
-comes after it in seconds."""
+"""How `benchmarks.comeback` judges a restart: its start relative to the time of imports, the rest in seconds."""
 
 from __future__ import annotations
 
@@ -21,7 +20,7 @@
 
 
 @dataclass
-class Life:
+class DirectorTimes:
     ups: list[float]
     downs: list[float] = field(default_factory=list)
 
@@ -29,54 +28,57 @@
 @pytest.mark.parametrize(
     "directors,start_s",
     [
-        ([Life([101.0, 106.0], [105.0]), Life([101.5, 107.25], [105.01])], 2.25),
-        ([Life([101.5]), Life([101.0, 106.0], [105.0])], 1.0),  # one was not struck
-        # the second fault, of another director too, is no part of the first restart
-        ([Life([101.0, 106.0, 119.0], [105.0, 117.0]), Life([101.5, 118.0], [117.0])], 1.0),
-        ([Life([101.5], [105.0]), Life([101.0, 106.0], [105.0])], math.inf),  # one never came back
+        ([DirectorTimes([101.0, 106.0], [105.0]), DirectorTimes([101.5, 107.25], [105.01])], 2.25),
+        ([DirectorTimes([101.5]), DirectorTimes([101.0, 106.0], [105.0])], 1.0),  # one had no fault
+        # a second fault, also of another director, does not belong to the first restart
+        ([DirectorTimes([101.0, 106.0, 119.0], [105.0, 117.0]), DirectorTimes([101.5, 118.0], [117.0])], 1.0),
+        (
+            [DirectorTimes([101.5], [105.0]), DirectorTimes([101.0, 106.0], [105.0])],
+            math.inf,
+        ),  # one did not come back
     ],
 )
-def test_the_first_restart_lasts_until_the_last_director_that_was_struck_answers(
-    directors: list[Life], start_s: float
+def test_first_restart_ends_when_the_last_affected_director_replies(
+    directors: list[DirectorTimes], start_s: float
 ) -> None:
     assert first_start_s(directors) == start_s
 
 
-def put_program(folder: Path, text: str) -> None:
-    """A program of which the package is empty and `__main__` is the text."""
+def write_program(folder: Path, text: str) -> None:
+    """Writes a package `gladelane` with this text as `__main__`."""
     package = folder / "gladelane"
     package.mkdir()
     (package / "__init__.py").touch()
     (package / "__main__.py").write_text(text)
 
 
-def test_imports_of_the_program_of_this_checkout_are_measured(
+def test_import_time_is_measured_for_the_program_of_this_checkout(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
     assert time_imports(1) > 0.0
-    put_program(tmp_path, "import time\ntime.sleep(0.5)\n")
+    write_program(tmp_path, "import time\ntime.sleep(0.5)\n")
     monkeypatch.setattr(first_restart, "ROOT", tmp_path)
     assert time_imports(1) >= 0.5
 
 
-def test_imports_that_fail_are_no_measure(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
-    put_program(tmp_path, "raise ImportError('planted')\n")
+def test_failed_imports_raise_an_error(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
+    write_program(tmp_path, "raise ImportError('planted')\n")
     monkeypatch.setattr(first_restart, "ROOT", tmp_path)
     with pytest.raises(RuntimeError, match="cannot be imported"):
         time_imports(1)
 
 
-@pytest.mark.parametrize("is_installed", [True, False])  # beside what this environment itself has installed
-def test_imports_of_a_program_that_is_not_of_this_checkout_are_no_measure(
+@pytest.mark.parametrize("is_installed", [True, False])  # in addition to what this environment has installed
+def test_imports_of_a_program_outside_this_checkout_raise_an_error(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path, is_installed: bool
 ) -> None:
     installed, checkout = tmp_path / "installed", tmp_path / "checkout"
     for folder in (installed, checkout):
         folder.mkdir()
     if is_installed:
-        put_program(installed, "")
+        write_program(installed, "")
     monkeypatch.setenv("PYTHONPATH", str(installed))
-    monkeypatch.setattr(first_restart, "ROOT", checkout)  # the program is not there
+    monkeypatch.setattr(first_restart, "ROOT", checkout)  # without the program
     with pytest.raises(RuntimeError, match="cannot be imported"):
         time_imports(1)
 
@@ -95,7 +97,7 @@
         (math.inf, math.nan, True),
     ],
 )
-def test_a_restart_is_late_where_its_start_or_what_follows_takes_too_long(
+def test_restart_is_late_if_its_start_or_the_time_after_it_is_too_long(
     import_s: float, start_share: float, after_s: float, is_late: bool
 ) -> None:
     limit_s = Restart(import_s, 0.0).start_limit_s
@@ -104,13 +106,13 @@
 
 
 @pytest.mark.parametrize("import_s", [0.1, 0.5, 0.74])
-def test_on_a_machine_at_rest_no_more_than_the_three_seconds_of_before_are_allowed(import_s: float) -> None:
+def test_limit_on_an_idle_machine_is_below_three_seconds(import_s: float) -> None:
     assert Restart(import_s, 0.0).start_limit_s + AFTER_START_S < 3.0
 
 
 @pytest.mark.parametrize("import_s", [0.3, 0.6, 1.4, 3.0])
-def test_a_start_that_is_delayed_on_purpose_counts_as_late(import_s: float) -> None:
-    undelayed_s = 1.6 * import_s  # as long as restarts were seen to take under load
+def test_deliberately_delayed_start_is_late(import_s: float) -> None:
+    undelayed_s = 1.6 * import_s  # as restarts take under load
     delay_s = max(DELAY_S, Restart(import_s, 0.0).start_limit_s)
     late = Restart(import_s, undelayed_s + delay_s)
     assert DelayedStart(delay_s, late.start_s, late).is_noticed
