--- a/gladelane/lab/fleet/audit_comparison.py
+++ b/gladelane/lab/fleet/audit_comparison.py
@@ -102,8 +102,8 @@
 
     def rows_near(director: str, at_ms: float, late_ms: float = 0.0) -> list[AuditRow]:
         candidates = rows.get(director, [])
-        place = bisect_right(start_times_ms.get(director, []), at_ms + MAX_OBSERVATION_DELAY_MS)
-        return rows_covering(candidates[max(place - 400, 0) : place], at_ms, late_ms)
+        end = bisect_right(start_times_ms.get(director, []), at_ms + MAX_OBSERVATION_DELAY_MS)
+        return rows_covering(candidates[max(end - 400, 0) : end], at_ms, late_ms)
 
     for attempt in attempts:
         if not attempt.director:
@@ -144,7 +144,7 @@
     replies: list[ObservedReply],
     purges: list[AcknowledgedPurge],
 ) -> list[str]:
-    """Replies from a copy older than a purge that every view under which it may have been sent had."""
+    """Replies from a copy older than a purge that was known to each view that may have applied."""
     found = []
     for reply in replies:
         candidates = rows_near(reply.director, reply.sent_ms)
@@ -185,15 +185,15 @@
     for director, at_ms in actions:
         reports = reports_by_director[director]
         earliest_ms = at_ms - load.stalls.max_delay_ms(at_ms)
-        place = bisect_right(reports, earliest_ms - EXPIRY_TOLERANCE_MS, key=lambda one: one.answered_ms)
-        since = reports[place : bisect_right(reports, at_ms, key=lambda one: one.answered_ms)]
-        granted = [one for one in reports[:place] if one.stage < Stage.QUARANTINED][-4:]
+        end = bisect_right(reports, earliest_ms - EXPIRY_TOLERANCE_MS, key=lambda one: one.answered_ms)
+        since = reports[end : bisect_right(reports, at_ms, key=lambda one: one.answered_ms)]
+        granted = [one for one in reports[:end] if one.stage < Stage.QUARANTINED][-4:]
         # a reply from shortly before the action may have been received before it
         granted += [one for one in since if one.stage < Stage.QUARANTINED]
         has_lease = any(earliest_ms <= one.requested_ms + lease_ms + EXPIRY_TOLERANCE_MS for one in granted)
         is_quarantined = (
-            place
-            and reports[place - 1].stage >= Stage.QUARANTINED
+            end
+            and reports[end - 1].stage >= Stage.QUARANTINED
             and not any(one.stage < Stage.QUARANTINED for one in since)
         )
         violation_count += not has_lease or bool(is_quarantined)
--- a/gladelane/lab/fleet/cold.py
+++ b/gladelane/lab/fleet/cold.py
@@ -53,7 +53,7 @@
 
     @property
     def work_ms(self) -> float:
-        """The work of a request."""
+        """The work of one request."""
         return SERVER_WEIGHT * COLD_FROM * BUDGET_MULTIPLE * self.window_ms / self.requests
 
 
@@ -128,33 +128,35 @@
         self.numbers = itertools.count(1)
         self.tasks: set[asyncio.Task[None]] = set()
 
-    async def request(self, one: FleetProcess) -> None:
-        number = next(self.numbers)
+    async def request(self, director: FleetProcess) -> None:
+        request_number = next(self.numbers)
         fields = {
             "c": CLASS,
-            "i": f"{number:016x}",
+            "i": f"{request_number:016x}",
             "d": "6000",
-            "o": object_id(number),
+            "o": object_id(request_number),
             "chunk": "0",
             "tag": "1",
             "m": f"{self.size_kb:.1f}",
         }
-        if one.client is not None:
-            await one.client.ask(fields, REQUEST_TIMEOUT_S)
+        if director.client is not None:
+            await director.client.ask(fields, REQUEST_TIMEOUT_S)
 
     async def request_from_all(self, each: int) -> None:
-        await asyncio.gather(*(self.request(one) for one in self.fleet.directors for _ in range(each)))
+        await asyncio.gather(
+            *(self.request(director) for director in self.fleet.directors for _ in range(each))
+        )
 
     async def flood(self) -> None:
         loop = asyncio.get_running_loop()
         due = loop.time()
         end = due + self.plan.flood_s
-        for one in itertools.cycle(self.fleet.directors):
+        for director in itertools.cycle(self.fleet.directors):
             due += 1.0 / self.plan.per_s / len(self.fleet.directors)
             if due >= end:
                 break
             await asyncio.sleep(max(due - loop.time(), 0.0))
-            task = asyncio.create_task(self.request(one))
+            task = asyncio.create_task(self.request(director))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         await asyncio.gather(*self.tasks)
@@ -170,14 +172,14 @@
     """A fleet with distinct random ports, also beside other runs."""
     while True:
         fleet = Fleet(folder, world, Shape(plan.directors, control_servers=0, warm=False), SystemRandom())
-        ports = {port for one in fleet.directors for port in (one.port, one.admin_port)}
+        ports = {port for director in fleet.directors for port in (director.port, director.admin_port)}
         if len(ports) == 2 * plan.directors:
             return fleet
 
 
-async def _wait_until_notified(fleet: Fleet, one: FleetProcess, listed: int) -> None:
+async def _wait_until_notified(fleet: Fleet, director: FleetProcess, listed: int) -> None:
     async with asyncio.timeout(NOTIFICATION_TIMEOUT_S):
-        while (await fleet.stats(one)).get("hosts_listed") != listed:
+        while (await fleet.stats(director)).get("hosts_listed") != listed:
             await asyncio.sleep(0.02)
 
 
@@ -189,21 +191,21 @@
     world = ColdWorld(plan.server)
     fleet = _fleet(folder, world, plan)
     fleet.seed = f"{seed:016x}"  # shared by all directors, whose random draws differ by their numbers
-    for one in fleet.directors:
-        fleet.settings[one.name] = settings_for(plan)
+    for director in fleet.directors:
+        fleet.settings[director.name] = settings_for(plan)
         if program is not None:
-            fleet.program[one.name] = program
+            fleet.program[director.name] = program
     try:
         await world.start()
         await fleet.start()
-        if failed := [one.name for one in fleet.directors if not one.up]:
+        if failed := [director.name for director in fleet.directors if not director.up]:
             raise RuntimeError(f"not started: {failed}")
         clients = _Clients(plan, fleet)
         for _ in range(WARM_UP_REQUESTS):
             await clients.request_from_all(1)
         listed = len(world.stores) + 1  # the spare instance shows that a director was notified
         ramp = Ramp(plan.requests, world.restart(), COLD_FROM, plan.warm_ms, plan.window_ms)
-        await asyncio.gather(*(_wait_until_notified(fleet, one, listed) for one in fleet.directors))
+        await asyncio.gather(*(_wait_until_notified(fleet, director, listed) for director in fleet.directors))
         await clients.request_from_all(1)
         await asyncio.sleep(plan.idle_s)
         await clients.request_from_all(plan.at_once)
--- a/gladelane/lab/fleet/fault_injector.py
+++ b/gladelane/lab/fleet/fault_injector.py
@@ -68,46 +68,46 @@
 
     def _stop_processes(self, step: Step) -> None:
         for target in step.targets:
-            one = self._fleet.process_of(target)
+            process = self._fleet.process_of(target)
             self._fleet.counts[signal.SIGSTOP.name] += 1
-            one.stop()
-            one.begin_unresponsive_period()
+            process.stop()
+            process.begin_unresponsive_period()
         self._later(step.duration_s, partial(self._resume_processes, step))
 
     def _resume_processes(self, step: Step) -> None:
         for target in step.targets:
-            one = self._fleet.process_of(target)
+            process = self._fleet.process_of(target)
             self._fleet.counts[signal.SIGCONT.name] += 1
-            one.resume()
-            one.end_unresponsive_period()
+            process.resume()
+            process.end_unresponsive_period()
 
-    async def _restart(self, one: FleetProcess, step: Step) -> None:
+    async def _restart(self, process: FleetProcess, step: Step) -> None:
         """Ends a process, damages its folder as the step says, and starts it again."""
         fleet = self._fleet
         signal_number = signal.SIGKILL if step.action == "kill" else signal.SIGTERM
         fleet.counts["kills"] += signal_number is signal.SIGKILL
-        await fleet.end(one, signal_number)
-        one.has_former_folder = step.mode in PRESERVING_MODES
+        await fleet.end(process, signal_number)
+        process.has_former_folder = step.mode in PRESERVING_MODES
         if step.duration_s:
             await asyncio.sleep(step.duration_s)
         if step.mode == "readonly":
-            await self._start_readonly(one)
+            await self._start_readonly(process)
         elif step.mode != "kept":
             fleet.counts["disk_faults"] += 1
-            await asyncio.to_thread(damage_folder, one, step.mode, fleet.control_servers)
-        await fleet.restart(one)
+            await asyncio.to_thread(damage_folder, process, step.mode, fleet.control_servers)
+        await fleet.restart(process)
 
     # --- disks
 
-    async def _start_readonly(self, one: FleetProcess) -> None:
+    async def _start_readonly(self, process: FleetProcess) -> None:
         """Starts a process whose lock file cannot be opened for writing, then removes the fault."""
-        lock = one.folder / "purges" / "LOCK"
+        lock = process.folder / "purges" / "LOCK"
         self._fleet.counts["disk_faults"] += 1
         lock.unlink(missing_ok=True)
         lock.mkdir(parents=True)
-        await self._fleet.restart(one)
-        if one.up:  # it started nevertheless; the next process finds the folder complete
-            await self._fleet.end(one, signal.SIGKILL)
+        await self._fleet.restart(process)
+        if process.up:  # it started nevertheless; the next process finds the folder complete
+            await self._fleet.end(process, signal.SIGKILL)
         lock.rmdir()
 
     def _fill_disks(self, step: Step) -> None:
--- a/gladelane/lab/fleet/load.py
+++ b/gladelane/lab/fleet/load.py
@@ -146,7 +146,7 @@
         director = await self._director()
         if director is None:
             self.counts["nobody"] += 1
-            self.service.ask(due_ms / 1000.0, CLASSES[cls].worth)
+            self.service.record_request(due_ms / 1000.0, CLASSES[cls].worth)
             return
         code, was_unresponsive = await self._ask(director, cls, object_index, part, key, due_ms)
         if code is None and was_unresponsive and is_write:
@@ -176,7 +176,7 @@
         self.monitor.request(director.name, number, spec, sent_ms + deadline_ms)
         self.counts["asked"] += 1
         for service in (self.service, self.by_director[director.name]):
-            service.ask(due_ms / 1000.0, spec.worth)
+            service.record_request(due_ms / 1000.0, spec.worth)
         answer = await client.ask(fields, timeout_s=REQUEST_TIMEOUT_S)
         now = now_ms()
         was_unresponsive = director.was_unresponsive(sent_ms, now)
@@ -218,7 +218,7 @@
             )
         if served.answered_ms - served.due_ms <= spec.aim_ms:
             for service in (self.service, self.by_director[director.name]):
-                service.earn(served.due_ms / 1000.0, spec.worth)
+                service.record_timely_reply(served.due_ms / 1000.0, spec.worth)
 
     # --- operators
 
--- a/gladelane/lab/fleet/run_checks.py
+++ b/gladelane/lab/fleet/run_checks.py
@@ -92,18 +92,18 @@
     replies: list[ObservedReply], purges: list[AcknowledgedPurge], delay_ms: float
 ) -> list[ObservedReply]:
     """Replies from a copy older than a purge, to requests later than its acknowledgement plus the delay."""
-    index, place, found = Index(), 0, []
+    index, next_purge, found = Index(), 0, []
     ordered = sorted(purges, key=lambda purge: max(purge.at_ms, purge.answered_ms))
-    for answer in sorted(replies, key=lambda answer: answer.sent_ms):
-        while place < len(ordered):
-            purge = ordered[place]
-            if max(purge.at_ms, purge.answered_ms) + delay_ms > answer.sent_ms:
+    for reply in sorted(replies, key=lambda reply: reply.sent_ms):
+        while next_purge < len(ordered):
+            purge = ordered[next_purge]
+            if max(purge.at_ms, purge.answered_ms) + delay_ms > reply.sent_ms:
                 break
             index.add(purge.scope, purge.at_ms)
-            place += 1
-        at = index.newest_purge_ms(answer.cls, answer.group, answer.object, answer.part, answer.sent_ms)
-        if answer.dated_ms + SLACK_MS < at:
-            found.append(answer)
+            next_purge += 1
+        at = index.newest_purge_ms(reply.cls, reply.group, reply.object, reply.part, reply.sent_ms)
+        if reply.dated_ms + SLACK_MS < at:
+            found.append(reply)
     return found
 
 
@@ -148,36 +148,36 @@
     SHARE, PERIOD_S, STEP_S = 0.95, 2.0, 0.1
 
     def __init__(self) -> None:
-        self._asked: list[tuple[float, float]] = []  # due time, weight
-        self._earned: list[tuple[float, float]] = []
+        self._requested: list[tuple[float, float]] = []  # due time, weight
+        self._timely: list[tuple[float, float]] = []
 
     @classmethod
     def together(cls, services: Iterable[Service]) -> Service:
         """The sum of several services."""
         joined = cls()
         for service in services:
-            joined._asked += service._asked
-            joined._earned += service._earned
+            joined._requested += service._requested
+            joined._timely += service._timely
         return joined
 
-    def ask(self, due_s: float, weight: float) -> None:
+    def record_request(self, due_s: float, weight: float) -> None:
         """Records a request."""
-        self._asked.append((due_s, weight))
+        self._requested.append((due_s, weight))
 
-    def earn(self, due_s: float, weight: float) -> None:
+    def record_timely_reply(self, due_s: float, weight: float) -> None:
         """Records that a request was answered in time."""
-        self._earned.append((due_s, weight))
+        self._timely.append((due_s, weight))
 
     def seconds_until_full(self, fault: float, before: tuple[float, float], until: float) -> float:
         """Seconds from a fault until at least 95 % of the earlier share is reached for PERIOD_S.
 
         Infinity if this does not happen before `until`.
         """
-        asked, earned = RunningSum(self._asked), RunningSum(self._earned)
+        requested, timely = RunningSum(self._requested), RunningSum(self._timely)
 
         def share(start: float, end: float) -> float:
-            weight = asked.between(start, end)
-            return earned.between(start, end) / weight if weight else 0.0
+            weight = requested.between(start, end)
+            return timely.between(start, end) / weight if weight else 0.0
 
         wanted = self.SHARE * share(*before)
         moment = fault
--- a/gladelane/lab/fleet/schedule_run.py
+++ b/gladelane/lab/fleet/schedule_run.py
@@ -127,7 +127,7 @@
 
 
 async def _run_steps(fleet: Fleet, load: Load, steps: list[Step], seconds: float) -> ScheduleProgress:
-    """Starts each step at its time. Raises TimeoutError where `await` takes too long."""
+    """Starts each step at its time. Raises TimeoutError if `await` takes too long."""
     loop = asyncio.get_running_loop()
     progress = ScheduleProgress(time.time(), loop.time(), seconds)
     fleet.record_event("line begins")
--- a/tests/fleet/test_fleet_tools.py
+++ b/tests/fleet/test_fleet_tools.py
@@ -143,9 +143,9 @@
     director.resumes.append(resume_s)
     service, rng, due = Service(), Random(5), STARTED_S - 3.0
     while (due := due + rng.expovariate(120.0)) < STARTED_S + 9.0:
-        service.ask(due, 1.0)
+        service.record_request(due, 1.0)
         if not stop_s <= due < resume_s - in_time_s:
-            service.earn(due, 1.0)
+            service.record_timely_reply(due, 1.0)
     return SimpleNamespace(process_of=lambda target: director), SimpleNamespace(
         service=Service.together([service]), by_director={director.name: service}
     )
@@ -327,9 +327,9 @@
     service, rng, due = Service(), Random(seed), 0.0
     while (due := due + rng.expovariate(250.0)) < 20.0:
         weight = rng.choice((1.0, 2.0, 3.0))
-        service.ask(due, weight)
+        service.record_request(due, weight)
         if answered(due):
-            service.earn(due, weight)
+            service.record_timely_reply(due, weight)
     return service
 
 
@@ -348,8 +348,8 @@
 def test_service_is_not_full_without_requests() -> None:
     service = Service()
     assert service.seconds_until_full(10.0, (8.0, 10.0), 20.0) == float("inf")
-    service.ask(9.0, 1.0)
-    service.earn(9.0, 1.0)
+    service.record_request(9.0, 1.0)
+    service.record_timely_reply(9.0, 1.0)
     assert service.seconds_until_full(10.0, (8.0, 10.0), 20.0) == float("inf")
 
 
