--- a/benchmarks/audit/lag.py
+++ b/benchmarks/audit/lag.py
@@ -54,7 +54,7 @@
 def lags_of_missed_changes(run: ScenarioRun) -> list[Lag]:
     """Returns the lags of directors that were cut off from discovery while it listed a change."""
     steps = run.steps()
-    changes_s = [step.at for step in steps if step.word == "drain"]
+    changes_s = [step.at for step in steps if step.action == "drain"]
     return [
         lag
         for step in steps
@@ -69,7 +69,7 @@
 
 def _missed_change(run: ScenarioRun, step: Step, director: str, changes_s: Iterable[float]) -> list[Lag]:
     """Returns the lag since the first change during the cut, or nothing if there was no change."""
-    missed_s = [at_s for at_s in changes_s if step.at < at_s < step.at + step.last]
+    missed_s = [at_s for at_s in changes_s if step.at < at_s < step.at + step.duration_s]
     since_ms = [run.schedule_started_ms + at_s * 1000.0 + ALLOWED_LAG_MS for at_s in missed_s[:1]]
     return [Lag(director, since, run.step_ended_ms(step)) for since in since_ms]
 
@@ -78,8 +78,8 @@
     """Returns lags for directors that were stopped or cut off, as they may be behind when they reconnect."""
     found = []
     for step in run.steps():
-        if step.word in ISOLATING_FAULTS:
-            names = [f"director-{number}" for kind, number in step.whom if kind == "directors"]
+        if step.action in ISOLATING_FAULTS:
+            names = [f"director-{number}" for kind, number in step.targets if kind == "directors"]
             names += [f"director-{source[1]}" for source, _ in step.links]
             started_ms, ended_ms = run.step_started_ms(step), run.step_ended_ms(step)
             found += [Lag(name, started_ms, ended_ms) for name in names]
--- a/benchmarks/audit/scenario_run.py
+++ b/benchmarks/audit/scenario_run.py
@@ -11,8 +11,8 @@
 import uvloop
 
 from benchmarks.fleet_scenarios import Scenario
-from gladelane.lab.fleet.audited import play_audited
-from gladelane.lab.fleet.faults import Step, read_line
+from gladelane.lab.fleet.audit_comparison import run_with_audit
+from gladelane.lab.fleet.faults import Step, parse_schedule
 from gladelane.lab.fleet.fleet import Fleet
 from gladelane.lab.fleet.load import Load
 from gladelane.lab.fleet.world import CACHES
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class ScenarioRun:
-    """A scenario that has run, and its metrics under the names of `lab.fleet.audited`."""
+    """A scenario that has run, and its metrics under the names of `lab.fleet.audit_comparison`."""
 
     scenario: Scenario
     metrics: Mapping[str, Any]
@@ -45,7 +45,7 @@
         """Returns the steps of the fault schedule, with the same random targets as in the run."""
         shape = self.scenario.shape
         counts = {"directors": shape.directors, "feeds": shape.control_servers, "caches": CACHES}
-        return read_line(self.scenario.schedule, counts, Random(self.seed))
+        return parse_schedule(self.scenario.schedule, counts, Random(self.seed))
 
     def step_started_ms(self, step: Step) -> float:
         """Returns the start of a step in Unix ms."""
@@ -53,7 +53,7 @@
 
     def step_ended_ms(self, step: Step) -> float:
         """Returns the end of a step that has a duration, in Unix ms."""
-        return self.schedule_started_ms + (step.at + step.last) * 1000.0
+        return self.schedule_started_ms + (step.at + step.duration_s) * 1000.0
 
     def printed_metrics(self) -> dict[str, Any]:
         """Returns the metrics that are short enough to print."""
@@ -62,7 +62,7 @@
 
 async def _read_events(fleet: Fleet, _load: Load) -> dict[str, Any]:
     """Returns the events of the fault schedule with their times in Unix ms."""
-    started_s = time.time() - time.monotonic() + fleet.began
+    started_s = time.time() - time.monotonic() + fleet.started_s
     return {"events": [((started_s + at_s) * 1000.0, event) for at_s, event, _ in fleet.events]}
 
 
@@ -70,13 +70,13 @@
     """Runs a scenario with processes of its own."""
 
     async def run() -> dict[str, Any]:
-        metrics: dict[str, Any] = await play_audited(
+        metrics: dict[str, Any] = await run_with_audit(
             scenario.schedule,
             scenario.shape,
             SEED,
             scenario.seconds,
             purges=scenario.purges,
-            look=_read_events,
+            collect_metrics=_read_events,
         )
         return metrics
 
--- a/benchmarks/audit/tampered.py
+++ b/benchmarks/audit/tampered.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from gladelane.audit.audit_store import AuditStore
-from gladelane.lab.fleet.altered_stores import caught, planted
-from gladelane.lab.fleet.audited import contradictions
+from gladelane.lab.fleet.altered_stores import altered_copies, has_inconsistency
+from gladelane.lab.fleet.audit_comparison import find_contradictions
 
 
 def detect_tampering(metrics: Mapping[str, Any], seed: int) -> dict[str, bool]:
@@ -19,8 +19,10 @@
     load, lists = metrics["load"], metrics["lists"]
 
     def is_detected(store: AuditStore) -> bool:
-        return caught(store) or bool(
-            contradictions(store, load.attempts, load.made, load.purges, lists, load.standstills)
+        return has_inconsistency(store) or bool(
+            find_contradictions(store, load.attempts, load.replies, load.purges, lists, load.stalls)
         )
 
-    return {name: is_detected(store) for name, store in planted(metrics["ledger"], Random(seed)).items()}
+    return {
+        name: is_detected(store) for name, store in altered_copies(metrics["ledger"], Random(seed)).items()
+    }
--- a/benchmarks/comeback/__main__.py
+++ b/benchmarks/comeback/__main__.py
@@ -7,7 +7,7 @@
 import uvloop
 
 from benchmarks import conclude
-from gladelane.lab.fleet.day import play
+from gladelane.lab.fleet.schedule_run import run_schedule
 from gladelane.lab.fleet.shape import Shape
 from gladelane.lab.losses import Plant
 
@@ -25,7 +25,7 @@
     quick = "--quick" in sys.argv
     runs = run_scenarios(quick)
     delayed = run_delayed_start(scenarios(quick)[1].shape, runs[KILLED]["restart"].start_limit_s)
-    without_watermarks = uvloop.run(play(ALL_LOST, Shape(6, lost="serve"), SEED, 5.5))
+    without_watermarks = uvloop.run(run_schedule(ALL_LOST, Shape(6, lost="serve"), SEED, 5.5))
     caught = search_planted()
     states = [search_states(copies, Plant.NONE, 3 if quick else 4) for copies in (1, 2)]
     summary = summarise(quick, runs, delayed) | {
--- a/benchmarks/comeback/first_restart.py
+++ b/benchmarks/comeback/first_restart.py
@@ -18,9 +18,9 @@
 
 import uvloop
 
-from gladelane.lab.fleet.day import APART_S, play
 from gladelane.lab.fleet.fleet import Fleet
 from gladelane.lab.fleet.load import Load
+from gladelane.lab.fleet.schedule_run import MIN_FAULT_INTERVAL_S, run_schedule
 from gladelane.lab.fleet.shape import Shape
 from gladelane.lab.processes import ROOT
 
@@ -73,7 +73,7 @@
     It is infinite if one of them never does.
     """
     fault_s = min(moment for one in directors for moment in one.downs)
-    ended = [one for one in directors if one.downs and one.downs[0] < fault_s + APART_S]
+    ended = [one for one in directors if one.downs and one.downs[0] < fault_s + MIN_FAULT_INTERVAL_S]
     recovered_s = max(
         min((up_s for up_s in one.ups if up_s > one.downs[0]), default=math.inf) for one in ended
     )
@@ -102,7 +102,9 @@
     """Runs a fault schedule and returns its metrics, with its first restart as `restart`."""
     before_s = time_imports(shape.directors)
     metrics = uvloop.run(
-        play(schedule, shape, SEED, seconds, REQUESTS_PER_S, table=table, look=measure_restart)
+        run_schedule(
+            schedule, shape, SEED, seconds, REQUESTS_PER_S, table=table, collect_metrics=measure_restart
+        )
     )
     import_s = max(before_s, time_imports(shape.directors))
     return {**metrics, "restart": Restart(import_s, metrics["start_s"])}
--- a/benchmarks/comeback/runs.py
+++ b/benchmarks/comeback/runs.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from benchmarks import conclude
-from gladelane.lab.fleet.day import play
+from gladelane.lab.fleet.schedule_run import run_schedule
 from gladelane.lab.fleet.shape import Shape
 
 from .first_restart import run_restart
@@ -28,7 +28,9 @@
     options = parser.parse_args(argv)
     shape = Shape(options.directors, options.feeds, options.copies)
     metrics = uvloop.run(
-        play(options.line, shape, options.seed, options.seconds, purges=options.purges, table=options.table)
+        run_schedule(
+            options.line, shape, options.seed, options.seconds, purges=options.purges, table=options.table
+        )
     )
     broken = [name for name in ("stale_strict", "doubles", "lost", "rules_broken") if metrics[name]]
     return conclude(metrics, broken)
@@ -44,7 +46,7 @@
             runs[scenario.name] = run_restart(scenario.schedule, scenario.shape, scenario.seconds, path)
         else:
             runs[scenario.name] = uvloop.run(
-                play(
+                run_schedule(
                     scenario.schedule,
                     scenario.shape,
                     SEED,
--- a/benchmarks/ownership.py
+++ b/benchmarks/ownership.py
@@ -24,12 +24,12 @@
 
 from benchmarks import conclude
 from benchmarks.planted_searches import PlantedSearches, SearchResult
-from gladelane.lab.fleet.audited import p99
-from gladelane.lab.fleet.day import memory
-from gladelane.lab.fleet.faults import Step, read_line
+from gladelane.lab.fleet.audit_comparison import p99
+from gladelane.lab.fleet.faults import Step, parse_schedule
 from gladelane.lab.fleet.fleet import Fleet
+from gladelane.lab.fleet.lease_watch import LeaseWatch, count_orders, wait_for_orders, wait_for_owners
 from gladelane.lab.fleet.load import Load
-from gladelane.lab.fleet.owned import Watch, ordered, orders, settled
+from gladelane.lab.fleet.schedule_run import memory_folder
 from gladelane.lab.fleet.shape import Shape
 from gladelane.lab.fleet.world import World
 from gladelane.lab.leases import InjectedFault, explore
@@ -83,12 +83,12 @@
     if not is_plain:
         lines.append(f"0 kill feeds:{rng.randrange(LEASE_SERVERS)} {rng.choice(('empty', 'kept'))}")
     counts = {"directors": directors, "feeds": LEASE_SERVERS}
-    return FaultRound(read_line("; ".join(lines), counts, rng), victims, is_plain)
+    return FaultRound(parse_schedule("; ".join(lines), counts, rng), victims, is_plain)
 
 
 async def run_fleet(directors: int, rounds: int, with_owners: bool) -> RunFigures:
     """Starts a fleet, runs the rounds while purges are sent, and stops the fleet."""
-    with tempfile.TemporaryDirectory(prefix="gl", dir=memory()) as name:
+    with tempfile.TemporaryDirectory(prefix="gl", dir=memory_folder()) as name:
         world = World()
         shape = Shape(directors, LEASE_SERVERS, 1, owners=with_owners, lease_ms=LEASE_MS, shards=SHARDS)
         fleet = Fleet(Path(name), world, shape, random.Random(8))
@@ -105,8 +105,8 @@
 
 async def _run_on_fleet(fleet: Fleet, rounds: int, with_owners: bool) -> RunFigures:
     figures, rng = RunFigures(), random.Random(7)
-    load, watch = Load(fleet, random.Random(9)), Watch(fleet)
-    if with_owners and not await settled(watch, SHARDS):
+    load, watch = Load(fleet, random.Random(9)), LeaseWatch(fleet)
+    if with_owners and not await wait_for_owners(watch, SHARDS):
         raise RuntimeError("not every shard got an owner in time")
     purging = asyncio.create_task(load.purge(4 * rounds + 5, ROUND_S * rounds + 1.0))
     for number in range(rounds):
@@ -114,23 +114,23 @@
         figures.faults += len(fault_round.steps)
         figures.gaps_s += await _run_round(fleet, watch, fault_round)
     await purging
-    await ordered(fleet, load)
+    await wait_for_orders(fleet, load)
     await asyncio.sleep(FINAL_ORDERS_S)
-    figures.mean_orders, figures.missing_orders = orders(fleet, load)
+    figures.mean_orders, figures.missing_orders = count_orders(fleet, load)
     figures.changes = sum(len(owners_of_shard) for owners_of_shard in watch.owners().values())
-    figures.reused_tokens = len(watch.reused())
+    figures.reused_tokens = len(watch.find_reused_numbers())
     await watch.stop()
     return figures
 
 
-async def _run_round(fleet: Fleet, watch: Watch, fault_round: FaultRound) -> Sequence[float]:
+async def _run_round(fleet: Fleet, watch: LeaseWatch, fault_round: FaultRound) -> Sequence[float]:
     """Runs a round and returns for how many seconds the shards of the victims had no owner."""
     started_s = time.time()
-    fault_tasks = [asyncio.create_task(fleet.strike(step)) for step in fault_round.steps]
+    fault_tasks = [asyncio.create_task(fleet.inject(step)) for step in fault_round.steps]
     await asyncio.sleep(ROUND_S)
     gaps_s: Sequence[float] = ()
     if fault_round.is_plain:
-        gaps_s = watch.gaps(started_s, {f"director-{victim}" for victim in fault_round.victims})
+        gaps_s = watch.succession_times_s(started_s, {f"director-{victim}" for victim in fault_round.victims})
     await asyncio.gather(*fault_tasks)
     return gaps_s
 
--- a/benchmarks/purges/measures.py
+++ b/benchmarks/purges/measures.py
@@ -6,17 +6,17 @@
 from collections import Counter
 from collections.abc import Iterable, Sequence
 
-from gladelane.lab.fleet.rules import SLACK_MS, Made, Purged
+from gladelane.lab.fleet.run_checks import SLACK_MS, AcknowledgedPurge, ObservedReply
 
 
-def is_older(answer: Made, purge: Purged) -> bool:
+def is_older(answer: ObservedReply, purge: AcknowledgedPurge) -> bool:
     """Returns whether the answer came from a copy that is older than the purge and covered by it."""
     is_before = answer.dated_ms + SLACK_MS < purge.at_ms
     return is_before and purge.scope.covers(answer.cls, answer.group, answer.object, answer.part)
 
 
 def stale_by_scan(
-    answers: Sequence[Made], purges: Sequence[Purged], delay_ms: float, max_scanned: int
+    answers: Sequence[ObservedReply], purges: Sequence[AcknowledgedPurge], delay_ms: float, max_scanned: int
 ) -> int:
     """Counts stale answers in a sample by a plain scan, which is independent of the index under test."""
     step = max(len(answers) // max_scanned, 1)
@@ -26,7 +26,9 @@
     )
 
 
-def delays_ms(answers: Iterable[Made], purges: Iterable[Purged], delay_ms: float) -> list[float]:
+def delays_ms(
+    answers: Iterable[ObservedReply], purges: Iterable[AcknowledgedPurge], delay_ms: float
+) -> list[float]:
     """Returns for each purge the time until the last request that got an answer from an older copy.
 
     The time is 0 if there was no such answer; only requests up to twice the stated delay are considered.
